--- a/crates/cw_policy/src/attempt/attempt_state.rs
+++ b/crates/cw_policy/src/attempt/attempt_state.rs
@@ -11,8 +11,8 @@
 use cw_wire::Dispatch;
 use cw_wire::Failure;
 use cw_wire::Fingerprint;
-use cw_wire::Finish;
-use cw_wire::Reason;
+use cw_wire::FinishReason;
+use cw_wire::NotRunReason;
 use cw_wire::Work;
 
 use super::Output;
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Its output is whole.
-    Done(Finish),
+    Done(FinishReason),
     /// It failed after it may have reached its target.
     Failed {
         /// Why.
@@ -30,7 +30,7 @@
         ran: Ran,
     },
     /// Nothing of it reached its target, and nothing will.
-    NotRun(Reason),
+    NotRun(NotRunReason),
 }
 
 /// Where an attempt is.
@@ -103,7 +103,7 @@
     }
 
     /// Returns an attempt that ended before anything was known of it.
-    pub(super) fn tombstone(now: Time, reason: Reason) -> Self {
+    pub(super) fn tombstone(now: Time, reason: NotRunReason) -> Self {
         Self {
             workspace: None,
             idempotent: true,
--- a/crates/cw_policy/src/attempt/table/mod.rs
+++ b/crates/cw_policy/src/attempt/table/mod.rs
@@ -17,8 +17,8 @@
 use cw_wire::Dispatch;
 use cw_wire::Frame;
 use cw_wire::Load;
+use cw_wire::NotRunReason;
 use cw_wire::Prompt;
-use cw_wire::Reason;
 use cw_wire::Stamp;
 use cw_wire::Work;
 
@@ -198,7 +198,7 @@
         }
     }
 
-    fn not_run(&self, now: Time, reason: Reason) -> Frame {
+    fn not_run(&self, now: Time, reason: NotRunReason) -> Frame {
         Frame::NotRun {
             reason,
             retry: self.admission.retry(),
--- a/crates/cw_policy/src/attempt/table/peer_events.rs
+++ b/crates/cw_policy/src/attempt/table/peer_events.rs
@@ -12,7 +12,7 @@
 use cw_wire::Dispatch;
 use cw_wire::Failure;
 use cw_wire::Frame;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 
 use super::AttemptState;
 use super::AttemptStep;
@@ -40,7 +40,7 @@
                 .as_ref()
                 .is_some_and(|w| *w != dispatch.workspace);
             let answer = match foreign {
-                true => self.refuse(now, Reason::Unknown),
+                true => self.refuse(now, NotRunReason::Unknown),
                 false => self.open(id, from),
             };
             return (answer, steps);
@@ -50,13 +50,13 @@
         }
         if dispatch.repeat && from.0 > first_index(&dispatch) {
             // Another run's output must not be joined to what the entry has.
-            return (self.forget(now, id, Reason::Unknown), steps);
+            return (self.forget(now, id, NotRunReason::Unknown), steps);
         }
         if let Some(reason) = self.gate.refusal(&dispatch.work) {
             return (self.forget(now, id, reason), steps);
         }
         match self.admission.offer(now, ticket(now, &dispatch)) {
-            Offer::Busy { .. } => return (self.forget(now, id, Reason::Busy), steps),
+            Offer::Busy { .. } => return (self.forget(now, id, NotRunReason::Busy), steps),
             Offer::Start => {
                 self.insert(now, dispatch);
                 self.start(now, id, &mut steps);
@@ -64,7 +64,7 @@
             Offer::Wait { displaced } => {
                 self.insert(now, dispatch);
                 if let Some(other) = displaced {
-                    self.end(now, other, End::NotRun(Reason::Busy), &mut steps);
+                    self.end(now, other, End::NotRun(NotRunReason::Busy), &mut steps);
                 }
                 // A resumed attempt may take a slot that those before it may not.
                 self.start_waiting(now, &mut steps);
@@ -77,7 +77,7 @@
     pub fn on_attach(&mut self, now: Time, attach: &Attach) -> AttemptAnswer {
         match self.find(attach) {
             Some(id) => self.open(id, attach.from),
-            None => self.refuse(now, Reason::Unknown),
+            None => self.refuse(now, NotRunReason::Unknown),
         }
     }
 
@@ -101,7 +101,7 @@
             if !self.is_fresh(now, cancel.stamp) {
                 return (Cancelled { ran: Ran::Unknown }, steps);
             }
-            self.bury(now, id, Reason::Cancelled);
+            self.bury(now, id, NotRunReason::Cancelled);
             return (Cancelled { ran: Ran::No }, steps);
         };
         let ran = attempt.ran();
@@ -120,7 +120,7 @@
         attempt.delivered = true;
         let failure = Failure::Cancelled;
         let end = match attempt.stage {
-            Stage::Waiting(_) => End::NotRun(Reason::Cancelled),
+            Stage::Waiting(_) => End::NotRun(NotRunReason::Cancelled),
             _ => End::Failed { failure, ran },
         };
         if attempt.stage == Stage::Running {
@@ -167,17 +167,17 @@
 
     // ---- Refusals
 
-    fn refuse(&self, now: Time, reason: Reason) -> AttemptAnswer {
+    fn refuse(&self, now: Time, reason: NotRunReason) -> AttemptAnswer {
         AttemptAnswer::Frame(Box::new(self.not_run(now, reason)))
     }
 
     /// Refuses an attempt for good: a refusal is a promise that it never runs here.
-    fn forget(&mut self, now: Time, id: AttemptId, reason: Reason) -> AttemptAnswer {
+    fn forget(&mut self, now: Time, id: AttemptId, reason: NotRunReason) -> AttemptAnswer {
         self.bury(now, id, reason);
         self.refuse(now, reason)
     }
 
-    fn bury(&mut self, now: Time, id: AttemptId, reason: Reason) {
+    fn bury(&mut self, now: Time, id: AttemptId, reason: NotRunReason) {
         self.attempts
             .insert(id, AttemptState::tombstone(now, reason));
         self.ended.push_back((now, id));
@@ -187,7 +187,7 @@
     fn stale(&self, now: Time, dispatch: &Dispatch) -> AttemptAnswer {
         if !dispatch.repeat {
             // It was never sent before, so this is the only time that it could have run.
-            return self.refuse(now, Reason::Unknown);
+            return self.refuse(now, NotRunReason::Unknown);
         }
         AttemptAnswer::Frame(Box::new(Frame::Failed {
             failure: Failure::TargetLost,
--- a/crates/cw_policy/src/attempt/table/target_events.rs
+++ b/crates/cw_policy/src/attempt/table/target_events.rs
@@ -11,8 +11,8 @@
 use cw_types::VersionName;
 use cw_wire::Failure;
 use cw_wire::Load;
+use cw_wire::NotRunReason;
 use cw_wire::Pins;
-use cw_wire::Reason;
 
 use super::AttemptStep;
 use super::AttemptTable;
@@ -129,14 +129,14 @@
     pub fn on_down(&mut self, now: Time) -> Vec<AttemptStep> {
         self.gate.set_down();
         self.resume_starts();
-        self.refuse_waiting(now, Reason::TargetDown)
+        self.refuse_waiting(now, NotRunReason::TargetDown)
     }
 
     /// The target is leaving, or no longer.
     pub fn on_leaving(&mut self, now: Time, leaving: bool) -> Vec<AttemptStep> {
         self.gate.set_leaving(leaving);
         match leaving {
-            true => self.refuse_waiting(now, Reason::Leaving),
+            true => self.refuse_waiting(now, NotRunReason::Leaving),
             false => Vec::new(),
         }
     }
@@ -180,7 +180,7 @@
             .filter(|attempt| attempt.stage == Stage::Running)
     }
 
-    fn refuse_waiting(&mut self, now: Time, reason: Reason) -> Vec<AttemptStep> {
+    fn refuse_waiting(&mut self, now: Time, reason: NotRunReason) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         let waiting = |id: &AttemptId| {
             let attempt = self.attempts.get(id);
--- a/crates/cw_policy/src/attempt/table/time_events.rs
+++ b/crates/cw_policy/src/attempt/table/time_events.rs
@@ -2,7 +2,7 @@
 
 use cw_types::AttemptId;
 use cw_types::Time;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 
 use super::AttemptStep;
 use super::AttemptTable;
@@ -13,7 +13,7 @@
     pub fn on_tick(&mut self, now: Time) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         for id in self.admission.expired(now) {
-            self.end(now, id, End::NotRun(Reason::Expired), &mut steps);
+            self.end(now, id, End::NotRun(NotRunReason::Expired), &mut steps);
         }
         for id in self.abandoned(now) {
             self.cancel_live(now, id, &mut steps);
--- a/crates/cw_policy/src/attempt/target_gate.rs
+++ b/crates/cw_policy/src/attempt/target_gate.rs
@@ -5,7 +5,7 @@
 
 use cw_types::ModelName;
 use cw_types::VersionName;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::TargetState;
 use cw_wire::Work;
 
@@ -78,12 +78,12 @@
     }
 
     /// Returns why the target does not take new work, if it does not.
-    pub fn refusal(&self, work: &Work) -> Option<Reason> {
+    pub fn refusal(&self, work: &Work) -> Option<NotRunReason> {
         if self.leaving {
-            return Some(Reason::Leaving);
+            return Some(NotRunReason::Leaving);
         }
         if !self.up {
-            return Some(Reason::TargetDown);
+            return Some(NotRunReason::TargetDown);
         }
         let Work::Generate(work) = work else {
             return None;
@@ -91,6 +91,6 @@
         let key = (work.model.clone(), work.version.clone());
         let held = self.versions.get(&key.0);
         let ready = held.is_some_and(|set| set.contains(&key.1)) && !self.unloading.contains(&key);
-        (!ready).then_some(Reason::WrongVersion)
+        (!ready).then_some(NotRunReason::WrongVersion)
     }
 }
--- a/crates/cw_policy/src/configuration/accept.rs
+++ b/crates/cw_policy/src/configuration/accept.rs
@@ -162,7 +162,7 @@
     }
     // Taking a target out of work must not wait for a second person.
     let is_drain = |edit: &Edit| edit.key().kind == RecordKind::Drain;
-    let alone = by.operator.alone || proposal.edits.iter().all(is_drain);
+    let alone = by.operator.self_approval || proposal.edits.iter().all(is_drain);
     if accepter == proposal.proposer && !alone {
         return Err(Refusal::SamePerson { accepter });
     }
--- a/crates/cw_policy/src/configuration/dry_run.rs
+++ b/crates/cw_policy/src/configuration/dry_run.rs
@@ -108,7 +108,7 @@
 }
 
 fn breakages(snapshot: &Snapshot) -> Vec<Breakage> {
-    let (config, errors) = Config::read(snapshot);
+    let (config, errors) = Config::from_snapshot(snapshot);
     let mut found: Vec<_> = errors.into_iter().map(malformed).collect();
     for (name, route) in &config.routes {
         check_route(&config, name, route, &mut found);
--- a/crates/cw_policy/src/configuration/in_force.rs
+++ b/crates/cw_policy/src/configuration/in_force.rs
@@ -6,7 +6,7 @@
 use cw_types::ConfigError;
 use cw_types::Revision;
 use cw_types::Snapshot;
-use cw_wire::ConfigAnswer;
+use cw_wire::ConfigResponse;
 use snafu::Snafu;
 
 use super::apply_delta;
@@ -108,12 +108,12 @@
     }
 
     /// Takes a peer's answer.
-    pub fn take_answer(&mut self, answer: ConfigAnswer) -> Taking {
+    pub fn take_answer(&mut self, answer: ConfigResponse) -> Taking {
         match answer {
-            ConfigAnswer::Current(revision) if revision < self.revision() => Taking::Older,
-            ConfigAnswer::Current(_) => Taking::Same,
-            ConfigAnswer::Whole(snapshot) => self.take(Source::Peer, snapshot),
-            ConfigAnswer::Delta(delta) => match apply_delta(&self.snapshot, &delta) {
+            ConfigResponse::Current(revision) if revision < self.revision() => Taking::Older,
+            ConfigResponse::Current(_) => Taking::Same,
+            ConfigResponse::Whole(snapshot) => self.take(Source::Peer, snapshot),
+            ConfigResponse::Delta(delta) => match apply_delta(&self.snapshot, &delta) {
                 Ok(snapshot) => self.take(Source::Peer, snapshot),
                 Err(_) if delta.to <= self.revision() => Taking::Older,
                 Err(_) => Taking::NeedsWhole,
@@ -122,13 +122,13 @@
     }
 
     /// Answers a peer that has revision `have`.
-    pub fn answer(&self, have: Revision) -> ConfigAnswer {
+    pub fn answer(&self, have: Revision) -> ConfigResponse {
         if !self.known || have >= self.revision() {
-            return ConfigAnswer::Current(self.revision());
+            return ConfigResponse::Current(self.revision());
         }
         match make_delta(&self.snapshot, have) {
-            Some(delta) if have > Revision::default() => ConfigAnswer::Delta(delta),
-            _ => ConfigAnswer::Whole(Snapshot::clone(&self.snapshot)),
+            Some(delta) if have > Revision::default() => ConfigResponse::Delta(delta),
+            _ => ConfigResponse::Whole(Snapshot::clone(&self.snapshot)),
         }
     }
 
@@ -172,9 +172,9 @@
     }
 
     fn apply(&mut self, snapshot: Snapshot) -> Vec<ConfigError> {
-        let (mut config, errors) = Config::read(&snapshot);
+        let (mut config, errors) = Config::from_snapshot(&snapshot);
         for error in &errors {
-            config.keep(&error.key, &self.config);
+            config.keep_previous(&error.key, &self.config);
         }
         self.snapshot = Arc::new(snapshot);
         self.config = Arc::new(config);
--- a/crates/cw_policy/src/fencing.rs
+++ b/crates/cw_policy/src/fencing.rs
@@ -4,7 +4,7 @@
 
 use cw_types::FencingNumber;
 use cw_wire::Order;
-use cw_wire::OrderAnswer;
+use cw_wire::OrderResponse;
 
 /// How many orders of one fencing number are remembered.
 const REMEMBERED: usize = 256;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
     /// Answer, without asking the engine.
-    Answer(OrderAnswer),
+    Answer(OrderResponse),
     /// Pass it on to the engine.
     Pass,
 }
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct OrderGuard {
     highest: FencingNumber,
-    answers: BTreeMap<u64, OrderAnswer>,
+    answers: BTreeMap<u64, OrderResponse>,
     /// The highest sequence whose answer is no longer remembered.
     forgotten: u64,
 }
@@ -44,24 +44,24 @@
         }
         if order.sequence <= self.forgotten {
             let message = "the order is older than those remembered".to_owned();
-            return OrderStep::Answer(OrderAnswer::Failed { message });
+            return OrderStep::Answer(OrderResponse::Failed { message });
         }
         if pinned > 0 {
             let generations = pinned;
-            return OrderStep::Answer(OrderAnswer::Pinned { generations });
+            return OrderStep::Answer(OrderResponse::Pinned { generations });
         }
-        self.remember(order.sequence, OrderAnswer::Begun);
+        self.remember(order.sequence, OrderResponse::Begun);
         OrderStep::Pass
     }
 
     /// Takes in the engine's answer to an order that was passed on.
-    pub fn on_answer(&mut self, order: &Order, answer: &OrderAnswer) {
+    pub fn on_answer(&mut self, order: &Order, answer: &OrderResponse) {
         if order.fencing != self.highest {
             return;
         }
         match answer {
             // Nothing is known to be done, so a repeat is passed on again.
-            OrderAnswer::Failed { .. } => {
+            OrderResponse::Failed { .. } => {
                 self.answers.remove(&order.sequence);
             }
             answer => self.remember(order.sequence, answer.clone()),
@@ -79,10 +79,10 @@
 
     fn fenced(&self) -> OrderStep {
         let highest = self.highest;
-        OrderStep::Answer(OrderAnswer::Fenced { highest })
+        OrderStep::Answer(OrderResponse::Fenced { highest })
     }
 
-    fn remember(&mut self, sequence: u64, answer: OrderAnswer) {
+    fn remember(&mut self, sequence: u64, answer: OrderResponse) {
         self.answers.insert(sequence, answer);
         while self.answers.len() > REMEMBERED {
             let oldest = self.answers.pop_first();
--- a/crates/cw_policy/src/forward/directory_log.rs
+++ b/crates/cw_policy/src/forward/directory_log.rs
@@ -9,7 +9,7 @@
 
 use cw_types::Time;
 use cw_wire::DirectoryChange;
-use cw_wire::DirectoryNews;
+use cw_wire::DirectoryUpdate;
 
 use super::Fleet;
 
@@ -72,13 +72,13 @@
     }
 
     /// Returns what to tell the others.
-    pub fn news(&mut self, now: Time, fleet: &Fleet, config: u64) -> DirectoryNews {
+    pub fn news(&mut self, now: Time, fleet: &Fleet, config: u64) -> DirectoryUpdate {
         while let Some((at, _)) = self.recent.front()
             && now.since(*at) > TOLD
         {
             self.recent.pop_front();
         }
-        DirectoryNews {
+        DirectoryUpdate {
             up: fleet.is_directory_up(),
             trusted: fleet.is_trusted(now),
             config,
@@ -92,7 +92,7 @@
     }
 
     /// Another entry tells news.
-    pub fn hear(&mut self, news: &DirectoryNews) -> NewsStep {
+    pub fn hear(&mut self, news: &DirectoryUpdate) -> NewsStep {
         if news.newest <= self.newest {
             return NewsStep::Nothing;
         }
--- a/crates/cw_policy/src/forward/peers.rs
+++ b/crates/cw_policy/src/forward/peers.rs
@@ -7,7 +7,7 @@
 use cw_types::Incarnation;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::Outstanding;
+use cw_wire::OutstandingWork;
 use cw_wire::TargetHash;
 use cw_wire::TargetShare;
 use xxhash_rust::xxh3::xxh3_64;
@@ -82,7 +82,7 @@
 
 impl Fleet {
     /// Another entry says what it has at the targets. Returns whether the message is news.
-    pub fn heard_peer(&mut self, now: Time, message: &Outstanding) -> bool {
+    pub fn heard_peer(&mut self, now: Time, message: &OutstandingWork) -> bool {
         let known = self.peers.peers.get(&message.host);
         let is_old = known.is_some_and(|peer| {
             peer.incarnation == message.incarnation && peer.sequence >= message.sequence
--- a/crates/cw_policy/src/forward/whereabouts.rs
+++ b/crates/cw_policy/src/forward/whereabouts.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use cw_types::Time;
+use cw_wire::CachedPrompt;
 use cw_wire::PromptHash;
-use cw_wire::ReadPrompt;
 use cw_wire::TargetHash;
 
 /// Bounds on what is remembered.
@@ -49,7 +49,7 @@
     }
 
     /// A target reads a prompt.
-    pub fn note(&mut self, now: Time, read: ReadPrompt) {
+    pub fn note(&mut self, now: Time, read: CachedPrompt) {
         self.prompts.insert(read.prompt, (read.target, now));
         self.order.push_back((now, read.prompt));
         while self.order.len() > self.limits.capacity {
@@ -73,14 +73,14 @@
     }
 
     /// Returns what was noted after `since`.
-    pub fn noted_since(&self, since: Time) -> Vec<ReadPrompt> {
+    pub fn noted_since(&self, since: Time) -> Vec<CachedPrompt> {
         self.order
             .iter()
             .rev()
             .take_while(|(at, _)| *at > since)
             .filter_map(|(at, prompt)| {
                 let (target, newest) = self.prompts.get(prompt)?;
-                (newest == at).then_some(ReadPrompt {
+                (newest == at).then_some(CachedPrompt {
                     prompt: *prompt,
                     target: *target,
                 })
--- a/crates/cw_policy/src/generation/frames.rs
+++ b/crates/cw_policy/src/generation/frames.rs
@@ -10,7 +10,7 @@
 use cw_types::Time;
 use cw_types::TokenIndex;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::Token;
 
@@ -150,7 +150,7 @@
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        finish: Finish,
+        finish: FinishReason,
         next: TokenIndex,
         steps: &mut Vec<Step>,
     ) {
--- a/crates/cw_policy/src/generation/plan.rs
+++ b/crates/cw_policy/src/generation/plan.rs
@@ -8,7 +8,7 @@
 use cw_types::TokenCount;
 use cw_types::TokenId;
 use cw_types::TokenIndex;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 /// What an attempt does.
@@ -33,7 +33,7 @@
     #[serde(default)]
     pub claimed: bool,
     /// How long the request may wait before its first token.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub patience: Duration,
     /// The most tokens of the whole output.
     pub max_tokens: Option<TokenCount>,
--- a/crates/cw_policy/src/generation/recover.rs
+++ b/crates/cw_policy/src/generation/recover.rs
@@ -8,7 +8,7 @@
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_types::TokenIndex;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 
 use super::DropReason;
 use super::Generation;
@@ -276,7 +276,7 @@
         }
         let whole = self.plan.max_tokens.map(|most| TokenIndex(most.0));
         if whole.is_some_and(|whole| self.next() >= whole) {
-            steps.push(Step::Finish(Finish::Length));
+            steps.push(Step::Finish(FinishReason::Length));
             return self.end();
         }
         let unknown = self.base.0 > 0 || self.next() < self.plan.from;
--- a/crates/cw_policy/src/generation/refuse.rs
+++ b/crates/cw_policy/src/generation/refuse.rs
@@ -6,7 +6,7 @@
 use cw_types::ErrorKind;
 use cw_types::Ran;
 use cw_types::Time;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 
 use super::Generation;
 use super::Step;
@@ -19,7 +19,7 @@
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        reason: Reason,
+        reason: NotRunReason,
         retry: Duration,
         steps: &mut Vec<Step>,
     ) {
@@ -27,7 +27,7 @@
             return;
         };
         // An agent that lost its memory knows nothing of what it ran.
-        if reason == Reason::Unknown && track.reattached > 0 {
+        if reason == NotRunReason::Unknown && track.reattached > 0 {
             return self.forgotten(now, attempt, steps);
         }
         let Some(target) = self.remove(attempt) else {
@@ -37,10 +37,10 @@
         self.refused += 1;
         self.retry = Some(self.retry.map_or(retry, |known| known.min(retry)));
         match reason {
-            Reason::Busy | Reason::Expired => self.busy.insert(target),
+            NotRunReason::Busy | NotRunReason::Expired => self.busy.insert(target),
             _ => self.lost.insert(target),
         };
-        if reason == Reason::Expired && self.dispatched == 0 {
+        if reason == NotRunReason::Expired && self.dispatched == 0 {
             return self.fail(ErrorKind::Expired, Ran::No, retry, steps);
         }
         self.next_target(now, steps);
--- a/crates/cw_policy/src/generation/step.rs
+++ b/crates/cw_policy/src/generation/step.rs
@@ -13,7 +13,7 @@
 use cw_types::TargetId;
 use cw_types::TokenId;
 use cw_types::TokenIndex;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Token;
 
 use super::LinkId;
@@ -137,7 +137,7 @@
         body: Bytes,
     },
     /// The output is whole; the generation has ended.
-    Finish(Finish),
+    Finish(FinishReason),
     /// The generation has ended without its whole answer.
     Fail {
         /// Why.
--- a/crates/cw_policy/src/membership/member.rs
+++ b/crates/cw_policy/src/membership/member.rs
@@ -7,7 +7,7 @@
 use cw_types::Time;
 use cw_wire::LoadUpdate;
 use cw_wire::Report;
-use cw_wire::Silence;
+use cw_wire::SilentTarget;
 use cw_wire::TargetState;
 
 use super::HostMark;
@@ -76,13 +76,13 @@
     /// Takes a newer load of the same life.
     pub(super) fn update(&mut self, update: &LoadUpdate, made: Time) {
         self.report.sequence = update.sequence;
-        self.report.load = update.load(&self.report.load);
+        self.report.load = update.unpack(&self.report.load);
         self.made = self.made.max(made);
         self.silences.clear();
     }
 
     /// Notes that a relay has not heard of the target.
-    pub(super) fn on_silence(&mut self, now: Time, relay: &HostId, silence: &Silence) {
+    pub(super) fn on_silence(&mut self, now: Time, relay: &HostId, silence: &SilentTarget) {
         if silence.incarnation == self.report.incarnation {
             let statement = (silence.incarnation, now);
             self.silences.insert(relay.clone(), statement);
--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -9,10 +9,10 @@
 use cw_types::Target;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::Batch;
 use cw_wire::LoadUpdate;
 use cw_wire::Report;
-use cw_wire::Silence;
+use cw_wire::ReportBatch;
+use cw_wire::SilentTarget;
 use cw_wire::TargetHash;
 
 use super::MembershipLimits;
@@ -134,7 +134,7 @@
     }
 
     /// Takes a batch of a relay.
-    pub fn on_batch(&mut self, now: Time, batch: &Batch) -> Outcome {
+    pub fn on_batch(&mut self, now: Time, batch: &ReportBatch) -> Outcome {
         let mut outcome = Outcome::Stale;
         for (age, report) in &batch.reports {
             if self.on_report(now, *age, report.clone()) == Outcome::Taken {
@@ -155,7 +155,7 @@
     }
 
     /// Takes what a relay, or this process itself, says of a silent target.
-    pub fn on_silence(&mut self, now: Time, relay: &HostId, silence: &Silence) {
+    pub fn on_silence(&mut self, now: Time, relay: &HostId, silence: &SilentTarget) {
         if let Some(member) = self.members.get_mut(&silence.target) {
             member.on_silence(now, relay, silence);
         }
--- a/crates/cw_policy/src/membership/outbox.rs
+++ b/crates/cw_policy/src/membership/outbox.rs
@@ -6,11 +6,11 @@
 use cw_types::Revision;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::Batch;
 use cw_wire::LoadUpdate;
 use cw_wire::ProcessState;
 use cw_wire::Report;
-use cw_wire::Silence;
+use cw_wire::ReportBatch;
+use cw_wire::SilentTarget;
 use cw_wire::TargetHash;
 
 use super::ago;
@@ -20,7 +20,7 @@
 pub struct Outbox {
     reports: BTreeMap<TargetId, (Time, Report)>,
     loads: BTreeMap<TargetHash, (Time, LoadUpdate)>,
-    silent: BTreeMap<(HostId, TargetId), Silence>,
+    silent: BTreeMap<(HostId, TargetId), SilentTarget>,
     processes: BTreeMap<HostId, (Time, ProcessState)>,
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// Adds what a relay says of a silent target.
-    pub fn put_silence(&mut self, silence: Silence) {
+    pub fn put_silence(&mut self, silence: SilentTarget) {
         let key = (silence.relay.clone(), silence.target.clone());
         self.silent.insert(key, silence);
     }
@@ -59,7 +59,7 @@
     }
 
     /// Adds all that another relay's batch carries.
-    pub fn put_batch(&mut self, now: Time, batch: &Batch) {
+    pub fn put_batch(&mut self, now: Time, batch: &ReportBatch) {
         for (age, report) in &batch.reports {
             self.put_report(ago(now, *age), report.clone());
         }
@@ -83,7 +83,7 @@
     }
 
     /// Empties the outbox into a batch of the relay on `host`.
-    pub fn take(&mut self, now: Time, host: &HostId, revision: Revision) -> Batch {
+    pub fn take(&mut self, now: Time, host: &HostId, revision: Revision) -> ReportBatch {
         let whole = std::mem::take(self);
         let aged_load = |(made, mut update): (Time, LoadUpdate)| {
             update.set_age(now.since(made));
@@ -93,7 +93,7 @@
             state.age = now.since(made);
             state
         };
-        Batch {
+        ReportBatch {
             relay: host.clone(),
             sequence: 0,
             revision,
--- a/crates/cw_policy/src/membership/relay.rs
+++ b/crates/cw_policy/src/membership/relay.rs
@@ -10,14 +10,14 @@
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_types::VersionName;
-use cw_wire::Batch;
 use cw_wire::Demand;
 use cw_wire::Load;
 use cw_wire::LoadUpdate;
 use cw_wire::Pins;
 use cw_wire::ProcessState;
 use cw_wire::Report;
-use cw_wire::Silence;
+use cw_wire::ReportBatch;
+use cw_wire::SilentTarget;
 use cw_wire::TargetHash;
 
 use super::Grid;
@@ -66,9 +66,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sendings {
     /// For each entry of the own group.
-    pub near: Option<Batch>,
+    pub near: Option<ReportBatch>,
     /// For the entries of other groups.
-    pub far: Option<Batch>,
+    pub far: Option<ReportBatch>,
 }
 
 /// When what a report says has to be passed on.
@@ -139,7 +139,7 @@
     }
 
     /// Takes a batch of another entry, to be passed on if it is of the own group.
-    pub fn on_batch(&mut self, now: Time, batch: &Batch) {
+    pub fn on_batch(&mut self, now: Time, batch: &ReportBatch) {
         self.note_elsewhere(now, batch);
         if batch.forwarded {
             return;
@@ -181,7 +181,7 @@
         let mut far = self.far.take(now, &self.host, revision);
         near.demands = self.demands.own(now);
         far.demands = self.demands.sum(now, self.sequence);
-        let numbered = |batch: Batch, forwarded: bool| Batch {
+        let numbered = |batch: ReportBatch, forwarded: bool| ReportBatch {
             sequence: self.sequence,
             forwarded,
             ..batch
@@ -193,12 +193,12 @@
     }
 
     /// Returns the targets that report here and have fallen silent.
-    pub fn silent(&self, now: Time, awake: Time) -> Vec<Silence> {
+    pub fn silent(&self, now: Time, awake: Time) -> Vec<SilentTarget> {
         let quiet = |direct: &Direct| now.since(direct.heard.max(awake));
         self.direct
             .values()
             .filter(|direct| quiet(direct) >= self.fresh)
-            .map(|direct| Silence {
+            .map(|direct| SilentTarget {
                 relay: self.host.clone(),
                 target: direct.report.target.clone(),
                 incarnation: direct.report.incarnation,
@@ -207,7 +207,7 @@
             .collect()
     }
 
-    fn note_elsewhere(&mut self, now: Time, batch: &Batch) {
+    fn note_elsewhere(&mut self, now: Time, batch: &ReportBatch) {
         let reported = batch.reports.iter().map(|(_, report)| &report.target);
         for target in reported {
             if let Some(direct) = self.direct.get_mut(target) {
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -13,8 +13,8 @@
 use cw_types::Time;
 use cw_types::VersionName;
 use cw_wire::Order;
-use cw_wire::OrderAnswer;
 use cw_wire::OrderKind;
+use cw_wire::OrderResponse;
 use cw_wire::Pins;
 
 use super::Need;
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The agent answered.
-    Answer(OrderAnswer),
+    Answer(OrderResponse),
     /// No answer came: the order may or may not have arrived.
     Lost,
 }
@@ -168,9 +168,11 @@
         }
         match end {
             OrderOutcome::Lost => {}
-            OrderOutcome::Answer(OrderAnswer::Done | OrderAnswer::Begun) => sent.answered = true,
-            OrderOutcome::Answer(OrderAnswer::Fenced { highest }) => self.on_fenced(highest),
-            OrderOutcome::Answer(OrderAnswer::Pinned { .. } | OrderAnswer::Failed { .. }) => {
+            OrderOutcome::Answer(OrderResponse::Done | OrderResponse::Begun) => {
+                sent.answered = true
+            }
+            OrderOutcome::Answer(OrderResponse::Fenced { highest }) => self.on_fenced(highest),
+            OrderOutcome::Answer(OrderResponse::Pinned { .. } | OrderResponse::Failed { .. }) => {
                 self.sent.remove(target);
                 self.rest.insert(target.clone(), now + BACKOFF);
             }
--- a/crates/cw_policy/src/slo/objective.rs
+++ b/crates/cw_policy/src/slo/objective.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cw_macro::data;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 use snafu::Snafu;
 
@@ -80,13 +80,13 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Objectives {
     /// The first token's limit.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub first_token: Duration,
     /// The limit between tokens.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub token_gap: Duration,
     /// The limit from a loss until output goes on.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub resume: Duration,
     /// The fraction of tokens, first and later ones, within their limit.
     pub timely: f64,
--- a/crates/cw_policy/src/trace/outcome.rs
+++ b/crates/cw_policy/src/trace/outcome.rs
@@ -5,7 +5,7 @@
 use cw_macro::data;
 use cw_types::ErrorKind;
 use cw_types::Ran;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use crate::Step;
@@ -48,7 +48,7 @@
     #[serde(default)]
     pub attachments: u32,
     /// The longest time for which output stood still after a loss.
-    #[serde_as(as = "Option<Span>")]
+    #[serde_as(as = "Option<DurationText>")]
     #[serde(default)]
     pub slowest: Option<Duration>,
 }
--- a/crates/cw_policy/tests/attempt/cases.rs
+++ b/crates/cw_policy/tests/attempt/cases.rs
@@ -18,9 +18,9 @@
 use cw_wire::Cancel;
 use cw_wire::Dispatch;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use rstest::rstest;
 
 use super::fixtures::at;
@@ -64,7 +64,7 @@
     last.expect("the stream has frames")
 }
 
-pub(crate) fn reason(frame: &Frame) -> Option<Reason> {
+pub(crate) fn reason(frame: &Frame) -> Option<NotRunReason> {
     match frame {
         Frame::NotRun { reason, .. } => Some(*reason),
         _ => None,
@@ -98,7 +98,7 @@
     let late = last(&mut table, at(5_000), &mut reader);
 
     assert_eq!(early, ReadStep::Wait);
-    assert_eq!(reason(&late), Some(Reason::Expired));
+    assert_eq!(reason(&late), Some(NotRunReason::Expired));
 }
 
 #[rstest]
@@ -109,7 +109,7 @@
         ..ordinary(3)
     };
     let refused = ask(&mut table, at(0), hasty.clone());
-    table.on_end(at(1), attempt(1, 1), End::Done(Finish::Stop));
+    table.on_end(at(1), attempt(1, 1), End::Done(FinishReason::Stop));
 
     let repeated = Dispatch {
         repeat: true,
@@ -117,17 +117,17 @@
     };
     let again = ask(&mut table, at(2), repeated);
 
-    assert_eq!(reason(&refused), Some(Reason::Busy));
-    assert_eq!(reason(&again), Some(Reason::Busy));
+    assert_eq!(reason(&refused), Some(NotRunReason::Busy));
+    assert_eq!(reason(&again), Some(NotRunReason::Busy));
 }
 
 #[rstest]
-#[case(99_999, Reason::Cancelled)]
-#[case(100_000, Reason::Unknown)]
-#[case(500_000, Reason::Unknown)]
+#[case(99_999, NotRunReason::Cancelled)]
+#[case(100_000, NotRunReason::Unknown)]
+#[case(500_000, NotRunReason::Unknown)]
 fn a_cancelled_attempt_never_runs_however_late_it_comes(
     #[case] millis: u64,
-    #[case] expected: Reason,
+    #[case] expected: NotRunReason,
 ) {
     let mut table = table(at(0), LIFE);
     let late = ordinary(1);
@@ -183,7 +183,7 @@
     let AttemptAnswer::Frame(frame) = answer else {
         panic!("expected a refusal, found {answer:?}");
     };
-    assert_eq!(reason(&frame), Some(Reason::Unknown));
+    assert_eq!(reason(&frame), Some(NotRunReason::Unknown));
     assert_eq!(steps, Vec::new());
 }
 
@@ -197,7 +197,7 @@
 
     let frame = ask(&mut table, at(0), foreign);
 
-    assert_eq!(reason(&frame), Some(Reason::Unknown));
+    assert_eq!(reason(&frame), Some(NotRunReason::Unknown));
 }
 
 #[rstest]
@@ -249,7 +249,7 @@
     let reader = open(&mut table, at(0), ordinary(1));
     table.on_leave(at(0), &reader);
     table.on_leaving(at(0), true);
-    table.on_end(at(0), reader.id, End::Done(Finish::Stop));
+    table.on_end(at(0), reader.id, End::Done(FinishReason::Stop));
 
     let early = table.is_drained();
     table.on_tick(at(0) + limits().retention);
@@ -266,7 +266,7 @@
     let reader = open(&mut table, at(0), ordinary(1));
     let id = reader.id;
     produce(&mut table, id, 5);
-    table.on_end(at(0), id, End::Done(Finish::Stop));
+    table.on_end(at(0), id, End::Done(FinishReason::Stop));
 
     let next = TokenIndex(5);
     table.on_ack(at(0), &Ack { id, next });
@@ -278,7 +278,7 @@
     let whole = ask(&mut table, at(0), again(5));
     let behind = ask(&mut table, at(0), again(4));
 
-    let finish = Finish::Stop;
+    let finish = FinishReason::Stop;
     assert_eq!(whole, Frame::Done { finish, next });
     let trimmed = matches!(
         behind,
@@ -323,7 +323,7 @@
     for generation in 1..=6 {
         let mut reader = open(&mut table, at(0), ordinary(generation));
         produce(&mut table, reader.id, 60);
-        table.on_end(at(0), reader.id, End::Done(Finish::Stop));
+        table.on_end(at(0), reader.id, End::Done(FinishReason::Stop));
         if generation != 1 {
             last(&mut table, at(0), &mut reader);
         }
--- a/crates/cw_policy/tests/attempt/target_cases.rs
+++ b/crates/cw_policy/tests/attempt/target_cases.rs
@@ -14,10 +14,10 @@
 use cw_policy::AttemptStep;
 use cw_policy::End;
 use cw_wire::Fingerprint;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::Load;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use rstest::rstest;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     let steps = table.on_leaving(at(1), true);
 
     let frame = last(&mut table, at(1), &mut reader);
-    assert_eq!(reason(&frame), Some(Reason::Leaving));
+    assert_eq!(reason(&frame), Some(NotRunReason::Leaving));
     assert_eq!(steps, vec![AttemptStep::Wake(reader.id)]);
     assert_eq!(table.live(), 2);
 }
@@ -52,7 +52,7 @@
     for generation in 1..=2 {
         open(&mut table, at(0), ordinary(generation));
     }
-    table.on_end(at(1), attempt(1, 1), End::Done(Finish::Stop));
+    table.on_end(at(1), attempt(1, 1), End::Done(FinishReason::Stop));
     open(&mut table, at(1), ordinary(3));
     table.on_break(at(2), attempt(2, 1));
 
--- a/crates/cw_policy/tests/attempt/world/mod.rs
+++ b/crates/cw_policy/tests/attempt/world/mod.rs
@@ -20,7 +20,7 @@
 use cw_types::TokenIndex;
 use cw_wire::Cancel;
 use cw_wire::Dispatch;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Stamp;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -159,7 +159,9 @@
         let running: Vec<AttemptId> = self.target.keys().copied().collect();
         for id in running {
             self.target.remove(&id);
-            let steps = self.table.on_end(self.local(), id, End::Done(Finish::Stop));
+            let steps = self
+                .table
+                .on_end(self.local(), id, End::Done(FinishReason::Stop));
             self.apply(steps);
         }
         while !self.readers.is_empty() {
--- a/crates/cw_policy/tests/attempt/world/target.rs
+++ b/crates/cw_policy/tests/attempt/world/target.rs
@@ -9,9 +9,9 @@
 use cw_policy::Flow;
 use cw_types::AttemptId;
 use cw_types::TokenCount;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Load;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 
 impl World {
     pub(super) fn running(&self, n: u8) -> Option<AttemptId> {
@@ -33,7 +33,7 @@
         };
         if !self.oracles[&id].ran {
             self.target.remove(&id);
-            let end = End::NotRun(Reason::Busy);
+            let end = End::NotRun(NotRunReason::Busy);
             let steps = self.table.on_end(self.local(), id, end);
             self.apply(steps);
         }
@@ -67,7 +67,7 @@
         if let Some(id) = self.running(n) {
             self.target.remove(&id);
             self.oracles.entry(id).or_default().ran = true;
-            let end = End::Done(Finish::Stop);
+            let end = End::Done(FinishReason::Stop);
             let steps = self.table.on_end(self.local(), id, end);
             self.apply(steps);
         }
--- a/crates/cw_policy/tests/configuration.rs
+++ b/crates/cw_policy/tests/configuration.rs
@@ -51,7 +51,7 @@
     Operator {
         keys: Vec::new(),
         role: OperatorRole::Accepter,
-        alone,
+        self_approval: alone,
     }
 }
 
--- a/crates/cw_policy/tests/configuration_fuzz.rs
+++ b/crates/cw_policy/tests/configuration_fuzz.rs
@@ -272,7 +272,7 @@
             operator: &Operator {
                 keys: Vec::new(),
                 role: OperatorRole::Accepter,
-                alone: false,
+                self_approval: false,
             },
             at: 2,
             readers: &Everyone,
--- a/crates/cw_policy/tests/fencing.rs
+++ b/crates/cw_policy/tests/fencing.rs
@@ -4,8 +4,8 @@
 use cw_policy::OrderStep;
 use cw_types::FencingNumber;
 use cw_wire::Order;
-use cw_wire::OrderAnswer;
 use cw_wire::OrderKind;
+use cw_wire::OrderResponse;
 use rstest::rstest;
 
 fn order(fencing: u64, sequence: u64) -> Order {
@@ -18,8 +18,8 @@
     }
 }
 
-fn failed() -> OrderAnswer {
-    OrderAnswer::Failed {
+fn failed() -> OrderResponse {
+    OrderResponse::Failed {
         message: "down".to_owned(),
     }
 }
@@ -32,7 +32,7 @@
     let step = guard.on_order(&order(4, 2), 0);
 
     let highest = FencingNumber(5);
-    assert_eq!(step, OrderStep::Answer(OrderAnswer::Fenced { highest }));
+    assert_eq!(step, OrderStep::Answer(OrderResponse::Fenced { highest }));
 }
 
 #[rstest]
@@ -40,13 +40,13 @@
     let mut guard = OrderGuard::default();
     let first = guard.on_order(&order(5, 1), 0);
     let meanwhile = guard.on_order(&order(5, 1), 0);
-    guard.on_answer(&order(5, 1), &OrderAnswer::Done);
+    guard.on_answer(&order(5, 1), &OrderResponse::Done);
 
     let later = guard.on_order(&order(5, 1), 0);
 
     assert_eq!(first, OrderStep::Pass);
-    assert_eq!(meanwhile, OrderStep::Answer(OrderAnswer::Begun));
-    assert_eq!(later, OrderStep::Answer(OrderAnswer::Done));
+    assert_eq!(meanwhile, OrderStep::Answer(OrderResponse::Begun));
+    assert_eq!(later, OrderStep::Answer(OrderResponse::Done));
 }
 
 #[rstest]
@@ -69,7 +69,7 @@
     guard.on_answer(&order(5, 1), &failed());
     let step = guard.on_order(&order(6, 1), 0);
 
-    assert_eq!(step, OrderStep::Answer(OrderAnswer::Begun));
+    assert_eq!(step, OrderStep::Answer(OrderResponse::Begun));
 }
 
 #[rstest]
@@ -82,7 +82,7 @@
     let generations = 2;
     assert_eq!(
         pinned,
-        OrderStep::Answer(OrderAnswer::Pinned { generations })
+        OrderStep::Answer(OrderResponse::Pinned { generations })
     );
     assert_eq!(later, OrderStep::Pass);
 }
@@ -95,7 +95,7 @@
     let step = guard.on_order(&order(8, 1), 0);
 
     let highest = FencingNumber(9);
-    assert_eq!(step, OrderStep::Answer(OrderAnswer::Fenced { highest }));
+    assert_eq!(step, OrderStep::Answer(OrderResponse::Fenced { highest }));
 }
 
 #[rstest]
@@ -103,13 +103,13 @@
     let mut guard = OrderGuard::default();
     for sequence in 1..=300 {
         guard.on_order(&order(5, sequence), 0);
-        guard.on_answer(&order(5, sequence), &OrderAnswer::Done);
+        guard.on_answer(&order(5, sequence), &OrderResponse::Done);
     }
     guard.on_order(&order(5, 301), 0);
     guard.on_answer(&order(5, 301), &failed());
 
     let step = guard.on_order(&order(5, 1), 0);
 
-    let failed = matches!(step, OrderStep::Answer(OrderAnswer::Failed { .. }));
+    let failed = matches!(step, OrderStep::Answer(OrderResponse::Failed { .. }));
     assert!(failed, "{step:?}");
 }
--- a/crates/cw_policy/tests/forward/memory.rs
+++ b/crates/cw_policy/tests/forward/memory.rs
@@ -6,16 +6,16 @@
 use cw_policy::forward::Whereabouts;
 use cw_policy::forward::WhereaboutsLimits;
 use cw_types::ServiceName;
+use cw_wire::CachedPrompt;
 use cw_wire::PromptHash;
-use cw_wire::ReadPrompt;
 use cw_wire::TargetHash;
 
 use crate::fixtures::at;
 use crate::fixtures::engine;
 use crate::fixtures::name;
 
-fn read(prompt: &str, number: usize) -> ReadPrompt {
-    ReadPrompt {
+fn read(prompt: &str, number: usize) -> CachedPrompt {
+    CachedPrompt {
         prompt: PromptHash::of(prompt),
         target: TargetHash::from(&engine(0, number)),
     }
--- a/crates/cw_policy/tests/forward/peers.rs
+++ b/crates/cw_policy/tests/forward/peers.rs
@@ -7,8 +7,8 @@
 use cw_policy::forward::Roster;
 use cw_types::HostId;
 use cw_types::Incarnation;
-use cw_wire::DirectoryNews;
-use cw_wire::Outstanding;
+use cw_wire::DirectoryUpdate;
+use cw_wire::OutstandingWork;
 use cw_wire::TargetHash;
 use cw_wire::TargetShare;
 use rand::SeedableRng;
@@ -20,15 +20,15 @@
 use crate::fixtures::fleet;
 use crate::fixtures::name;
 
-fn message(host: &str, sequence: u64) -> Outstanding {
-    Outstanding {
+fn message(host: &str, sequence: u64) -> OutstandingWork {
+    OutstandingWork {
         host: name(host),
         incarnation: Incarnation(1),
         sequence,
         shares: Vec::new(),
         lost: Vec::new(),
         prompts: Vec::new(),
-        directory: Some(DirectoryNews {
+        directory: Some(DirectoryUpdate {
             up: true,
             trusted: true,
             config: 1,
@@ -38,14 +38,14 @@
     }
 }
 
-fn reading(host: &str, sequence: u64) -> Outstanding {
+fn reading(host: &str, sequence: u64) -> OutstandingWork {
     let share = TargetShare {
         runs: 1,
         unread: 8000,
         copies: 0,
         tokens: 9000,
     };
-    Outstanding {
+    OutstandingWork {
         shares: vec![(TargetHash::from(&engine(0, 0)), share)],
         ..message(host, sequence)
     }
@@ -93,7 +93,7 @@
 fn a_new_life_counts_from_its_own_beginning() {
     let mut fleet = fleet(1, 4);
     fleet.heard_peer(at(0), &message("a", 90));
-    let reborn = Outstanding {
+    let reborn = OutstandingWork {
         incarnation: Incarnation(2),
         ..reading("a", 1)
     };
@@ -127,7 +127,7 @@
 #[test]
 fn a_loss_that_another_entry_saw_is_believed_but_not_passed_on() {
     let mut fleet = fleet(1, 4);
-    let lost = Outstanding {
+    let lost = OutstandingWork {
         lost: vec![TargetHash::from(&engine(0, 0))],
         ..message("a", 1)
     };
--- a/crates/cw_policy/tests/generation.rs
+++ b/crates/cw_policy/tests/generation.rs
@@ -18,10 +18,10 @@
 use cw_types::TokenId;
 use cw_types::TokenIndex;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::Load;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::Token;
 use rstest::rstest;
 
@@ -94,7 +94,7 @@
 
     fn busy(&mut self, link: u32) {
         let refusal = Frame::NotRun {
-            reason: Reason::Busy,
+            reason: NotRunReason::Busy,
             retry: Duration::from_secs(3),
             load: Load::default(),
         };
@@ -351,7 +351,7 @@
 
     rig.fail(0, Failure::TargetLost);
 
-    let whole = |step: &Step| matches!(step, Step::Finish(Finish::Length));
+    let whole = |step: &Step| matches!(step, Step::Finish(FinishReason::Length));
     assert_eq!((rig.count(whole), rig.dispatches()), (1, 1));
 }
 
@@ -375,7 +375,7 @@
     plan.first = AttemptNo(1);
     let mut rig = Rig::new(plan, Limits::default());
 
-    let (reason, retry) = (Reason::Unknown, Duration::ZERO);
+    let (reason, retry) = (NotRunReason::Unknown, Duration::ZERO);
     let load = Load::default();
     rig.frame(
         0,
--- a/crates/cw_policy/tests/generation_world/agent_sim.rs
+++ b/crates/cw_policy/tests/generation_world/agent_sim.rs
@@ -18,7 +18,7 @@
 use cw_types::TokenCount;
 use cw_types::TokenId;
 use cw_wire::Dispatch;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Load;
 use cw_wire::Stamp;
 use cw_wire::Token;
@@ -154,7 +154,10 @@
         let (flow, mut steps) = self.table.on_output(clock, id, Chunk::Tokens(vec![token]));
         if whole || flow == Flow::Stop {
             self.runs.remove(&id);
-            steps.extend(self.table.on_end(clock, id, End::Done(Finish::Length)));
+            steps.extend(
+                self.table
+                    .on_end(clock, id, End::Done(FinishReason::Length)),
+            );
         }
         self.take(clock, steps);
     }
--- a/crates/cw_policy/tests/membership.rs
+++ b/crates/cw_policy/tests/membership.rs
@@ -20,10 +20,10 @@
 use cw_types::Revision;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::Batch;
 use cw_wire::ProcessState;
 use cw_wire::Report;
-use cw_wire::Silence;
+use cw_wire::ReportBatch;
+use cw_wire::SilentTarget;
 use cw_wire::TargetState;
 use rstest::rstest;
 
@@ -76,8 +76,8 @@
     }
 }
 
-fn silence(relay: &str, incarnation: u64) -> Silence {
-    Silence {
+fn silence(relay: &str, incarnation: u64) -> SilentTarget {
+    SilentTarget {
         relay: name(relay),
         target: target(),
         incarnation: Incarnation(incarnation),
@@ -269,7 +269,7 @@
     let update = relay
         .round(at(5), &sender, Revision(0), &grid, &|_| true)
         .near;
-    let update: Batch = update.expect("a batch for the other entry");
+    let update: ReportBatch = update.expect("a batch for the other entry");
     let mut fresh = Members::new(name("e9"), MembershipLimits::default(), at(5));
 
     let outcome = fresh.on_batch(at(5), &update);
@@ -449,8 +449,8 @@
     assert!((20..=25).contains(&first), "{sent:?}");
 }
 
-fn empty_batch() -> Batch {
-    Batch {
+fn empty_batch() -> ReportBatch {
+    ReportBatch {
         relay: name("e1"),
         sequence: 0,
         revision: Revision(0),
--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -26,8 +26,8 @@
 use cw_types::TargetKind;
 use cw_types::Time;
 use cw_types::VersionName;
-use cw_wire::OrderAnswer;
 use cw_wire::OrderKind;
+use cw_wire::OrderResponse;
 use cw_wire::Pins;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -232,7 +232,7 @@
             OrderKind::Unload { version, .. } => drop(versions.remove(version)),
             OrderKind::LoadAdapter { .. } | OrderKind::Role { .. } => {}
         }
-        let done = OrderOutcome::Answer(OrderAnswer::Done);
+        let done = OrderOutcome::Answer(OrderResponse::Done);
         let sequence = planned.order.sequence;
         self.planner
             .on_outcome(now, &planned.target, sequence, done);
@@ -377,8 +377,8 @@
     world.want(&[version("v2", 1)]);
     let first = world.plan(at(0)).remove(0);
     let (target, sequence) = (first.target.clone(), first.order.sequence);
-    let begun = OrderOutcome::Answer(OrderAnswer::Begun);
-    let failed = OrderOutcome::Answer(OrderAnswer::Failed {
+    let begun = OrderOutcome::Answer(OrderResponse::Begun);
+    let failed = OrderOutcome::Answer(OrderResponse::Failed {
         message: "late".to_owned(),
     });
 
@@ -396,7 +396,7 @@
     let mut world = World::new(2);
     world.want(&[version("v2", 2)]);
     let first = world.plan(at(0)).remove(0);
-    let fenced = OrderOutcome::Answer(OrderAnswer::Fenced {
+    let fenced = OrderOutcome::Answer(OrderResponse::Fenced {
         highest: FencingNumber(6),
     });
 
--- a/crates/cw_testkit/src/experiment/capacity/message.rs
+++ b/crates/cw_testkit/src/experiment/capacity/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cw_types::Revision;
-use cw_wire::Batch;
+use cw_wire::ReportBatch;
 use cw_wire::path;
 use cyclamenwharf::PeerClient;
 use serde::Serialize;
@@ -53,8 +53,8 @@
     }
 }
 
-fn empty() -> Batch {
-    Batch {
+fn empty() -> ReportBatch {
+    ReportBatch {
         relay: "entry-0".parse().expect("a valid name"),
         sequence: 0,
         revision: Revision(0),
@@ -68,7 +68,7 @@
 }
 
 /// Counts the bytes of one call on their way through a relay of bytes.
-async fn overhead(peer: SocketAddr, batch: &Batch) -> u64 {
+async fn overhead(peer: SocketAddr, batch: &ReportBatch) -> u64 {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let counted = tokio::spawn(async move {
--- a/crates/cw_testkit/src/experiment/capacity/snapshot.rs
+++ b/crates/cw_testkit/src/experiment/capacity/snapshot.rs
@@ -29,7 +29,7 @@
         let start = Instant::now();
         for _ in 0..REPEATS {
             let read: Snapshot = serde_json::from_slice(&text).expect("it was a snapshot");
-            std::hint::black_box(Config::read(&read));
+            std::hint::black_box(Config::from_snapshot(&read));
         }
         let micros = start.elapsed().as_secs_f64() * 1e6 / f64::from(REPEATS);
         times.push((workspaces as f64, micros));
--- a/crates/cw_testkit/src/experiment/capacity/spread.rs
+++ b/crates/cw_testkit/src/experiment/capacity/spread.rs
@@ -21,9 +21,9 @@
 use cw_types::TargetKind;
 use cw_types::Time;
 use cw_types::TokenCount;
-use cw_wire::Batch;
 use cw_wire::Load;
 use cw_wire::Report;
+use cw_wire::ReportBatch;
 use cw_wire::TargetState;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -203,7 +203,7 @@
         }
     }
 
-    fn send(&mut self, now: Time, from: usize, peers: &[EntryPeer], batch: &Batch) {
+    fn send(&mut self, now: Time, from: usize, peers: &[EntryPeer], batch: &ReportBatch) {
         let begin = Instant::now();
         let bytes = cw_wire::encode(batch).expect("a message");
         self.busy += begin.elapsed();
@@ -211,7 +211,7 @@
         for peer in peers {
             let entry = &mut self.entries[self.index[&peer.host]];
             let begin = Instant::now();
-            let read: Batch = cw_wire::decode(&bytes).expect("a message");
+            let read: ReportBatch = cw_wire::decode(&bytes).expect("a message");
             entry.relay.on_batch(now, &read);
             entry.members.on_batch(now, &read);
             self.busy += begin.elapsed();
--- a/crates/cw_types/src/config.rs
+++ b/crates/cw_types/src/config.rs
@@ -59,7 +59,7 @@
 
 impl Config {
     /// Reads every record of `snapshot`; those that cannot be read are returned beside the rest.
-    pub fn read(snapshot: &Snapshot) -> (Self, Vec<ConfigError>) {
+    pub fn from_snapshot(snapshot: &Snapshot) -> (Self, Vec<ConfigError>) {
         let mut config = Self {
             revision: snapshot.revision,
             ..Self::default()
@@ -81,7 +81,7 @@
     }
 
     /// Takes what `previous` made of a record that this configuration could not read.
-    pub fn keep(&mut self, key: &RecordKey, previous: &Self) {
+    pub fn keep_previous(&mut self, key: &RecordKey, previous: &Self) {
         let name = key.name.as_str();
         match key.kind {
             RecordKind::Route => copy(&mut self.routes, &previous.routes, name),
@@ -95,7 +95,7 @@
     }
 
     /// Returns the operator whose key this is.
-    pub fn operator_of(&self, key: &str) -> Option<(&Actor, &Operator)> {
+    pub fn operator_by_key(&self, key: &str) -> Option<(&Actor, &Operator)> {
         let owns = |operator: &Operator| {
             operator
                 .keys
@@ -106,7 +106,7 @@
     }
 
     /// Returns the workspace whose API key this is.
-    pub fn workspace_of(&self, key: &str) -> Option<(&WorkspaceId, &Workspace)> {
+    pub fn workspace_by_key(&self, key: &str) -> Option<(&WorkspaceId, &Workspace)> {
         let owns = |workspace: &Workspace| {
             workspace
                 .keys
--- a/crates/cw_types/src/record.rs
+++ b/crates/cw_types/src/record.rs
@@ -24,7 +24,7 @@
 use crate::VersionName;
 use crate::WorkspaceId;
 use crate::ZoneId;
-use crate::units::Span;
+use crate::units::DurationText;
 
 /// The kinds of records.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
@@ -214,7 +214,7 @@
     #[serde(default = "yes")]
     pub idempotent: bool,
     /// How long a request may wait before its first token.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default = "default_patience")]
     pub patience: Duration,
 }
@@ -289,7 +289,7 @@
     /// How many targets should have it loaded.
     pub targets: u32,
     /// How long the previous version is kept after nothing is pinned to it.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(default)]
     pub keep: Duration,
 }
@@ -357,6 +357,6 @@
     /// What it may do.
     pub role: OperatorRole,
     /// Whether it may accept what it proposed itself.
-    #[serde(default)]
-    pub alone: bool,
+    #[serde(default, rename = "alone")]
+    pub self_approval: bool,
 }
--- a/crates/cw_types/src/units.rs
+++ b/crates/cw_types/src/units.rs
@@ -11,18 +11,18 @@
 
 /// A `Duration` written as `"250ms"`, `"4s"` or `"1h 30m"`.
 #[derive(Clone, Copy, Debug)]
-pub struct Span;
+pub struct DurationText;
 
-impl SerializeAs<Duration> for Span {
+impl SerializeAs<Duration> for DurationText {
     fn serialize_as<S: Serializer>(span: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(&humantime::format_duration(*span))
     }
 }
 
-impl<'de> DeserializeAs<'de, Duration> for Span {
+impl<'de> DeserializeAs<'de, Duration> for DurationText {
     fn deserialize_as<D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
         let text = String::deserialize(deserializer)?;
-        parse_span(&text).map_err(D::Error::custom)
+        parse_duration(&text).map_err(D::Error::custom)
     }
 }
 
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// Returns the text of what is expected when `text` has no unit or is not a number.
-pub fn parse_span(text: &str) -> Result<Duration, String> {
+pub fn parse_duration(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
         .map_err(|_| format!("expected a duration such as \"250ms\" or \"4s\", found {text:?}"))
 }
--- a/crates/cw_types/tests/record.rs
+++ b/crates/cw_types/tests/record.rs
@@ -46,7 +46,7 @@
     let good = record(RecordKind::Priority, "fast", json!({"rank": 3}));
     let bad = record(RecordKind::Priority, "slow", json!({"rank": "high"}));
 
-    let (config, errors) = Config::read(&snapshot(vec![good, bad]));
+    let (config, errors) = Config::from_snapshot(&snapshot(vec![good, bad]));
 
     assert_eq!(config.priorities.len(), 1);
     assert_eq!(errors.len(), 1);
@@ -61,8 +61,8 @@
         record(RecordKind::Workspace, "b", of("key-b")),
     ];
 
-    let (config, _) = Config::read(&snapshot(records));
-    let found = |key| config.workspace_of(key).map(|(id, _)| id.to_string());
+    let (config, _) = Config::from_snapshot(&snapshot(records));
+    let found = |key| config.workspace_by_key(key).map(|(id, _)| id.to_string());
 
     assert_eq!(found("key-b"), Some("b".to_owned()));
     assert_eq!(found("key-c"), None);
--- a/crates/cw_types/tests/units.rs
+++ b/crates/cw_types/tests/units.rs
@@ -5,7 +5,7 @@
 use cw_types::ByteSize;
 use cw_types::Rate;
 use cw_types::Time;
-use cw_types::units::parse_span;
+use cw_types::units::parse_duration;
 use rstest::rstest;
 
 #[rstest]
@@ -44,10 +44,10 @@
 
 #[rstest]
 fn a_duration_without_unit_is_refused_by_name() {
-    let error = parse_span("250").expect_err("a bare number has no unit");
+    let error = parse_duration("250").expect_err("a bare number has no unit");
 
     assert!(error.contains("250ms"), "{error}");
-    assert_eq!(parse_span("250ms"), Ok(Duration::from_millis(250)));
+    assert_eq!(parse_duration("250ms"), Ok(Duration::from_millis(250)));
 }
 
 #[rstest]
--- a/crates/cw_wire/src/whereabouts.rs
+++ b/crates/cw_wire/src/cached_prompt.rs
@@ -19,7 +19,7 @@
 
 /// A prompt, and the target that has read it.
 #[data(Copy, Eq)]
-pub struct ReadPrompt {
+pub struct CachedPrompt {
     /// The prompt.
     pub prompt: PromptHash,
     /// The target whose cache memory has it.
--- a/crates/cw_wire/src/directory_news.rs
+++ b/crates/cw_wire/src/directory_update.rs
@@ -21,7 +21,7 @@
 
 /// What an entry that watches the directory knows.
 #[data(Eq)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// Whether the key-value service answers it.
     pub up: bool,
     /// Whether it has done so for long enough that an entry which is not there is gone.
@@ -36,7 +36,7 @@
 
 /// All that an entry knows of the directory.
 #[data(Default, Eq)]
-pub struct DirectoryCopy {
+pub struct DirectorySnapshot {
     /// The revision of the last change that it knows.
     pub newest: i64,
     /// The targets' entries as the service holds them.
--- a/crates/cw_wire/src/frame.rs
+++ b/crates/cw_wire/src/frame.rs
@@ -24,7 +24,7 @@
 /// How an output ended.
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Finish {
+pub enum FinishReason {
     /// The model or a stop text ended it.
     Stop,
     /// The most tokens were reached.
@@ -34,7 +34,7 @@
 /// Why an attempt was not run.
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum NotRunReason {
     /// The target is full.
     Busy,
     /// The target is leaving.
@@ -107,7 +107,7 @@
     /// The output is whole.
     Done {
         /// How it ended.
-        finish: Finish,
+        finish: FinishReason,
         /// The index after the last.
         next: TokenIndex,
     },
@@ -123,7 +123,7 @@
     /// The attempt was not run and will not be: proven.
     NotRun {
         /// Why.
-        reason: Reason,
+        reason: NotRunReason,
         /// When it is worth asking again.
         retry: Duration,
         /// The target's load.
--- a/crates/cw_wire/src/lib.rs
+++ b/crates/cw_wire/src/lib.rs
@@ -5,31 +5,33 @@
 //!
 //! - [`Dispatch`] asks an agent to run an attempt; the answer is a stream of [`Frame`]s.
 //! - [`Attach`], [`Ack`] and [`Cancel`] refer to an attempt by id alone.
-//! - [`Report`] goes from an agent to a relay, [`Batch`] from a relay to the other entries.
+//! - [`Report`] goes from an agent to a relay, [`ReportBatch`] from a relay to the other entries.
 //! - [`Demand`] says how much of their quotas workspaces use, for sharing quotas among entries.
 //! - [`Order`] goes from the planner to an agent.
 
+mod cached_prompt;
 mod codec;
 mod demand;
-mod directory_news;
+mod directory_update;
 mod dispatch;
 mod frame;
 mod load;
 mod load_update;
 mod order;
-mod outstanding;
+mod outstanding_work;
 pub mod path;
 mod report;
-mod whereabouts;
 
+pub use cached_prompt::CachedPrompt;
+pub use cached_prompt::PromptHash;
 pub use codec::FrameCodec;
 pub use codec::WireError;
 pub use codec::decode;
 pub use codec::encode;
 pub use demand::Demand;
-pub use directory_news::DirectoryChange;
-pub use directory_news::DirectoryCopy;
-pub use directory_news::DirectoryNews;
+pub use directory_update::DirectoryChange;
+pub use directory_update::DirectorySnapshot;
+pub use directory_update::DirectoryUpdate;
 pub use dispatch::Ack;
 pub use dispatch::Attach;
 pub use dispatch::Call;
@@ -44,29 +46,27 @@
 pub use dispatch::Stamp;
 pub use dispatch::Work;
 pub use frame::Failure;
-pub use frame::Finish;
+pub use frame::FinishReason;
 pub use frame::Frame;
-pub use frame::Reason;
+pub use frame::NotRunReason;
 pub use frame::Token;
 pub use load::Load;
 pub use load_update::LoadUpdate;
 pub use load_update::TargetHash;
 pub use order::Order;
-pub use order::OrderAnswer;
 pub use order::OrderKind;
-pub use outstanding::Outstanding;
-pub use outstanding::TargetShare;
-pub use report::Batch;
-pub use report::ConfigAnswer;
-pub use report::ConfigAsk;
+pub use order::OrderResponse;
+pub use outstanding_work::OutstandingWork;
+pub use outstanding_work::TargetShare;
 pub use report::ConfigDelta;
+pub use report::ConfigRequest;
+pub use report::ConfigResponse;
 pub use report::CrashReport;
 pub use report::Fingerprint;
 pub use report::Pins;
 pub use report::ProcessState;
 pub use report::Report;
-pub use report::ReportAnswer;
-pub use report::Silence;
+pub use report::ReportBatch;
+pub use report::ReportResponse;
+pub use report::SilentTarget;
 pub use report::TargetState;
-pub use whereabouts::PromptHash;
-pub use whereabouts::ReadPrompt;
--- a/crates/cw_wire/src/load_update.rs
+++ b/crates/cw_wire/src/load_update.rs
@@ -124,10 +124,10 @@
     /// Unpacks the load; what the update leaves out is taken from the load last passed on whole.
     ///
     /// The age stays the older one: a stamp made of it is refused sooner, never later.
-    pub fn load(&self, whole: &Load) -> Load {
-        let capacity = whole.capacity;
+    pub fn unpack(&self, full: &Load) -> Load {
+        let capacity = full.capacity;
         Load {
-            age: whole.age,
+            age: full.age,
             running: self.running,
             waiting: self.waiting,
             limit: self.limit,
--- a/crates/cw_wire/src/order.rs
+++ b/crates/cw_wire/src/order.rs
@@ -56,7 +56,7 @@
 /// What became of an order.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// Done, or done before.
     Done,
     /// Begun; the report tells when it is done.
--- a/crates/cw_wire/src/outstanding.rs
+++ b/crates/cw_wire/src/outstanding_work.rs
@@ -4,8 +4,8 @@
 use cw_types::HostId;
 use cw_types::Incarnation;
 
-use crate::DirectoryNews;
-use crate::ReadPrompt;
+use crate::CachedPrompt;
+use crate::DirectoryUpdate;
 use crate::TargetHash;
 
 /// What one entry has at one target.
@@ -23,7 +23,7 @@
 
 /// What one entry has at all targets. The newest message replaces all earlier ones.
 #[data(Eq)]
-pub struct Outstanding {
+pub struct OutstandingWork {
     /// The entry's host.
     pub host: HostId,
     /// The entry's life.
@@ -35,7 +35,7 @@
     /// Targets that broke off, went silent or could not be reached since the last message.
     pub lost: Vec<TargetHash>,
     /// Prompts that it has sent since the last message.
-    pub prompts: Vec<ReadPrompt>,
+    pub prompts: Vec<CachedPrompt>,
     /// What it knows of the directory, if it watches it.
-    pub directory: Option<DirectoryNews>,
+    pub directory: Option<DirectoryUpdate>,
 }
--- a/crates/cw_wire/src/path.rs
+++ b/crates/cw_wire/src/path.rs
@@ -8,15 +8,15 @@
 pub const ACK: &str = "/peer/v1/ack";
 /// `POST` of a [`crate::Cancel`] to an agent; answered by [`crate::Cancelled`].
 pub const CANCEL: &str = "/peer/v1/cancel";
-/// `POST` of an [`crate::Order`] to an agent; answered by [`crate::OrderAnswer`].
+/// `POST` of an [`crate::Order`] to an agent; answered by [`crate::OrderResponse`].
 pub const ORDERS: &str = "/peer/v1/orders";
-/// `POST` of a [`crate::Report`] to an entry that relays; answered by [`crate::ReportAnswer`].
+/// `POST` of a [`crate::Report`] to an entry that relays; answered by [`crate::ReportResponse`].
 pub const REPORTS: &str = "/peer/v1/reports";
-/// `POST` of a [`crate::Batch`] to an entry.
+/// `POST` of a [`crate::ReportBatch`] to an entry.
 pub const BATCHES: &str = "/peer/v1/batches";
-/// `POST` of a [`crate::ConfigAsk`] to an entry; answered by [`crate::ConfigAnswer`].
+/// `POST` of a [`crate::ConfigRequest`] to an entry; answered by [`crate::ConfigResponse`].
 pub const CONFIG: &str = "/peer/v1/config";
-/// `POST` of nothing to an entry; answered by a [`crate::Batch`] of all that it knows.
+/// `POST` of nothing to an entry; answered by a [`crate::ReportBatch`] of all that it knows.
 pub const STATE: &str = "/peer/v1/state";
 
 /// The header that carries the secret shared by the processes.
--- a/crates/cw_wire/src/report.rs
+++ b/crates/cw_wire/src/report.rs
@@ -81,7 +81,7 @@
 /// What a relay tells an agent that reported to it.
 #[data(Copy, Default, Eq)]
 #[serde(default)]
-pub struct ReportAnswer {
+pub struct ReportResponse {
     /// The configuration revision in force at the relay.
     pub revision: Revision,
     /// Whether operators drain the target or its host: it takes no new work.
@@ -90,7 +90,7 @@
 
 /// A target that a relay has not heard from for a while.
 #[data(Eq)]
-pub struct Silence {
+pub struct SilentTarget {
     /// The relay.
     pub relay: HostId,
     /// The target.
@@ -118,7 +118,7 @@
 
 /// Reports that a relay passes on, each with its age at the relay.
 #[data]
-pub struct Batch {
+pub struct ReportBatch {
     /// The host of the relay.
     pub relay: HostId,
     /// The number of the batch.
@@ -132,7 +132,7 @@
     pub loads: Vec<LoadUpdate>,
     /// Targets that report to this relay and have fallen silent.
     #[serde(default)]
-    pub silent: Vec<Silence>,
+    pub silent: Vec<SilentTarget>,
     /// Entries.
     #[serde(default)]
     pub processes: Vec<ProcessState>,
@@ -146,7 +146,7 @@
 
 /// Asks a peer for a newer configuration.
 #[data(Copy, Eq)]
-pub struct ConfigAsk {
+pub struct ConfigRequest {
     /// The revision that the asking process has.
     pub have: Revision,
 }
@@ -166,10 +166,10 @@
     pub changes: Vec<Change>,
 }
 
-/// A peer's answer to a [`ConfigAsk`].
+/// A peer's answer to a [`ConfigRequest`].
 #[data]
 #[serde(rename_all = "snake_case")]
-pub enum ConfigAnswer {
+pub enum ConfigResponse {
     /// The peer has nothing newer.
     Current(Revision),
     /// What changed.
--- a/crates/cw_wire/tests/decoders.rs
+++ b/crates/cw_wire/tests/decoders.rs
@@ -8,7 +8,7 @@
 use cw_types::TokenId;
 use cw_types::TokenIndex;
 use cw_wire::Dispatch;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::FrameCodec;
 use cw_wire::Report;
@@ -45,7 +45,7 @@
             quiet: Duration::from_millis(ms.into()),
         }),
         any::<u64>().prop_map(|next| Frame::Done {
-            finish: Finish::Stop,
+            finish: FinishReason::Stop,
             next: TokenIndex(next),
         }),
     ]
--- a/crates/cyclamenwharf/src/agent/call_runner.rs
+++ b/crates/cyclamenwharf/src/agent/call_runner.rs
@@ -12,8 +12,8 @@
 use cw_wire::Call;
 use cw_wire::CallHead;
 use cw_wire::Failure;
-use cw_wire::Finish;
-use cw_wire::Reason;
+use cw_wire::FinishReason;
+use cw_wire::NotRunReason;
 use http::HeaderMap;
 use http::HeaderName;
 use http::HeaderValue;
@@ -70,7 +70,7 @@
         Ok(response) => response,
         Err(error) if error.is_harmless() => {
             state.check.notify_one();
-            return Some(End::NotRun(Reason::TargetDown));
+            return Some(End::NotRun(NotRunReason::TargetDown));
         }
         Err(error) => {
             debug!(generation = id.generation.to_string(), attempt = id.attempt.0; "{error}");
@@ -103,7 +103,7 @@
             Flow::Stop => break,
         }
     }
-    Some(End::Done(Finish::Stop))
+    Some(End::Done(FinishReason::Stop))
 }
 
 fn is_end_to_end(name: &str) -> bool {
--- a/crates/cyclamenwharf/src/agent/engine_json.rs
+++ b/crates/cyclamenwharf/src/agent/engine_json.rs
@@ -10,7 +10,7 @@
 use cw_types::TokenCount;
 use cw_types::TokenId;
 use cw_types::VersionName;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Generate;
 use cw_wire::Load;
 use cw_wire::Message;
@@ -101,7 +101,7 @@
     text: String,
     texts: Vec<String>,
     token_ids: Vec<TokenId>,
-    finish_reason: Option<Finish>,
+    finish_reason: Option<FinishReason>,
 }
 
 /// How many prompt tokens there were, and how many of them were cached.
@@ -127,7 +127,7 @@
 
     /// Returns the tokens and how the output ended, if it did; none if texts and tokens differ in
     /// number.
-    pub(super) fn output(self) -> Option<(Vec<Token>, Option<Finish>)> {
+    pub(super) fn output(self) -> Option<(Vec<Token>, Option<FinishReason>)> {
         let Some(choice) = self.choices.into_iter().next() else {
             return Some((Vec::new(), None));
         };
--- a/crates/cyclamenwharf/src/agent/generate_runner.rs
+++ b/crates/cyclamenwharf/src/agent/generate_runner.rs
@@ -9,9 +9,9 @@
 use cw_types::AttemptId;
 use cw_types::Ran;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Generate;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use futures::StreamExt;
 use http::StatusCode;
 use hyper::body::Incoming;
@@ -86,7 +86,7 @@
     signal: &Signal,
 ) -> Outcome {
     if remaining(&work) == 0 {
-        return Outcome::End(End::Done(Finish::Length));
+        return Outcome::End(End::Done(FinishReason::Length));
     }
     let (path, body) = Completion::new(id, rank, &work);
     let sent = state.engine.post(path, &body).await;
@@ -96,7 +96,7 @@
         Ok(response) => response,
         Err(error) if error.is_harmless() => {
             state.check.notify_one();
-            return Outcome::End(End::NotRun(Reason::TargetDown));
+            return Outcome::End(End::NotRun(NotRunReason::TargetDown));
         }
         Err(error) => {
             warn!(generation = id.generation.to_string(), attempt = id.attempt.0; "{error}");
@@ -116,8 +116,8 @@
     };
     match status {
         StatusCode::OK => None,
-        StatusCode::NOT_FOUND => Some(End::NotRun(Reason::WrongVersion)),
-        StatusCode::SERVICE_UNAVAILABLE => Some(End::NotRun(Reason::Busy)),
+        StatusCode::NOT_FOUND => Some(End::NotRun(NotRunReason::WrongVersion)),
+        StatusCode::SERVICE_UNAVAILABLE => Some(End::NotRun(NotRunReason::Busy)),
         status if status.is_client_error() => Some(failed(Ran::No)),
         _ => Some(failed(Ran::Partly)),
     }
--- a/crates/cyclamenwharf/src/agent/order_runner.rs
+++ b/crates/cyclamenwharf/src/agent/order_runner.rs
@@ -7,8 +7,8 @@
 use cw_types::ModelName;
 use cw_types::VersionName;
 use cw_wire::Order;
-use cw_wire::OrderAnswer;
 use cw_wire::OrderKind;
+use cw_wire::OrderResponse;
 use http::StatusCode;
 use log::info;
 
@@ -25,15 +25,15 @@
 
 /// What became of an order that was passed on.
 struct Passed {
-    answer: OrderAnswer,
+    answer: OrderResponse,
     /// Whether the order may still take effect although the answer says otherwise.
     open: bool,
 }
 
 /// Runs an order, or answers why not.
-pub(super) async fn run(state: &Arc<AgentState>, order: &Order) -> OrderAnswer {
+pub(super) async fn run(state: &Arc<AgentState>, order: &Order) -> OrderResponse {
     if let Err(error) = lease_floor::ensure(state).await {
-        return OrderAnswer::Failed {
+        return OrderResponse::Failed {
             message: error.to_string(),
         };
     }
@@ -44,7 +44,7 @@
     lock(&state.orders).on_answer(order, &answer);
     let failed = matches!(
         answer,
-        OrderAnswer::Failed { .. } | OrderAnswer::Fenced { .. }
+        OrderResponse::Failed { .. } | OrderResponse::Fenced { .. }
     );
     match &order.kind {
         // A version that may vanish any time stays closed to new work.
@@ -103,29 +103,29 @@
         },
         Err(error) => Passed {
             open: !error.is_harmless(),
-            answer: OrderAnswer::Failed {
+            answer: OrderResponse::Failed {
                 message: error.to_string(),
             },
         },
     }
 }
 
-fn read(state: &Arc<AgentState>, status: StatusCode, bytes: &[u8]) -> OrderAnswer {
-    let failed = || OrderAnswer::Failed {
+fn read(state: &Arc<AgentState>, status: StatusCode, bytes: &[u8]) -> OrderResponse {
+    let failed = || OrderResponse::Failed {
         message: String::from_utf8_lossy(bytes).into_owned(),
     };
     match status {
         StatusCode::OK => match serde_json::from_slice::<OrderTaken>(bytes) {
             Ok(taken) => match taken.state {
-                OrderState::Done => OrderAnswer::Done,
-                OrderState::Begun => OrderAnswer::Begun,
+                OrderState::Done => OrderResponse::Done,
+                OrderState::Begun => OrderResponse::Begun,
             },
             Err(_) => failed(),
         },
         StatusCode::CONFLICT => match serde_json::from_slice::<OrderFenced>(bytes) {
             Ok(OrderFenced { highest }) => {
                 lock(&state.orders).on_highest(highest);
-                OrderAnswer::Fenced { highest }
+                OrderResponse::Fenced { highest }
             }
             Err(_) => failed(),
         },
--- a/crates/cyclamenwharf/src/agent/peer_api.rs
+++ b/crates/cyclamenwharf/src/agent/peer_api.rs
@@ -10,8 +10,8 @@
 use cw_wire::Cancel;
 use cw_wire::Dispatch;
 use cw_wire::Frame;
+use cw_wire::NotRunReason;
 use cw_wire::Order;
-use cw_wire::Reason;
 use cw_wire::Work;
 use cw_wire::path;
 use dropshot::Body;
@@ -118,7 +118,7 @@
 /// Refuses for good without a tombstone: a target's kind never changes.
 fn wrong_kind(state: &AgentState) -> AttemptAnswer {
     let frame = state.look(|table, now| Frame::NotRun {
-        reason: Reason::WrongVersion,
+        reason: NotRunReason::WrongVersion,
         retry: Duration::ZERO,
         load: table.load(now),
     });
--- a/crates/cyclamenwharf/src/agent/reporter.rs
+++ b/crates/cyclamenwharf/src/agent/reporter.rs
@@ -7,7 +7,7 @@
 use cw_policy::membership::relays;
 use cw_store::Host;
 use cw_wire::Report;
-use cw_wire::ReportAnswer;
+use cw_wire::ReportResponse;
 use cw_wire::path;
 use futures::future::join_all;
 use log::debug;
@@ -62,7 +62,7 @@
         .map(|entry| client.call(entry.peers, path::REPORTS, report, TIMEOUT));
     for answer in join_all(calls).await {
         match answer {
-            Ok(ReportAnswer { revision, drained }) => {
+            Ok(ReportResponse { revision, drained }) => {
                 state.set_leaving(|leaving| leaving.on_relay(revision, drained));
             }
             Err(error) => debug!("a relay did not take a report: {error}"),
--- a/crates/cyclamenwharf/src/control/admin/auth.rs
+++ b/crates/cyclamenwharf/src/control/admin/auth.rs
@@ -43,7 +43,7 @@
         if config.operators.is_empty() {
             return first(key, secrets).ok_or_else(refuse);
         }
-        let (actor, operator) = config.operator_of(key).ok_or_else(refuse)?;
+        let (actor, operator) = config.operator_by_key(key).ok_or_else(refuse)?;
         Ok(Self {
             actor: actor.clone(),
             operator: operator.clone(),
@@ -68,7 +68,7 @@
         operator: Operator {
             keys: Vec::new(),
             role: OperatorRole::Accepter,
-            alone: true,
+            self_approval: true,
         },
     })
 }
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -26,10 +26,10 @@
 use cw_types::Snapshot;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::Batch;
-use cw_wire::ConfigAnswer;
+use cw_wire::ConfigResponse;
 use cw_wire::Report;
-use cw_wire::ReportAnswer;
+use cw_wire::ReportBatch;
+use cw_wire::ReportResponse;
 use log::error;
 use log::info;
 use log::warn;
@@ -150,20 +150,20 @@
         }
     }
 
-    fn on_report(&mut self, now: Time, report: Report) -> ReportAnswer {
+    fn on_report(&mut self, now: Time, report: Report) -> ReportResponse {
         self.parts.metrics.reports.inc();
         let drained = self.in_force.config().is_drained(&report.target);
         if self.relay.on_report(now, report.clone()) == Urgency::Now {
             self.urgent = true;
         }
         self.members.on_report(now, Duration::ZERO, report);
-        ReportAnswer {
+        ReportResponse {
             revision: self.in_force.revision(),
             drained,
         }
     }
 
-    fn on_batch(&mut self, now: Time, batch: &Batch) {
+    fn on_batch(&mut self, now: Time, batch: &ReportBatch) {
         self.parts.metrics.batches.inc();
         self.relay.on_batch(now, batch);
         if self.members.on_batch(now, batch) == Outcome::Missing {
@@ -190,8 +190,8 @@
         self.on_taking(now, taking);
     }
 
-    fn on_peer_config(&mut self, now: Time, peer: &HostId, answer: ConfigAnswer) {
-        if answer == ConfigAnswer::Current(Revision::default()) {
+    fn on_peer_config(&mut self, now: Time, peer: &HostId, answer: ConfigResponse) {
+        if answer == ConfigResponse::Current(Revision::default()) {
             return;
         }
         let taking = self.in_force.take_answer(answer);
--- a/crates/cyclamenwharf/src/control/core_answers.rs
+++ b/crates/cyclamenwharf/src/control/core_answers.rs
@@ -6,21 +6,21 @@
 
 use cw_types::Time;
 use cw_types::readable_schemas;
-use cw_wire::Batch;
 use cw_wire::ProcessState;
 use cw_wire::Report;
+use cw_wire::ReportBatch;
 
 use super::Inspection;
 use super::core::Core;
 
 impl Core {
     /// Returns all that this entry knows of targets and entries.
-    pub(super) fn whole(&self, now: Time) -> Batch {
+    pub(super) fn whole(&self, now: Time) -> ReportBatch {
         let aged = |(age, state): (Duration, &ProcessState)| ProcessState {
             age,
             ..state.clone()
         };
-        Batch {
+        ReportBatch {
             relay: self.parts.own.host.clone(),
             sequence: 0,
             revision: self.in_force.revision(),
--- a/crates/cyclamenwharf/src/control/event.rs
+++ b/crates/cyclamenwharf/src/control/event.rs
@@ -14,12 +14,12 @@
 use cw_types::SchemaVersion;
 use cw_types::Snapshot;
 use cw_types::TargetId;
-use cw_wire::Batch;
-use cw_wire::ConfigAnswer;
+use cw_wire::ConfigResponse;
 use cw_wire::Pins;
 use cw_wire::ProcessState;
 use cw_wire::Report;
-use cw_wire::ReportAnswer;
+use cw_wire::ReportBatch;
+use cw_wire::ReportResponse;
 use tokio::sync::oneshot;
 
 use super::PlannerStatus;
@@ -30,25 +30,27 @@
     /// An agent reports.
     Report {
         report: Box<Report>,
-        answer: oneshot::Sender<ReportAnswer>,
+        answer: oneshot::Sender<ReportResponse>,
     },
     /// A relay passes on reports.
-    Batch(Box<Batch>),
+    Batch(Box<ReportBatch>),
     /// A batch did not reach a peer, which therefore needs all.
     SendFailed(HostId),
     /// A peer asks for a newer configuration.
     ConfigAsked {
         have: Revision,
-        answer: oneshot::Sender<ConfigAnswer>,
+        answer: oneshot::Sender<ConfigResponse>,
     },
     /// A peer asks for all reports.
-    StateAsked { answer: oneshot::Sender<Batch> },
+    StateAsked {
+        answer: oneshot::Sender<ReportBatch>,
+    },
     /// The key-value service holds this.
     Store(Box<Option<Snapshot>>),
     /// A peer answered with its configuration.
     PeerConfig {
         peer: HostId,
-        answer: Box<ConfigAnswer>,
+        answer: Box<ConfigResponse>,
     },
     /// The host list was read.
     Hosts(Vec<Host>),
--- a/crates/cyclamenwharf/src/control/peers_server.rs
+++ b/crates/cyclamenwharf/src/control/peers_server.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use cw_wire::Batch;
-use cw_wire::ConfigAsk;
+use cw_wire::ConfigRequest;
 use cw_wire::Report;
+use cw_wire::ReportBatch;
 use dropshot::ApiDescription;
 use dropshot::Body;
 use dropshot::ClientErrorStatusCode;
@@ -79,7 +79,7 @@
 /// Takes a relay's batch.
 #[endpoint { method = POST, path = "/peer/v1/batches" }]
 async fn batch(context: Context, body: UntypedBody) -> Answer {
-    let batch: Batch = read(&context, &body)?;
+    let batch: ReportBatch = read(&context, &body)?;
     let event = Event::Batch(Box::new(batch));
     let sent = context.context().events.send(event).await;
     sent.map_err(|_| stopping())?;
@@ -89,7 +89,7 @@
 /// Answers with a newer configuration than the peer has.
 #[endpoint { method = POST, path = "/peer/v1/config" }]
 async fn config(context: Context, body: UntypedBody) -> Answer {
-    let ConfigAsk { have } = read(&context, &body)?;
+    let ConfigRequest { have } = read(&context, &body)?;
     let answer = ask(&context, |answer| Event::ConfigAsked { have, answer }).await?;
     write(&answer)
 }
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -19,7 +19,7 @@
 use cw_types::HostId;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::OrderAnswer;
+use cw_wire::OrderResponse;
 use cw_wire::path;
 use log::info;
 use log::warn;
@@ -163,7 +163,7 @@
         );
         tokio::spawn(async move {
             let PlannedOrder { target, order } = planned;
-            let call = client.call::<_, OrderAnswer>(agent, path::ORDERS, &order, ORDER_LIMIT);
+            let call = client.call::<_, OrderResponse>(agent, path::ORDERS, &order, ORDER_LIMIT);
             let outcome = match call.await {
                 Ok(answer) => OrderOutcome::Answer(answer),
                 Err(error) => {
--- a/crates/cyclamenwharf/src/control/sender.rs
+++ b/crates/cyclamenwharf/src/control/sender.rs
@@ -2,9 +2,9 @@
 
 use cw_policy::EntryPeer;
 use cw_types::Revision;
-use cw_wire::Batch;
-use cw_wire::ConfigAnswer;
-use cw_wire::ConfigAsk;
+use cw_wire::ConfigRequest;
+use cw_wire::ConfigResponse;
+use cw_wire::ReportBatch;
 use cw_wire::path;
 use log::debug;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 
 impl Sender {
     /// Sends one batch to each of `peers`.
-    pub(super) fn send(&self, peers: &[EntryPeer], batch: Batch) {
+    pub(super) fn send(&self, peers: &[EntryPeer], batch: ReportBatch) {
         let size = cw_wire::encode(&batch).map_or(0, |bytes| bytes.len() as u64);
         let batch = Arc::new(batch);
         for peer in peers {
@@ -41,12 +41,12 @@
         }
     }
 
-    async fn send_one(self, peer: EntryPeer, batch: Arc<Batch>) {
+    async fn send_one(self, peer: EntryPeer, batch: Arc<ReportBatch>) {
         let call = |client: PeerClient| {
             let batch = batch.clone();
             async move {
                 client
-                    .call::<Batch, ()>(peer.peers, path::BATCHES, &batch, LIMIT)
+                    .call::<ReportBatch, ()>(peer.peers, path::BATCHES, &batch, LIMIT)
                     .await
             }
         };
@@ -66,11 +66,11 @@
     pub(super) fn ask_config(&self, peer: &EntryPeer, have: Revision) {
         let (this, peer) = (self.clone(), peer.clone());
         tokio::spawn(async move {
-            let ask = ConfigAsk { have };
+            let ask = ConfigRequest { have };
             let call = this
                 .client
                 .fresh()
-                .call::<_, ConfigAnswer>(peer.peers, path::CONFIG, &ask, WHOLE_LIMIT)
+                .call::<_, ConfigResponse>(peer.peers, path::CONFIG, &ask, WHOLE_LIMIT)
                 .await;
             match call {
                 Ok(answer) => {
@@ -89,7 +89,7 @@
         tokio::spawn(async move {
             let call = this
                 .client
-                .call::<_, Batch>(peer.peers, path::STATE, &(), WHOLE_LIMIT)
+                .call::<_, ReportBatch>(peer.peers, path::STATE, &(), WHOLE_LIMIT)
                 .await;
             match call {
                 Ok(batch) => {
--- a/crates/cyclamenwharf/src/entry/attempts.rs
+++ b/crates/cyclamenwharf/src/entry/attempts.rs
@@ -12,7 +12,7 @@
 use cw_types::Time;
 use cw_wire::Failure;
 use cw_wire::Frame;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::Stamp;
 
 use super::frontend::Frontend;
@@ -122,7 +122,7 @@
             }
             // The agent may have forgotten it; whether it was run is asked for by its id.
             Frame::NotRun {
-                reason: Reason::Unknown,
+                reason: NotRunReason::Unknown,
                 ..
             } => {}
             Frame::NotRun { retry, .. } => {
--- a/crates/cyclamenwharf/src/entry/format.rs
+++ b/crates/cyclamenwharf/src/entry/format.rs
@@ -5,7 +5,7 @@
 use cw_types::GenerationId;
 use cw_types::TokenId;
 use cw_types::VersionName;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use serde::Serialize;
 
 use super::completion::Form;
@@ -52,7 +52,7 @@
     content: Content,
     #[serde(skip_serializing_if = "Option::is_none")]
     token_ids: Option<Vec<TokenId>>,
-    finish_reason: Option<Finish>,
+    finish_reason: Option<FinishReason>,
 }
 
 #[derive(Debug, Serialize)]
@@ -109,12 +109,17 @@
     }
 
     /// Returns the event that ends a whole output.
-    pub(crate) fn finish(&self, finish: Finish) -> Answer<'_> {
+    pub(crate) fn finish(&self, finish: FinishReason) -> Answer<'_> {
         self.event(self.delta(None, String::new()), None, Some(finish))
     }
 
     /// Returns the answer that is not streamed.
-    pub(crate) fn whole(&self, text: String, ids: Vec<TokenId>, finish: Finish) -> Answer<'_> {
+    pub(crate) fn whole(
+        &self,
+        text: String,
+        ids: Vec<TokenId>,
+        finish: FinishReason,
+    ) -> Answer<'_> {
         let usage = Usage {
             completion_tokens: ids.len() as u64,
         };
@@ -145,7 +150,7 @@
         &self,
         content: Content,
         token_ids: Option<Vec<TokenId>>,
-        finish_reason: Option<Finish>,
+        finish_reason: Option<FinishReason>,
     ) -> Answer<'_> {
         let object = match self.form {
             Form::Text => "text_completion",
--- a/crates/cyclamenwharf/src/entry/output.rs
+++ b/crates/cyclamenwharf/src/entry/output.rs
@@ -6,7 +6,7 @@
 use cw_types::AttemptNo;
 use cw_types::TargetId;
 use cw_types::TokenIndex;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Token;
 
 use super::refusal::Refusal;
@@ -41,7 +41,7 @@
     /// Tokens.
     Piece(Piece),
     /// The output is whole.
-    Finish(Finish),
+    Finish(FinishReason),
     /// The whole answer of a plain service.
     Answer(ServiceAnswer),
     /// There will be no whole answer.
--- a/crates/cyclamenwharf/src/forward/directory.rs
+++ b/crates/cyclamenwharf/src/forward/directory.rs
@@ -16,7 +16,7 @@
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_wire::DirectoryChange;
-use cw_wire::DirectoryCopy;
+use cw_wire::DirectorySnapshot;
 use futures::StreamExt;
 use http::Method;
 use http::StatusCode;
@@ -284,7 +284,7 @@
 
     /// Takes in what another entry knows of the targets; its news follow on that.
     fn take_copy(&self, entry: &str, body: &[u8]) {
-        let copy: DirectoryCopy = match cw_wire::decode(body) {
+        let copy: DirectorySnapshot = match cw_wire::decode(body) {
             Ok(copy) => copy,
             Err(error) => {
                 warn!(entry = entry; "an entry's targets cannot be read: {error}");
--- a/crates/cyclamenwharf/src/forward/forward_settings.rs
+++ b/crates/cyclamenwharf/src/forward/forward_settings.rs
@@ -7,7 +7,7 @@
 use cw_macro::data;
 use cw_types::HostId;
 use cw_types::ZoneId;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use crate::LogSettings;
@@ -28,10 +28,10 @@
     /// The key-value service.
     pub store: SocketAddr,
     /// How long the directory names a target that has stopped.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub lapse: Duration,
     /// How long a graceful shutdown may take.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub grace: Duration,
     /// What may be sent more than once.
     pub budget: BudgetSettings,
@@ -65,7 +65,7 @@
     /// Further sends beside those, in any window.
     pub slack: f64,
     /// The length of the window.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub window: Duration,
 }
 
--- a/crates/cyclamenwharf/src/forward/ledger.rs
+++ b/crates/cyclamenwharf/src/forward/ledger.rs
@@ -9,7 +9,7 @@
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
-use cw_wire::ReadPrompt;
+use cw_wire::CachedPrompt;
 use cw_wire::decode;
 use cw_wire::encode;
 use log::info;
@@ -75,7 +75,7 @@
             return Ok(());
         };
         let now = self.shared.now();
-        match decode::<Vec<ReadPrompt>>(&item.value) {
+        match decode::<Vec<CachedPrompt>>(&item.value) {
             Ok(prompts) => {
                 info!(prompts = prompts.len(); "where prompts were read is known again");
                 let mut beliefs = self.shared.beliefs();
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    fn prompts(&self) -> Vec<ReadPrompt> {
+    fn prompts(&self) -> Vec<CachedPrompt> {
         let since = self.shared.now().before(SPAN);
         let beliefs = self.shared.beliefs();
         let mut prompts = beliefs.own_prompts.noted_since(since);
@@ -99,7 +99,7 @@
 
     async fn write(
         &self,
-        prompts: &[ReadPrompt],
+        prompts: &[CachedPrompt],
         revision: &mut Option<ModRevision>,
     ) -> Result<(), StoreError> {
         let value = encode(&prompts).map_err(|error| StoreError::Protocol {
--- a/crates/cyclamenwharf/src/forward/peer_api.rs
+++ b/crates/cyclamenwharf/src/forward/peer_api.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cw_wire::DirectoryCopy;
+use cw_wire::DirectorySnapshot;
 use dropshot::Body;
 use futures::FutureExt;
 use futures::future::BoxFuture;
@@ -50,7 +50,7 @@
             let beliefs = self.shared.beliefs();
             let listings = beliefs.listings.iter();
             let known = listings.filter(|(id, _)| beliefs.fleet.listing(id).is_some());
-            DirectoryCopy {
+            DirectorySnapshot {
                 newest: beliefs.log.newest(),
                 targets: known
                     .map(|(id, value)| (id.clone(), value.clone()))
--- a/crates/cyclamenwharf/src/forward/peer_exchange.rs
+++ b/crates/cyclamenwharf/src/forward/peer_exchange.rs
@@ -9,8 +9,8 @@
 use cw_policy::forward::NewsStep;
 use cw_types::Incarnation;
 use cw_types::Time;
-use cw_wire::DirectoryNews;
-use cw_wire::Outstanding;
+use cw_wire::DirectoryUpdate;
+use cw_wire::OutstandingWork;
 use cw_wire::decode;
 use cw_wire::encode;
 use log::debug;
@@ -74,7 +74,7 @@
         }
     }
 
-    fn message(&self, now: Time, sequence: u64, told: Time) -> Outstanding {
+    fn message(&self, now: Time, sequence: u64, told: Time) -> OutstandingWork {
         let mut beliefs = self.shared.beliefs();
         let beliefs = &mut *beliefs;
         let config = beliefs.version();
@@ -84,7 +84,7 @@
         };
         let mut shares = beliefs.fleet.shares();
         shares.truncate(SHARES_MAX);
-        Outstanding {
+        OutstandingWork {
             host: self.shared.settings.host.clone(),
             incarnation: self.incarnation,
             sequence,
@@ -115,7 +115,7 @@
                     continue;
                 }
             };
-            match decode::<Outstanding>(&buffer[..length]) {
+            match decode::<OutstandingWork>(&buffer[..length]) {
                 Ok(message) => self.take(&message, from),
                 Err(error) => info!("a message of another entry cannot be read: {error}"),
             }
@@ -123,7 +123,7 @@
     }
 
     /// Takes in what an entry that watches the directory tells.
-    fn hear_news(&self, now: Time, beliefs: &mut Beliefs, news: &DirectoryNews) {
+    fn hear_news(&self, now: Time, beliefs: &mut Beliefs, news: &DirectoryUpdate) {
         beliefs.told = beliefs.told.max(news.config);
         let is_watcher = beliefs.fleet.is_watcher(now);
         let is_up = beliefs.fleet.is_directory_up();
@@ -148,7 +148,7 @@
         }
     }
 
-    fn take(&self, message: &Outstanding, from: SocketAddr) {
+    fn take(&self, message: &OutstandingWork, from: SocketAddr) {
         let now = self.shared.now();
         let mut beliefs = self.shared.beliefs();
         beliefs.roster.hear(now, &message.host, from);
--- a/crates/cyclamenwharf/src/forward/sending.rs
+++ b/crates/cyclamenwharf/src/forward/sending.rs
@@ -14,7 +14,7 @@
 use cw_store::SendHead;
 use cw_types::TargetId;
 use cw_types::Time;
-use cw_wire::ReadPrompt;
+use cw_wire::CachedPrompt;
 use cw_wire::TargetHash;
 use http::Request;
 use http::Response;
@@ -93,7 +93,9 @@
         if let Some(prompt) = self.prompt {
             let target = TargetHash::from(&placement.target);
             let mut beliefs = self.shared.beliefs();
-            beliefs.own_prompts.note(now, ReadPrompt { prompt, target });
+            beliefs
+                .own_prompts
+                .note(now, CachedPrompt { prompt, target });
         }
         self.exchange.send(now, placement.clone());
         self.sent = now;
--- a/crates/cyclamenwharf/src/settings/agent_settings.rs
+++ b/crates/cyclamenwharf/src/settings/agent_settings.rs
@@ -11,7 +11,7 @@
 use cw_types::TargetId;
 use cw_types::TargetKind;
 use cw_types::ZoneId;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use super::LogSettings;
@@ -91,21 +91,21 @@
     /// Slots that only resumed attempts may take.
     pub reserve: u32,
     /// The time between tokens to keep within.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub step: Duration,
     /// How often a stream without tokens carries a heartbeat.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub heartbeat: Duration,
     /// The most output kept for all attempts together.
     pub kept: ByteSize,
     /// How long a finished attempt's output is kept for its caller to come back.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub retention: Duration,
     /// How long the id of an ended attempt is remembered.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub tombstone: Duration,
     /// How often the target's load is read and reported.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub report: Duration,
 }
 
--- a/crates/cyclamenwharf/src/settings/entry_settings.rs
+++ b/crates/cyclamenwharf/src/settings/entry_settings.rs
@@ -11,7 +11,7 @@
 use cw_types::HostId;
 use cw_types::RegionId;
 use cw_types::ZoneId;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use super::LogSettings;
@@ -79,14 +79,14 @@
     pub connections: u32,
     /// How long the head of a request may take, how long its body may take, and how long a
     /// connection may be idle.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub request: Duration,
     /// The most requests that wait for a target.
     pub queue: u32,
     /// The most bytes of requests that wait for a target.
     pub queue_bytes: ByteSize,
     /// How long a caller may be gone before its generation is cancelled.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub absence: Duration,
 }
 
@@ -117,24 +117,24 @@
 #[serde(deny_unknown_fields, default)]
 pub struct RecoverySettings {
     /// Silence after which a route with `recovery = "latency"` acts.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub latency_silence: Duration,
     /// Silence after which a route with `recovery = "thrift"` acts.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub thrift_silence: Duration,
     /// How long an engine may produce nothing for an attempt that has begun its output, on a route
     /// with `recovery = "latency"`.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub latency_stall: Duration,
     /// How long an engine may produce nothing for an attempt that has begun its output, on other
     /// routes.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub stall: Duration,
     /// How long the head of an agent's answer may take.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub head: Duration,
     /// How long the first frame after a re-attachment over a new connection may take.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     pub reattach: Duration,
     /// The most attempts of one generation.
     pub attempts: u32,
--- a/crates/cyclamenwharf/tests/agent/attempts.rs
+++ b/crates/cyclamenwharf/tests/agent/attempts.rs
@@ -13,9 +13,9 @@
 use cw_wire::Cancel;
 use cw_wire::Cancelled;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::Work;
 use cw_wire::path;
 use cyclamenwharf::PeerClient;
@@ -34,7 +34,7 @@
 use super::fixtures::until;
 use super::fixtures::within;
 
-fn is_not_run(frame: Option<Frame>, expected: Reason) -> bool {
+fn is_not_run(frame: Option<Frame>, expected: NotRunReason) -> bool {
     matches!(frame, Some(Frame::NotRun { reason, .. }) if reason == expected)
 }
 
@@ -60,7 +60,7 @@
     assert!(matches!(accepted, Some(Frame::Accepted { cached, .. }) if cached == TokenCount(4)));
     assert_eq!(first, (2, vec![52]));
     let done = Frame::Done {
-        finish: Finish::Stop,
+        finish: FinishReason::Stop,
         next: TokenIndex(3),
     };
     assert_eq!(next(&mut frames).await, Some(done));
@@ -118,7 +118,7 @@
 
     assert!(matches!(next(&mut own).await, Some(Frame::Accepted { .. })));
     assert_eq!(tokens(&mut own).await, (0, vec![1]));
-    assert!(is_not_run(next(&mut foreign).await, Reason::Unknown));
+    assert!(is_not_run(next(&mut foreign).await, NotRunReason::Unknown));
 }
 
 #[rstest]
@@ -133,7 +133,7 @@
     let mut frames = rig.send(&rig.dispatch(id)).await;
 
     assert_eq!(cancelled.ran, Ran::No);
-    assert!(is_not_run(next(&mut frames).await, Reason::Cancelled));
+    assert!(is_not_run(next(&mut frames).await, NotRunReason::Cancelled));
     assert!(!engine.has_call());
 }
 
@@ -238,7 +238,7 @@
     let mut second = rig.send(&repeated).await;
     let cancelled: Cancelled = rig.call(path::CANCEL, &cancel).await;
 
-    assert!(is_not_run(next(&mut first).await, Reason::Unknown));
+    assert!(is_not_run(next(&mut first).await, NotRunReason::Unknown));
     let frame = next(&mut second).await;
     assert!(matches!(
         frame,
--- a/crates/cyclamenwharf/tests/agent/calls.rs
+++ b/crates/cyclamenwharf/tests/agent/calls.rs
@@ -6,7 +6,7 @@
 use cw_types::TokenIndex;
 use cw_wire::Dispatch;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::Work;
 use rstest::rstest;
@@ -54,7 +54,7 @@
     };
     assert_eq!(next(&mut frames).await, Some(body));
     let done = Frame::Done {
-        finish: Finish::Stop,
+        finish: FinishReason::Stop,
         next: TokenIndex(4),
     };
     assert_eq!(next(&mut frames).await, Some(done));
--- a/crates/cyclamenwharf/tests/agent/drains.rs
+++ b/crates/cyclamenwharf/tests/agent/drains.rs
@@ -5,9 +5,9 @@
 use cw_types::Ran;
 use cw_types::TargetKind;
 use cw_types::TokenIndex;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::TargetState;
 use cw_wire::Work;
 use cw_wire::path;
@@ -56,7 +56,7 @@
     assert!(matches!(
         refused,
         Some(Ok(Frame::NotRun {
-            reason: Reason::Leaving,
+            reason: NotRunReason::Leaving,
             ..
         }))
     ));
@@ -64,7 +64,7 @@
     assert_eq!(first, (0, vec![1]));
     assert!(!early);
     let expected = Frame::Done {
-        finish: Finish::Stop,
+        finish: FinishReason::Stop,
         next: TokenIndex(1),
     };
     assert_eq!(done, Some(expected));
--- a/crates/cyclamenwharf/tests/agent/reports.rs
+++ b/crates/cyclamenwharf/tests/agent/reports.rs
@@ -13,7 +13,7 @@
 use cw_wire::Fingerprint;
 use cw_wire::Frame;
 use cw_wire::Report;
-use cw_wire::ReportAnswer;
+use cw_wire::ReportResponse;
 use cw_wire::TargetState;
 use dropshot::ApiDescription;
 use dropshot::Body;
@@ -40,7 +40,7 @@
 /// What the handlers share.
 struct Shared {
     reports: mpsc::UnboundedSender<Report>,
-    answer: Mutex<ReportAnswer>,
+    answer: Mutex<ReportResponse>,
     state: Mutex<HostState>,
     planner: Mutex<Option<u64>>,
 }
@@ -108,7 +108,7 @@
 
     /// Answers reports so from now on.
     pub(crate) fn answer(&self, revision: u64, drained: bool) {
-        *self.shared.answer.lock().unwrap() = ReportAnswer {
+        *self.shared.answer.lock().unwrap() = ReportResponse {
             revision: Revision(revision),
             drained,
         };
@@ -255,7 +255,7 @@
     assert!(matches!(
         frame,
         Some(Frame::NotRun {
-            reason: cw_wire::Reason::TargetDown,
+            reason: cw_wire::NotRunReason::TargetDown,
             ..
         })
     ));
--- a/crates/cyclamenwharf/tests/control/in_force.rs
+++ b/crates/cyclamenwharf/tests/control/in_force.rs
@@ -11,7 +11,7 @@
 use cw_testkit::StoreFaults;
 use cw_types::Revision;
 use cw_types::TargetId;
-use cw_wire::ReportAnswer;
+use cw_wire::ReportResponse;
 use cw_wire::TargetState;
 use cw_wire::path;
 
@@ -48,7 +48,7 @@
     until("a knows b", || a.control.view.load().entries.len() == 2).await;
 
     let up = report(1, TargetState::Up);
-    let answer: ReportAnswer = client()
+    let answer: ReportResponse = client()
         .call(a.control.peers, path::REPORTS, &up, LIMIT)
         .await
         .expect("an answer");
@@ -105,7 +105,7 @@
     let client = client();
     let up = report(1, TargetState::Up);
     let first = client
-        .call::<_, ReportAnswer>(a.control.peers, path::REPORTS, &up, LIMIT)
+        .call::<_, ReportResponse>(a.control.peers, path::REPORTS, &up, LIMIT)
         .await;
     assert!(first.is_ok());
 
--- a/crates/cyclamenwharf/tests/control/operators.rs
+++ b/crates/cyclamenwharf/tests/control/operators.rs
@@ -16,7 +16,7 @@
 use cw_types::KeyHash;
 use cw_types::Revision;
 use cw_types::TargetId;
-use cw_wire::ReportAnswer;
+use cw_wire::ReportResponse;
 use cw_wire::TargetState;
 use cw_wire::path;
 use cyclamenwharf::admin::AdminErrorKind;
@@ -239,7 +239,7 @@
     let operator = Operator::first(a.control.admin);
     let id: TargetId = "target-1".parse().expect("a valid name");
     let up = report(1, TargetState::Up);
-    let before: ReportAnswer = client()
+    let before: ReportResponse = client()
         .call(b.control.peers, path::REPORTS, &up, LIMIT)
         .await
         .expect("an answer");
@@ -259,7 +259,7 @@
         until("the target is leaving", leaving).await;
     }
     let next = report(2, TargetState::Up);
-    let after: ReportAnswer = client()
+    let after: ReportResponse = client()
         .call(b.control.peers, path::REPORTS, &next, LIMIT)
         .await
         .expect("an answer");
--- a/crates/cyclamenwharf/tests/entry.rs
+++ b/crates/cyclamenwharf/tests/entry.rs
@@ -7,7 +7,7 @@
 use cw_types::Ran;
 use cw_types::Rate;
 use cw_types::Recovery;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use entry_kit::KEY;
 use entry_kit::Script;
 use entry_kit::Setup;
@@ -145,7 +145,7 @@
 #[rstest]
 #[tokio::test]
 async fn a_request_that_no_target_takes_in_time_was_not_run() {
-    let mut setup = Setup::engines(2, &[Script::Refuse(Reason::Busy)]);
+    let mut setup = Setup::engines(2, &[Script::Refuse(NotRunReason::Busy)]);
     setup.patience = Duration::from_millis(300);
     let entry = setup.entry();
 
@@ -159,7 +159,7 @@
 #[rstest]
 #[tokio::test]
 async fn a_request_waits_in_the_queue_until_a_target_takes_it() {
-    let busy = Script::Refuse(Reason::Busy);
+    let busy = Script::Refuse(NotRunReason::Busy);
     let setup = Setup::engines(2, &[busy, busy, busy, busy, Script::Run]);
     let entry = setup.entry();
 
@@ -360,7 +360,7 @@
 #[rstest]
 #[tokio::test]
 async fn a_refused_call_that_may_run_once_is_not_run() {
-    let mut setup = Setup::services(1, &[Script::Refuse(Reason::Leaving)]);
+    let mut setup = Setup::services(1, &[Script::Refuse(NotRunReason::Leaving)]);
     setup.idempotent = false;
     let entry = setup.entry();
 
--- a/crates/cyclamenwharf/tests/entry_claims.rs
+++ b/crates/cyclamenwharf/tests/entry_claims.rs
@@ -168,7 +168,7 @@
 #[rstest]
 #[tokio::test]
 async fn a_refused_claim_moves_to_the_target_that_runs_it() {
-    let setup = once(&[Script::Refuse(cw_wire::Reason::Leaving), Script::Run]);
+    let setup = once(&[Script::Refuse(cw_wire::NotRunReason::Leaving), Script::Run]);
     let (first, second) = (setup.entry(), setup.entry());
 
     let before = reserve(&first).await;
--- a/crates/cyclamenwharf/tests/entry_kit/fake_agent.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/fake_agent.rs
@@ -16,11 +16,11 @@
 use cw_wire::Cancelled;
 use cw_wire::Dispatch;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::FrameCodec;
 use cw_wire::Load;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::Token;
 use cw_wire::Work;
 use dropshot::ApiDescription;
@@ -65,7 +65,7 @@
     /// Answers a call with a body of this many bytes.
     Large(usize),
     /// Refuses it.
-    Refuse(Reason),
+    Refuse(NotRunReason),
 }
 
 /// What a small agent has been asked, and what it answers.
@@ -189,7 +189,7 @@
         .find(|d| d.id.generation == attach.generation && d.workspace == attach.workspace)
         .filter(|_| !state.forgetful);
     let Some(dispatch) = known else {
-        return Ok(frames(vec![refusal(Reason::Unknown)], Script::Run));
+        return Ok(frames(vec![refusal(NotRunReason::Unknown)], Script::Run));
     };
     let mut dispatch = dispatch.clone();
     dispatch.from = attach.from;
@@ -226,7 +226,7 @@
     Response::new(Body::wrap(Full::new(bytes)))
 }
 
-fn refusal(reason: Reason) -> Frame {
+fn refusal(reason: NotRunReason) -> Frame {
     Frame::NotRun {
         reason,
         retry: Duration::from_millis(100),
@@ -259,7 +259,7 @@
     };
     match script {
         Script::Run => frames.push(Frame::Done {
-            finish: Finish::Length,
+            finish: FinishReason::Length,
             next: TokenIndex(most),
         }),
         Script::DieAfter(count) => frames.push(Frame::Failed {
@@ -302,7 +302,7 @@
         bytes: bytes::Bytes::from_static(b" and half"),
     };
     let done = Frame::Done {
-        finish: Finish::Stop,
+        finish: FinishReason::Stop,
         next: TokenIndex(13),
     };
     match script {
--- a/crates/cyclamenwharfctl/src/slo/report.rs
+++ b/crates/cyclamenwharfctl/src/slo/report.rs
@@ -11,7 +11,7 @@
 use cw_policy::slo::Condition;
 use cw_policy::slo::Objective;
 use cw_policy::slo::Window;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use super::Sample;
@@ -36,7 +36,7 @@
     /// The rows, by class and objective.
     pub(crate) rows: Vec<Row>,
     /// How much of each window the youngest entry has seen.
-    #[serde_as(as = "[Span; 4]")]
+    #[serde_as(as = "[DurationText; 4]")]
     pub(crate) covered: [Duration; 4],
     /// How many entries were read.
     pub(crate) read: usize,
