--- a/crates/cw_macro/src/lib.rs
+++ b/crates/cw_macro/src/lib.rs
@@ -1,7 +1,7 @@
-//! The derives that most data types of the workspace share, as one attribute.
+//! An attribute macro for the derives that most data types of the Cargo workspace share.
 //!
-//! `#[data]` stands for `Clone`, `Debug`, `PartialEq`, `serde::Serialize` and
-//! `serde::Deserialize`. Further derives are named in parentheses:
+//! `#[data]` derives `Clone`, `Debug`, `PartialEq`, `serde::Serialize` and `serde::Deserialize`.
+//! Additional derives are listed in parentheses:
 //!
 //! ```
 //! use cw_macro::data;
@@ -20,17 +20,19 @@
 
 use proc_macro::TokenStream;
 
-/// Derives the common set of traits, and those named in the arguments.
+/// Derives the common set of traits and those listed in the arguments.
 ///
 /// # Panics
 ///
-/// Panics at compile time when the arguments are not a list of paths.
+/// Panics at compile time if the arguments are not a list of paths.
 #[proc_macro_attribute]
 pub fn data(args: TokenStream, item: TokenStream) -> TokenStream {
     let derives = format!(
         "#[derive(Clone, Debug, PartialEq, ::serde::Serialize, ::serde::Deserialize, {args})]"
     );
-    let mut out: TokenStream = derives.parse().expect("the arguments are derive paths");
+    let mut out: TokenStream = derives
+        .parse()
+        .expect("the arguments of `data` are paths of derive macros");
     out.extend(item);
     out
 }
--- a/crates/cw_types/src/byte_size.rs
+++ b/crates/cw_types/src/byte_size.rs
@@ -1,4 +1,4 @@
-//! Sizes in bytes, written with their unit.
+//! Sizes in bytes, written with a unit.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,11 +7,11 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Text that is not a size.
+/// The error for text that is not a size.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("expected a size such as \"64KiB\", \"8MiB\" or \"512B\", found {text:?}"))]
 pub struct ByteSizeError {
-    /// The text found.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -22,7 +22,8 @@
 #[serde(try_from = "String", into = "String")]
 pub struct ByteSize(pub u64);
 
-/// Units from the largest down, so that the first match of a suffix is the longest.
+/// The units and their sizes in bytes, in descending order. Every unit ends in `B`, so the longer
+/// suffixes must be tried first.
 const UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -31,7 +32,7 @@
 ];
 
 impl ByteSize {
-    /// Returns the size as a `usize`, or the largest one.
+    /// Returns the size as a `usize`, or `usize::MAX` if it does not fit.
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
@@ -49,10 +50,10 @@
 
 impl fmt::Display for ByteSize {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let fits = |unit: u64| self.0 >= unit && self.0.is_multiple_of(unit);
+        let divides = |unit: u64| self.0 >= unit && self.0.is_multiple_of(unit);
         let (name, unit) = UNITS
             .into_iter()
-            .find(|&(_, unit)| fits(unit))
+            .find(|&(_, unit)| divides(unit))
             .unwrap_or(("B", 1));
         write!(f, "{}{name}", self.0 / unit)
     }
--- a/crates/cw_types/src/config.rs
+++ b/crates/cw_types/src/config.rs
@@ -1,4 +1,4 @@
-//! The typed view of a snapshot.
+//! The typed view of a configuration snapshot.
 
 use std::collections::BTreeMap;
 
@@ -26,20 +26,20 @@
 use crate::convert;
 use crate::current_schema;
 
-/// A record that this process cannot read.
+/// The error for a record that this process cannot read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("record {key}: {reason}"))]
 pub struct ConfigError {
-    /// The record.
+    /// The key of the record.
     pub key: RecordKey,
-    /// What is wrong with it.
+    /// Why the record cannot be read.
     pub reason: String,
 }
 
-/// The configuration in force, as the deciding code reads it.
+/// A configuration in the typed form that the decision code reads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// The snapshot's revision.
+    /// The revision of the snapshot.
     pub revision: Revision,
     /// Routes by name.
     pub routes: BTreeMap<RouteName, Route>,
@@ -51,14 +51,15 @@
     pub versions: BTreeMap<String, ModelVersion>,
     /// Targets by id.
     pub targets: BTreeMap<TargetId, Target>,
-    /// Drains by the name of the target or host.
+    /// Drains by the name of the drained target or host.
     pub drains: BTreeMap<String, Drain>,
     /// Operators by name.
     pub operators: BTreeMap<Actor, Operator>,
 }
 
 impl Config {
-    /// Reads every record of `snapshot`; those that cannot be read are returned beside the rest.
+    /// Reads all records of `snapshot`. Returns the configuration of the valid records, and an
+    /// error for each of the others.
     pub fn from_snapshot(snapshot: &Snapshot) -> (Self, Vec<ConfigError>) {
         let mut config = Self {
             revision: snapshot.revision,
@@ -80,21 +81,21 @@
         (config, errors)
     }
 
-    /// Takes what `previous` made of a record that this configuration could not read.
+    /// Copies the record `key` from `previous`, because this configuration could not read it.
     pub fn keep_previous(&mut self, key: &RecordKey, previous: &Self) {
         let name = key.name.as_str();
         match key.kind {
-            RecordKind::Route => copy(&mut self.routes, &previous.routes, name),
-            RecordKind::Workspace => copy(&mut self.workspaces, &previous.workspaces, name),
-            RecordKind::Priority => copy(&mut self.priorities, &previous.priorities, name),
-            RecordKind::ModelVersion => copy(&mut self.versions, &previous.versions, name),
-            RecordKind::Target => copy(&mut self.targets, &previous.targets, name),
-            RecordKind::Drain => copy(&mut self.drains, &previous.drains, name),
-            RecordKind::Operator => copy(&mut self.operators, &previous.operators, name),
+            RecordKind::Route => copy_entry(&mut self.routes, &previous.routes, name),
+            RecordKind::Workspace => copy_entry(&mut self.workspaces, &previous.workspaces, name),
+            RecordKind::Priority => copy_entry(&mut self.priorities, &previous.priorities, name),
+            RecordKind::ModelVersion => copy_entry(&mut self.versions, &previous.versions, name),
+            RecordKind::Target => copy_entry(&mut self.targets, &previous.targets, name),
+            RecordKind::Drain => copy_entry(&mut self.drains, &previous.drains, name),
+            RecordKind::Operator => copy_entry(&mut self.operators, &previous.operators, name),
         }
     }
 
-    /// Returns the operator whose key this is.
+    /// Returns the operator to whom `key` belongs.
     pub fn operator_by_key(&self, key: &str) -> Option<(&Actor, &Operator)> {
         let owns = |operator: &Operator| {
             operator
@@ -105,7 +106,7 @@
         self.operators.iter().find(|(_, operator)| owns(operator))
     }
 
-    /// Returns the workspace whose API key this is.
+    /// Returns the workspace to which the API key `key` belongs.
     pub fn workspace_by_key(&self, key: &str) -> Option<(&WorkspaceId, &Workspace)> {
         let owns = |workspace: &Workspace| {
             workspace
@@ -118,7 +119,7 @@
             .find(|(_, workspace)| owns(workspace))
     }
 
-    /// Returns whether operators drain a target, by its own name or by its host's.
+    /// Returns whether a target is drained, under its own name or that of its host.
     pub fn is_drained(&self, id: &TargetId) -> bool {
         let host = self.targets.get(id).map(|target| target.host.as_str());
         let named = |name: &str| self.drains.contains_key(name);
@@ -128,18 +129,18 @@
     fn insert(&mut self, record: &Record) -> Result<(), String> {
         let name = record.name.as_str();
         match record.kind {
-            RecordKind::Route => put(&mut self.routes, name, record),
-            RecordKind::Workspace => put(&mut self.workspaces, name, record),
-            RecordKind::Priority => put(&mut self.priorities, name, record),
-            RecordKind::ModelVersion => put(&mut self.versions, name, record),
-            RecordKind::Target => put(&mut self.targets, name, record),
-            RecordKind::Drain => put(&mut self.drains, name, record),
-            RecordKind::Operator => put(&mut self.operators, name, record),
+            RecordKind::Route => insert_body(&mut self.routes, name, record),
+            RecordKind::Workspace => insert_body(&mut self.workspaces, name, record),
+            RecordKind::Priority => insert_body(&mut self.priorities, name, record),
+            RecordKind::ModelVersion => insert_body(&mut self.versions, name, record),
+            RecordKind::Target => insert_body(&mut self.targets, name, record),
+            RecordKind::Drain => insert_body(&mut self.drains, name, record),
+            RecordKind::Operator => insert_body(&mut self.operators, name, record),
         }
     }
 }
 
-fn copy<K, V>(map: &mut BTreeMap<K, V>, previous: &BTreeMap<K, V>, name: &str)
+fn copy_entry<K, V>(map: &mut BTreeMap<K, V>, previous: &BTreeMap<K, V>, name: &str)
 where
     K: std::str::FromStr + Ord,
     V: Clone,
@@ -150,7 +151,7 @@
     }
 }
 
-fn put<K, V>(map: &mut BTreeMap<K, V>, name: &str, record: &Record) -> Result<(), String>
+fn insert_body<K, V>(map: &mut BTreeMap<K, V>, name: &str, record: &Record) -> Result<(), String>
 where
     K: std::str::FromStr + Ord,
     K::Err: std::fmt::Display,
--- a/crates/cw_types/src/error_kind.rs
+++ b/crates/cw_types/src/error_kind.rs
@@ -1,18 +1,18 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! The closed set of error kinds and the HTTP response of each.
 
 use std::fmt;
 
 use cw_macro::data;
 
-/// Whether a request that failed was run.
+/// Whether a failed request was executed.
 #[data(Copy, Eq, Hash)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It was not run, and will not be: proven.
+    /// The request provably was not executed and never will be.
     No,
-    /// Nobody can tell any more.
+    /// It can no longer be determined whether the request was executed.
     Unknown,
-    /// It was started, and part of its answer may have been delivered.
+    /// Execution started, and part of the answer may have been delivered.
     Partly,
 }
 
@@ -26,56 +26,57 @@
     }
 }
 
-/// Every way in which a caller's request can end other than by its whole answer.
+/// Every way in which a caller's request can end without its complete answer.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// The request is malformed: bad JSON, an unknown field, a value out of range.
+    /// The request is malformed: invalid JSON, an unknown field or a value out of range.
     BadRequest,
-    /// The body is larger than the entry takes.
+    /// The body exceeds the size limit of the entry.
     TooLarge,
     /// The API key is missing or matches no workspace.
     Unauthorized,
-    /// The workspace may not use this route.
+    /// The workspace is not allowed to use this route.
     Forbidden,
     /// No route serves this model or service.
     UnknownModel,
-    /// The generation asked for is not known to this workspace.
+    /// The workspace has no generation with the requested id.
     UnknownGeneration,
-    /// The workspace is over its quota.
+    /// The workspace exceeds its quota.
     OverQuota,
-    /// Every target is busy and the request would miss its deadline in the queue.
+    /// Every target is busy, and the request would miss its deadline while queued.
     Overloaded,
-    /// No live target has the model version.
+    /// No live target has the model version loaded.
     NoTarget,
     /// The process is starting or draining.
     NotReady,
-    /// What the request needs of the key-value service cannot be had now.
+    /// The request needs the key-value service, which is unavailable.
     StoreUnavailable,
-    /// The deadline passed before the request was run.
+    /// The deadline passed before the request was executed.
     Expired,
-    /// The idempotency key was used before with another request.
+    /// The idempotency key was already used for a different request.
     KeyReused,
     /// Another call with this idempotency key is still in progress elsewhere.
     InProgress,
     /// The request crashed the targets that ran it.
     CrashesTargets,
-    /// A request that may run once was dispatched, and its outcome is not known.
+    /// A request that may be executed only once was dispatched, and its outcome is unknown.
     OutcomeUnknown,
     /// The generation cannot be continued; its output so far is final.
     GenerationLost,
-    /// The target answered with an error of its own.
+    /// The target itself answered with an error.
     TargetFailed,
     /// The caller cancelled the request.
     Cancelled,
-    /// A defect of this system.
+    /// A bug in this system.
     Internal,
 }
 
-/// One row of the table: kind, HTTP status, code, whether it ran, whether to call again, message.
+/// A row of [`TABLE`]: kind, HTTP status, error code, execution status, whether the caller may
+/// retry, and message.
 type Row = (ErrorKind, u16, &'static str, Ran, bool, &'static str);
 
-/// The answer to each kind.
+/// The response to each kind.
 const TABLE: [Row; 20] = [
     (
         ErrorKind::BadRequest,
@@ -249,30 +250,31 @@
         TABLE
             .iter()
             .find(|row| row.0 == self)
-            .expect("the table has a row for each kind")
+            .expect("every error kind has a row in the table")
     }
 
-    /// Returns the HTTP status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         self.row().1
     }
 
-    /// Returns the code that programs read.
+    /// Returns the machine-readable error code.
     pub fn code(self) -> &'static str {
         self.row().2
     }
 
-    /// Returns whether a request that ends this way was run, when nothing more exact is known.
+    /// Returns whether a request that fails this way was executed, for use when no more exact
+    /// status is known.
     pub fn ran(self) -> Ran {
         self.row().3
     }
 
-    /// Returns whether the answer carries `Retry-After`.
+    /// Returns whether the caller may retry: the response then carries `Retry-After`.
     pub fn is_retryable(self) -> bool {
         self.row().4
     }
 
-    /// Returns the sentence that people read.
+    /// Returns the human-readable message.
     pub fn message(self) -> &'static str {
         self.row().5
     }
--- a/crates/cw_types/src/id.rs
+++ b/crates/cw_types/src/id.rs
@@ -1,4 +1,4 @@
-//! Ids that processes make.
+//! Ids that the processes generate.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,15 +9,15 @@
 
 use crate::AttemptNo;
 
-/// Text that is not an id.
+/// The error for text that is not an id.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("an id is 32 hexadecimal digits, found {text:?}"))]
 pub struct IdError {
-    /// The text found.
+    /// The rejected text.
     pub text: String,
 }
 
-/// One accepted request, unique for all time: 128 random bits.
+/// The globally unique id of an accepted request: 128 random bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct GenerationId(pub u128);
@@ -58,12 +58,12 @@
     }
 }
 
-/// One dispatch of one generation.
+/// The id of an attempt, which is one dispatch of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The generation.
     pub generation: GenerationId,
-    /// Which dispatch of it.
+    /// The number of the attempt within the generation.
     pub attempt: AttemptNo,
 }
 
--- a/crates/cw_types/src/key_hash.rs
+++ b/crates/cw_types/src/key_hash.rs
@@ -10,14 +10,14 @@
 use snafu::Snafu;
 use subtle::ConstantTimeEq;
 
-/// Text that is not the hash of a key.
+/// The error for text that is not a SHA-256 hash in hexadecimal.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("expected 64 hexadecimal digits of a SHA-256 hash"))]
 pub struct KeyHashError;
 
-/// The SHA-256 hash of an API key; keys themselves are never stored.
+/// The SHA-256 hash of an API key, stored in place of the key.
 ///
-/// Keys are long random strings, so an unsalted fast hash does not weaken them.
+/// Keys are long random strings, so a fast hash without a salt is secure enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyHash([u8; 32]);
@@ -28,7 +28,9 @@
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Returns whether `key` has this hash, in a time that does not depend on where they differ.
+    /// Returns whether `key` has this hash.
+    ///
+    /// The comparison takes constant time, so its duration does not reveal where the hashes differ.
     pub fn matches(&self, key: &str) -> bool {
         Self::of(key).0.ct_eq(&self.0).into()
     }
--- a/crates/cw_types/src/lib.rs
+++ b/crates/cw_types/src/lib.rs
@@ -1,12 +1,13 @@
-//! Ids, units, records and error kinds that every other crate speaks in.
+//! Ids, units, records and error kinds that all other crates share.
 //!
 //! Start with these:
 //!
-//! - [`TargetId`], [`WorkspaceId`], [`GenerationId`] and their kin: newtypes for names and numbers.
-//! - [`Time`]: the present, as the argument that every deciding function takes.
-//! - [`ByteSize`], [`Rate`] and the [`units`] adapters: quantities written with their units.
-//! - [`Record`] and [`Snapshot`]: what operators accept, and [`Config`], the typed view of it.
-//! - [`ErrorKind`]: the closed list of what can be answered, with [`Ran`] beside each.
+//! - [`TargetId`], [`WorkspaceId`], [`GenerationId`] and similar newtypes for names and numbers.
+//! - [`Time`]: the current time, which every decision function takes as an argument.
+//! - [`ByteSize`], [`Rate`] and the [`units`] adapters: quantities that are written with a unit.
+//! - [`Record`] and [`Snapshot`]: the configuration that operators accept, and [`Config`], its
+//!   typed view.
+//! - [`ErrorKind`]: the closed set of errors in responses, each with [`Ran`], its execution status.
 
 mod byte_size;
 mod config;
--- a/crates/cw_types/src/name.rs
+++ b/crates/cw_types/src/name.rs
@@ -1,4 +1,4 @@
-//! Newtypes for names that people choose.
+//! Newtypes for names that people assign.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,28 +7,28 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// The longest name, in bytes.
-const NAME_MAX: usize = 128;
+/// The maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 128;
 
-/// A name that breaks the rules for names.
+/// The error for text that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum NameError {
     /// The name is empty or longer than 128 bytes.
-    #[snafu(display("a name has 1 to {NAME_MAX} bytes, this one has {length}"))]
+    #[snafu(display("a name has 1 to {MAX_NAME_BYTES} bytes, this one has {length}"))]
     Length {
-        /// The length found, in bytes.
+        /// The length of the text, in bytes.
         length: usize,
     },
     /// The name has a character other than `a-z`, `A-Z`, `0-9`, `.`, `_`, `-`, `:` and `@`.
     #[snafu(display("the character {found:?} is not allowed in a name"))]
     Character {
-        /// The first offending character.
+        /// The first character that is not allowed.
         found: char,
     },
 }
 
-fn check(text: &str) -> Result<(), NameError> {
-    if text.is_empty() || text.len() > NAME_MAX {
+fn check_name(text: &str) -> Result<(), NameError> {
+    if text.is_empty() || text.len() > MAX_NAME_BYTES {
         return Err(NameError::Length { length: text.len() });
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._-:@".contains(c);
@@ -46,7 +46,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -56,7 +56,7 @@
             type Err = NameError;
 
             fn from_str(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                check_name(text)?;
                 Ok(Self(text.to_owned()))
             }
         }
@@ -65,7 +65,7 @@
             type Error = NameError;
 
             fn try_from(text: String) -> Result<Self, NameError> {
-                check(&text)?;
+                check_name(&text)?;
                 Ok(Self(text))
             }
         }
@@ -85,30 +85,30 @@
 }
 
 names! {
-    /// One back end: a model engine or a plain service, with its agent.
+    /// The id of a target: a model engine or a plain service, together with its agent.
     TargetId;
-    /// One machine, or one process slot on it.
+    /// The id of a host: a machine, or a process slot on it.
     HostId;
-    /// An availability zone.
+    /// The id of an availability zone.
     ZoneId;
-    /// A region, which holds availability zones.
+    /// The id of a region, which consists of availability zones.
     RegionId;
-    /// A customer of the operators, named by its API key.
+    /// The id of a workspace, a customer of the operators; a caller's API key determines it.
     WorkspaceId;
-    /// A route: which targets answer which callers, and how.
+    /// The name of a route, which assigns targets to callers.
     RouteName;
-    /// A service: the targets that answer alike.
+    /// The name of a service, whose targets are interchangeable.
     ServiceName;
-    /// A model, as callers name it.
+    /// The name of a model, as callers know it.
     ModelName;
-    /// One version of a model.
+    /// The name of a model version.
     VersionName;
-    /// An adapter (LoRA) of a model version.
+    /// The name of an adapter (LoRA) of a model version.
     AdapterName;
-    /// A priority class.
+    /// The name of a priority class.
     PriorityName;
-    /// An operator.
+    /// The name of an operator.
     Actor;
-    /// One proposed change of records, unique for all time.
+    /// The globally unique id of a proposed change of records.
     ChangeId;
 }
--- a/crates/cw_types/src/number.rs
+++ b/crates/cw_types/src/number.rs
@@ -17,7 +17,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// Returns the next higher number.
+            /// Returns the number incremented by one.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -41,26 +41,28 @@
 }
 
 numbers! {
-    /// One dispatch of a generation, counted from 1.
+    /// The number of an attempt, which is one dispatch of a generation, counted from 1.
     AttemptNo(u32);
-    /// A number that rises with each holder of a lease, so that a deposed holder can be refused.
+    /// A number that increases with each holder of a lease, so that requests of a former holder can
+    /// be rejected.
     FencingNumber(u64);
-    /// One life of a process: a higher number is a later life.
+    /// The number of one run of a process, from its start to its end; a later run has a higher
+    /// number.
     Incarnation(u64);
-    /// The revision of the configuration in force.
+    /// A revision of the configuration.
     Revision(u64);
-    /// The version of a record's schema.
+    /// A version of the schema of a record kind.
     SchemaVersion(u32);
     /// A number of tokens.
     TokenCount(u64);
-    /// A token, as its number in the model's vocabulary.
+    /// A token, given as its index in the vocabulary of the model.
     TokenId(u32);
-    /// A place in a generation's output, counted from 0.
+    /// A position in the output of a generation, counted from 0.
     TokenIndex(u64);
 }
 
 impl TokenIndex {
-    /// Returns the index `count` places further on.
+    /// Returns the index `count` positions later.
     #[must_use]
     pub const fn plus(self, count: usize) -> Self {
         Self(self.0 + count as u64)
--- a/crates/cw_types/src/rate.rs
+++ b/crates/cw_types/src/rate.rs
@@ -1,4 +1,4 @@
-//! Rates, written with their unit.
+//! Rates, written with a unit.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,15 +7,15 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Text that is not a rate.
+/// The error for text that is not a rate.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("expected a rate such as \"20/s\" or \"2.5/s\", found {text:?}"))]
 pub struct RateError {
-    /// The text found.
+    /// The rejected text.
     pub text: String,
 }
 
-/// Events per second.
+/// A rate in events per second: finite and not negative when parsed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Rate(pub f64);
--- a/crates/cw_types/src/record.rs
+++ b/crates/cw_types/src/record.rs
@@ -1,4 +1,4 @@
-//! The records that operators propose and accept.
+//! Configuration records, which operators propose and accept.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
 use crate::ZoneId;
 use crate::units::DurationText;
 
-/// The kinds of records.
+/// The kind of a record.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordKind {
@@ -60,11 +60,11 @@
     }
 }
 
-/// Text that names no kind of record, or no record.
+/// The error for text that is not a record kind or a record key.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("expected KIND/NAME with a known kind, found {text:?}"))]
 pub struct RecordKeyError {
-    /// The text found.
+    /// The rejected text.
     pub text: String,
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// A record's kind and name, written `kind/name`.
+/// The key of a record: its kind and name, written as `kind/name`.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -138,9 +138,9 @@
     }
 }
 
-/// One record, as operators write it and as the snapshot keeps it.
+/// A record in the form that operators write and the snapshot stores.
 ///
-/// The body stays whole, so a process that does not know a field loses nothing.
+/// The body is kept as JSON, so a process preserves the fields that it does not know.
 #[data]
 pub struct Record {
     /// The kind.
@@ -149,8 +149,8 @@
     pub name: String,
     /// The version of the body's schema.
     pub schema: SchemaVersion,
-    /// The body: one of [`Route`], [`Workspace`], [`Priority`], [`ModelVersion`], [`Target`],
-    /// [`Drain`], [`Operator`].
+    /// The body, according to the kind: a [`Route`], [`Workspace`], [`Priority`],
+    /// [`ModelVersion`], [`Target`], [`Drain`] or [`Operator`].
     pub body: Map<String, Value>,
 }
 
@@ -164,22 +164,23 @@
     }
 }
 
-/// How a route trades resume latency against extra work.
+/// How a route weighs fast recovery of a lost attempt against additional work for the targets.
 #[data(Copy, Default, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Recovery {
-    /// Short patience and hedged resumes: the first new token wins.
+    /// A short timeout and hedged resumes: several targets resume the generation, and the first to
+    /// send a new token continues it.
     #[default]
     Latency,
-    /// Longer patience and one resume, to where the prefix is likely cached.
+    /// A longer timeout and a single resume, on a target that probably has the prefix cached.
     Thrift,
 }
 
-/// What a route sends its callers to.
+/// The destination of the requests of a route.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteTarget {
-    /// Engines that serve this model, in this version.
+    /// The engines that serve a model version.
     Model {
         /// The model.
         model: ModelName,
@@ -189,20 +190,20 @@
         #[serde(default)]
         adapter: Option<AdapterName>,
     },
-    /// Plain services of this name.
+    /// The plain services of one name.
     Service {
-        /// The service's name, as in `/v1/services/NAME/`.
+        /// The name of the service, as in the path `/v1/services/NAME/`.
         service: String,
     },
 }
 
-/// Which targets answer which callers, and how. Its name is the model name that callers use.
+/// A route, which assigns targets to callers. Its name is the model name that callers use.
 #[serde_as]
 #[data]
 pub struct Route {
-    /// Where requests go.
+    /// The destination of the requests.
     pub to: RouteTarget,
-    /// The workspaces that may use the route; empty for all.
+    /// The workspaces that may use the route; an empty set allows all.
     #[serde(default)]
     pub workspaces: BTreeSet<WorkspaceId>,
     /// The priority of its requests.
@@ -210,16 +211,17 @@
     /// How a lost attempt is recovered.
     #[serde(default)]
     pub recovery: Recovery,
-    /// Whether requests may run more than once; a caller may only make this stricter.
-    #[serde(default = "yes")]
+    /// Whether requests may be executed more than once. A caller may forbid it for a request, but
+    /// not allow it.
+    #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// How long a request may wait before its first token.
+    /// The maximum wait of a request for its first token.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_patience")]
     pub patience: Duration,
 }
 
-fn yes() -> bool {
+fn default_idempotent() -> bool {
     true
 }
 
@@ -227,15 +229,15 @@
     Duration::from_secs(10)
 }
 
-/// The limits of one workspace over all entries.
+/// The limits of one workspace, summed over all entries.
 #[data]
 #[serde(default)]
 pub struct Quota {
-    /// Generations in progress at once.
+    /// The maximum number of concurrent generations.
     pub concurrent: u32,
-    /// Requests a second.
+    /// The maximum request rate.
     pub requests: Rate,
-    /// Tokens a second, prompt and output together.
+    /// The maximum token rate, prompt and output tokens together.
     pub tokens: Rate,
 }
 
@@ -249,31 +251,31 @@
     }
 }
 
-/// A customer of the operators.
+/// A customer of the operators, whose callers authenticate with its API keys.
 #[data]
 pub struct Workspace {
-    /// The hashes of its valid API keys; two at once allow rotation.
+    /// The hashes of the valid API keys. Two valid keys at a time allow rotation.
     pub keys: Vec<KeyHash>,
-    /// Its limits.
+    /// The limits.
     #[serde(default)]
     pub quota: Quota,
-    /// Its share when targets are scarce, relative to other workspaces.
-    #[serde(default = "one")]
+    /// The share of the targets under contention, relative to the weights of other workspaces.
+    #[serde(default = "default_weight")]
     pub weight: u32,
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
-/// A class of requests.
+/// A priority class of requests.
 #[data(Eq)]
 pub struct Priority {
-    /// A higher rank goes first, and is shed last.
+    /// The rank: requests of a higher rank are served first and shed last.
     pub rank: u8,
 }
 
-/// One version of a model, which the planner loads onto targets.
+/// A model version, which the planner loads onto targets.
 #[serde_as]
 #[data]
 pub struct ModelVersion {
@@ -281,66 +283,66 @@
     pub model: ModelName,
     /// The version.
     pub version: VersionName,
-    /// Where the weight store keeps its weights.
+    /// The location of the weights in the weight store.
     pub weights: String,
-    /// The adapters that go with it.
+    /// The adapters of this version.
     #[serde(default)]
     pub adapters: BTreeSet<AdapterName>,
-    /// How many targets should have it loaded.
+    /// The number of targets that should have the version loaded.
     pub targets: u32,
-    /// How long the previous version is kept after nothing is pinned to it.
+    /// How long the previous version stays loaded after the last generation pinned to it ends.
     #[serde_as(as = "DurationText")]
     #[serde(default)]
     pub keep: Duration,
 }
 
-/// The two kinds of targets.
+/// The kind of a target.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
     /// A model engine.
     Engine,
-    /// A plain service of this name.
+    /// A plain service.
     Service {
-        /// The service's name.
+        /// The name of the service.
         service: String,
     },
 }
 
-/// One back end and the agent beside it.
+/// A back end, together with the agent that runs next to it.
 #[data]
 pub struct Target {
-    /// Where its agent listens for entries.
+    /// The address at which the agent accepts connections from entries.
     pub agent: SocketAddr,
-    /// The host it runs on.
+    /// The host that the target runs on.
     pub host: HostId,
     /// The availability zone of that host.
     pub zone: ZoneId,
     /// The region of that zone.
     pub region: RegionId,
-    /// What it is.
+    /// Whether it is an engine or a plain service.
     pub kind: TargetKind,
-    /// Whether it refuses an order with an old fencing number by itself.
+    /// Whether the target itself rejects orders with an outdated fencing number.
     #[serde(default)]
     pub fenced: bool,
-    /// The versions it is meant to hold from the start, by model.
+    /// The versions that the target is expected to have loaded from the start, by model.
     #[serde(default)]
     pub versions: BTreeMap<ModelName, BTreeSet<VersionName>>,
 }
 
-/// An operator's word that a target or host takes no new work. Its name is theirs.
+/// A drain: the target or host of the same name receives no new work.
 #[data(Default, Eq)]
 #[serde(default)]
 pub struct Drain {
-    /// Why, for other operators.
+    /// The reason, as information for other operators.
     pub reason: String,
 }
 
-/// What an operator may do; each role includes those before it.
+/// The permissions of an operator; each role includes the ones before it.
 #[data(Copy, Default, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 pub enum OperatorRole {
-    /// May see everything but secrets.
+    /// May read everything except secrets.
     #[default]
     Reader,
     /// May propose changes.
@@ -349,14 +351,15 @@
     Accepter,
 }
 
-/// A person or program that operates the system. Its name is the actor of audit entries.
+/// A person or program that operates the system. The name of the record is the actor in audit
+/// entries.
 #[data(Eq)]
 pub struct Operator {
-    /// The hashes of its valid keys; two at once allow rotation.
+    /// The hashes of the valid keys. Two valid keys at a time allow rotation.
     pub keys: Vec<KeyHash>,
-    /// What it may do.
+    /// The permissions.
     pub role: OperatorRole,
-    /// Whether it may accept what it proposed itself.
+    /// Whether the operator may accept its own proposals.
     #[serde(default, rename = "alone")]
     pub self_approval: bool,
 }
--- a/crates/cw_types/src/schema.rs
+++ b/crates/cw_types/src/schema.rs
@@ -1,8 +1,8 @@
-//! Schema versions of records, and the conversions between them.
+//! Schema versions of records, and conversions between them.
 //!
-//! Old and new records live side by side. A conversion carries fields that it does not know over
-//! unchanged, and what the older version cannot express stays in the body as such a field, so a
-//! record that goes back and forth loses nothing.
+//! Records of old and new versions coexist. A conversion copies unknown fields unchanged, and
+//! fields that the older version cannot express stay in the body as unknown fields, so converting
+//! a record back and forth is lossless.
 
 use std::collections::BTreeMap;
 
@@ -16,39 +16,38 @@
 use crate::RecordKind;
 use crate::SchemaVersion;
 
-/// The first version of every schema.
-const FIRST: SchemaVersion = SchemaVersion(1);
+/// The first schema version of every record kind.
+const FIRST_VERSION: SchemaVersion = SchemaVersion(1);
 
-/// Workspaces since version 2 have a `quota` in place of `tokens_per_minute`.
-const WORKSPACE_QUOTA: SchemaVersion = SchemaVersion(2);
+/// The workspace version that replaces `tokens_per_minute` by `quota`: version 2.
+const WORKSPACE_QUOTA_VERSION: SchemaVersion = SchemaVersion(2);
 
-/// The field of workspaces of version 1 that limits their tokens.
+/// The token limit of a workspace in version 1.
 const TOKENS_PER_MINUTE: &str = "tokens_per_minute";
 
-/// The field of workspaces since version 2 that limits them.
+/// The limits of a workspace since version 2.
 const QUOTA: &str = "quota";
 
-/// The field of [`QUOTA`] that limits tokens.
-const TOKENS: &str = "tokens";
+/// The token limit within [`QUOTA`].
+const QUOTA_TOKENS: &str = "tokens";
 
-/// Seconds in a minute.
-const MINUTE: f64 = 60.0;
+const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// A record that cannot be converted.
+/// The error for a record that cannot be converted.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SchemaError {
-    /// The version is newer than this process knows.
-    #[snafu(display("record {key} has schema version {found}, known are 1 to {known}"))]
+    /// This process does not know the schema version.
+    #[snafu(display("record {key} has schema version {found}, known versions are 1 to {known}"))]
     Unknown {
         /// The record.
         key: RecordKey,
-        /// Its version.
+        /// The schema version that was found or requested.
         found: SchemaVersion,
-        /// The newest version known.
+        /// The newest known version.
         known: SchemaVersion,
     },
-    /// A field has the wrong form.
-    #[snafu(display("record {key}: field {field} has the wrong form"))]
+    /// A field has the wrong type or an invalid value.
+    #[snafu(display("record {key}: field {field} has an invalid value"))]
     Field {
         /// The record.
         key: RecordKey,
@@ -57,20 +56,20 @@
     },
 }
 
-/// Returns the newest schema version of a kind.
+/// Returns the newest schema version of a record kind.
 pub fn current_schema(kind: RecordKind) -> SchemaVersion {
     match kind {
-        RecordKind::Workspace => WORKSPACE_QUOTA,
+        RecordKind::Workspace => WORKSPACE_QUOTA_VERSION,
         RecordKind::Route
         | RecordKind::Priority
         | RecordKind::ModelVersion
         | RecordKind::Target
         | RecordKind::Drain
-        | RecordKind::Operator => FIRST,
+        | RecordKind::Operator => FIRST_VERSION,
     }
 }
 
-/// Returns the newest schema version that this process reads of each kind.
+/// Returns the newest schema version that this process can read, for each record kind.
 pub fn readable_schemas() -> BTreeMap<RecordKind, SchemaVersion> {
     const KINDS: [RecordKind; 7] = [
         RecordKind::Route,
@@ -84,23 +83,23 @@
     KINDS.into_iter().map(|k| (k, current_schema(k))).collect()
 }
 
-/// Converts a record to another version of its schema.
+/// Converts a record to the schema version `to`.
 ///
 /// # Errors
 ///
-/// Fails when either version is unknown or a field has the wrong form.
+/// Returns an error if either version is unknown or a field has an invalid value.
 pub fn convert(record: &Record, to: SchemaVersion) -> Result<Record, SchemaError> {
-    check(record, record.schema)?;
-    check(record, to)?;
+    check_version(record, record.schema)?;
+    check_version(record, to)?;
     if record.schema == to {
         return Ok(record.clone());
     }
     let mut converted = record.clone();
     converted.schema = to;
     if record.kind == RecordKind::Workspace {
-        let outcome = match to < WORKSPACE_QUOTA {
-            true => quota_to_minute(&mut converted.body),
-            false => minute_to_quota(&mut converted.body),
+        let outcome = match to < WORKSPACE_QUOTA_VERSION {
+            true => downgrade_workspace(&mut converted.body),
+            false => upgrade_workspace(&mut converted.body),
         };
         outcome.map_err(|field| SchemaError::Field {
             key: record.key(),
@@ -110,9 +109,9 @@
     Ok(converted)
 }
 
-fn check(record: &Record, version: SchemaVersion) -> Result<(), SchemaError> {
+fn check_version(record: &Record, version: SchemaVersion) -> Result<(), SchemaError> {
     let known = current_schema(record.kind);
-    if version >= FIRST && version <= known {
+    if version >= FIRST_VERSION && version <= known {
         return Ok(());
     }
     Err(SchemaError::Unknown {
@@ -122,30 +121,33 @@
     })
 }
 
-fn minute_to_quota(body: &mut Map<String, Value>) -> Result<(), &'static str> {
-    let Some(minute) = body.remove(TOKENS_PER_MINUTE) else {
+fn upgrade_workspace(body: &mut Map<String, Value>) -> Result<(), &'static str> {
+    let Some(per_minute) = body.remove(TOKENS_PER_MINUTE) else {
         return Ok(());
     };
-    let minute = minute.as_f64().ok_or(TOKENS_PER_MINUTE)?;
+    let per_minute = per_minute.as_f64().ok_or(TOKENS_PER_MINUTE)?;
     let quota = body.entry(QUOTA).or_insert_with(|| Map::new().into());
     let quota = quota.as_object_mut().ok_or(QUOTA)?;
-    let rate = Rate(minute / MINUTE).to_string();
-    quota.insert(TOKENS.to_owned(), rate.into());
+    let rate = Rate(per_minute / SECONDS_PER_MINUTE).to_string();
+    quota.insert(QUOTA_TOKENS.to_owned(), rate.into());
     Ok(())
 }
 
-fn quota_to_minute(body: &mut Map<String, Value>) -> Result<(), &'static str> {
+fn downgrade_workspace(body: &mut Map<String, Value>) -> Result<(), &'static str> {
     let Some(quota) = body.get_mut(QUOTA) else {
         return Ok(());
     };
     let quota = quota.as_object_mut().ok_or(QUOTA)?;
-    let Some(tokens) = quota.remove(TOKENS) else {
+    let Some(tokens) = quota.remove(QUOTA_TOKENS) else {
         return Ok(());
     };
-    let rate: Rate = serde_json::from_value(tokens).map_err(|_| TOKENS)?;
+    let rate: Rate = serde_json::from_value(tokens).map_err(|_| QUOTA_TOKENS)?;
     if quota.is_empty() {
         body.remove(QUOTA);
     }
-    body.insert(TOKENS_PER_MINUTE.to_owned(), (rate.0 * MINUTE).into());
+    body.insert(
+        TOKENS_PER_MINUTE.to_owned(),
+        (rate.0 * SECONDS_PER_MINUTE).into(),
+    );
     Ok(())
 }
--- a/crates/cw_types/src/snapshot.rs
+++ b/crates/cw_types/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! All accepted records, as one value.
+//! The snapshot of all accepted records.
 
 use std::collections::BTreeMap;
 
@@ -10,42 +10,43 @@
 use crate::RecordKey;
 use crate::Revision;
 
-/// How many changes a snapshot remembers.
-const CHANGES_MAX: usize = 512;
+/// The maximum number of changes that a snapshot keeps.
+const MAX_CHANGES: usize = 512;
 
-/// One accepted change, kept with the snapshot as its audit entry.
+/// An accepted change, which the snapshot keeps as an audit entry.
 #[data(Eq)]
 pub struct Change {
-    /// The change's id, which makes its acceptance idempotent.
+    /// The id, which makes the acceptance of the change idempotent.
     pub id: ChangeId,
-    /// The revision that it made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// Who proposed it.
+    /// The operator who proposed the change.
     pub proposer: Actor,
-    /// Who accepted it.
+    /// The operator who accepted the change.
     pub accepter: Actor,
-    /// The records it touched.
+    /// The keys of the records that the change wrote or removed.
     pub touched: Vec<RecordKey>,
-    /// When it was accepted, in seconds since the Unix epoch.
+    /// The time of acceptance, in seconds since the Unix epoch.
     pub accepted_at: u64,
 }
 
-/// All accepted records at one revision: the value under the one configuration key.
+/// All accepted records at one revision. The whole snapshot is stored under a single configuration
+/// key.
 #[data(Default)]
 pub struct Snapshot {
-    /// The revision, which rises by one with each accepted change.
+    /// The revision, which increases by one with each accepted change.
     pub revision: Revision,
-    /// The records and the revision at which each was last touched.
+    /// The records, each with the revision that last wrote it.
     pub records: BTreeMap<RecordKey, (Revision, Record)>,
-    /// The most recent changes, oldest first.
+    /// The most recent changes, oldest first; [`Snapshot::trimmed`] limits them.
     pub changes: Vec<Change>,
 }
 
 impl Snapshot {
-    /// Forgets the oldest changes beyond those that are remembered.
+    /// Removes the oldest changes beyond the maximum that a snapshot keeps.
     #[must_use]
     pub fn trimmed(mut self) -> Self {
-        let surplus = self.changes.len().saturating_sub(CHANGES_MAX);
+        let surplus = self.changes.len().saturating_sub(MAX_CHANGES);
         self.changes.drain(..surplus);
         self
     }
--- a/crates/cw_types/src/time.rs
+++ b/crates/cw_types/src/time.rs
@@ -1,4 +1,4 @@
-//! The present time, as an argument.
+//! Points in time on a monotonic clock.
 
 use std::fmt;
 use std::ops::Add;
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A moment on a process's own monotonic clock, in microseconds from an arbitrary origin.
+/// A point in time on the monotonic clock of a process, in microseconds since an arbitrary origin.
 ///
-/// Deciding functions take it as an argument, which makes them replayable. Moments of different
-/// processes are not comparable, so `Time` never goes on the wire.
+/// Decision functions take the current time as an argument, which makes their runs reproducible.
+/// Times of different processes are not comparable, so a `Time` is never sent to another process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,19 +18,19 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// Returns how long ago `earlier` was, or zero when it lies ahead.
+    /// Returns the duration since `earlier`, or zero if that is later than this time.
     pub const fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the moment so long ago, or the origin when it lies before that.
+    /// Returns the time `span` before this one, or the origin if that would be before the origin.
     #[must_use]
     pub fn before(self, span: Duration) -> Time {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_sub(micros))
     }
 
-    /// Returns how long until `later`, or zero when it has passed.
+    /// Returns the duration until `later`, or zero if that is earlier than this time.
     pub const fn until(self, later: Time) -> Duration {
         later.since(self)
     }
--- a/crates/cw_types/src/units.rs
+++ b/crates/cw_types/src/units.rs
@@ -1,4 +1,4 @@
-//! `serde_with` adapters for quantities written with their units.
+//! `serde_with` adapters for quantities that are written with a unit.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use serde_with::DeserializeAs;
 use serde_with::SerializeAs;
 
-/// A `Duration` written as `"250ms"`, `"4s"` or `"1h 30m"`.
+/// Serialises a `Duration` as text such as `"250ms"`, `"4s"` or `"1h 30m"`.
 #[derive(Clone, Copy, Debug)]
 pub struct DurationText;
 
 impl SerializeAs<Duration> for DurationText {
-    fn serialize_as<S: Serializer>(span: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.collect_str(&humantime::format_duration(*span))
+    fn serialize_as<S: Serializer>(duration: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&humantime::format_duration(*duration))
     }
 }
 
@@ -26,11 +26,11 @@
     }
 }
 
-/// Parses a duration written with its unit.
+/// Parses a duration that is written with a unit.
 ///
 /// # Errors
 ///
-/// Returns the text of what is expected when `text` has no unit or is not a number.
+/// Returns a message with examples of valid durations if `text` has no unit or is not a number.
 pub fn parse_duration(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
         .map_err(|_| format!("expected a duration such as \"250ms\" or \"4s\", found {text:?}"))
--- a/crates/cw_types/tests/error_kind.rs
+++ b/crates/cw_types/tests/error_kind.rs
@@ -1,4 +1,4 @@
-//! The table from error kind to answer is closed and honest.
+//! Each error kind has a complete and consistent response.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn each_kind_has_one_row_and_a_code_of_its_own() {
+fn each_kind_has_a_unique_code_and_an_error_status() {
     let codes: BTreeSet<&str> = ErrorKind::all().map(ErrorKind::code).collect();
 
     assert_eq!(codes.len(), ErrorKind::all().count());
@@ -27,10 +27,10 @@
 }
 
 #[rstest]
-fn a_caller_is_invited_to_call_again_only_when_nothing_ran_or_the_key_protects_it() {
+fn a_retryable_kind_did_not_run_or_is_protected_by_the_idempotency_key() {
     for kind in ErrorKind::all().filter(|kind| kind.is_retryable()) {
         let safe = kind.ran() == Ran::No || kind == ErrorKind::InProgress;
 
-        assert!(safe, "{kind} invites a second run");
+        assert!(safe, "a retry after {kind} may execute the request twice");
     }
 }
--- a/crates/cw_types/tests/record.rs
+++ b/crates/cw_types/tests/record.rs
@@ -1,4 +1,4 @@
-//! Records keep what they do not know, and a snapshot reads into a configuration.
+//! Records preserve unknown fields, and a snapshot converts to a configuration.
 
 use cw_types::Config;
 use cw_types::KeyHash;
@@ -31,18 +31,18 @@
 }
 
 #[rstest]
-fn a_snapshot_survives_json_with_unknown_fields() {
+fn a_snapshot_with_unknown_fields_round_trips_through_json() {
     let body = json!({"rank": 3, "colour": "blue"});
     let before = snapshot(vec![record(RecordKind::Priority, "fast", body)]);
 
-    let text = serde_json::to_string(&before).expect("a snapshot is JSON");
-    let after: Snapshot = serde_json::from_str(&text).expect("the text is a snapshot");
+    let text = serde_json::to_string(&before).expect("a snapshot can be serialised");
+    let after: Snapshot = serde_json::from_str(&text).expect("the JSON text is a snapshot");
 
     assert_eq!(after, before);
 }
 
 #[rstest]
-fn a_record_that_cannot_be_read_does_not_hide_the_others() {
+fn an_invalid_record_does_not_affect_the_others() {
     let good = record(RecordKind::Priority, "fast", json!({"rank": 3}));
     let bad = record(RecordKind::Priority, "slow", json!({"rank": "high"}));
 
@@ -54,7 +54,7 @@
 }
 
 #[rstest]
-fn a_key_finds_its_workspace_and_no_other() {
+fn an_api_key_identifies_only_its_own_workspace() {
     let of = |key| json!({"keys": [KeyHash::of(key)]});
     let records = vec![
         record(RecordKind::Workspace, "a", of("key-a")),
@@ -73,7 +73,7 @@
 #[case("route/", false)]
 #[case("lane/chat", false)]
 #[case("route", false)]
-fn a_record_key_names_a_known_kind(#[case] text: &str, #[case] valid: bool) {
+fn a_record_key_has_a_known_kind_and_a_name(#[case] text: &str, #[case] valid: bool) {
     let key = text.parse::<RecordKey>();
 
     assert_eq!(key.is_ok(), valid);
--- a/crates/cw_types/tests/schema.rs
+++ b/crates/cw_types/tests/schema.rs
@@ -23,17 +23,18 @@
 }
 
 #[test]
-fn old_workspace_is_read_with_its_limit() {
+fn token_limit_of_an_old_workspace_is_converted() {
     let old = workspace(1, json!({ "keys": [], "tokens_per_minute": 6000 }));
 
-    let new = convert(&old, SchemaVersion(2)).expect("a conversion");
+    let new = convert(&old, SchemaVersion(2)).expect("the workspace converts");
 
-    let typed: Workspace = serde_json::from_value(new.body.into()).expect("a workspace");
+    let typed: Workspace =
+        serde_json::from_value(new.body.into()).expect("the body is a workspace");
     assert_eq!(typed.quota.tokens.0, 100.0);
 }
 
 #[test]
-fn newer_version_than_known_is_an_error() {
+fn unknown_newer_version_is_an_error() {
     let newer = workspace(9, json!({ "keys": [] }));
 
     let outcome = convert(&newer, SchemaVersion(2));
@@ -42,7 +43,7 @@
 }
 
 proptest! {
-    // The seed is fixed, so that the verdict is the same on every run.
+    // The fixed seed makes every run generate the same cases.
     #![proptest_config(ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(61),
         failure_persistence: None,
@@ -50,7 +51,7 @@
     })]
 
     #[test]
-    fn new_to_old_and_back_loses_nothing(
+    fn new_to_old_and_back_is_lossless(
         tokens in proptest::option::of(0_u32..1_000_000),
         concurrent in proptest::option::of(0_u32..1000),
         unknown in proptest::option::of("[a-z]{1,8}"),
@@ -75,23 +76,23 @@
         }
         let new = workspace(2, body);
 
-        let old = convert(&new, SchemaVersion(1)).expect("a conversion");
-        let back = convert(&old, SchemaVersion(2)).expect("a conversion");
+        let old = convert(&new, SchemaVersion(1)).expect("the workspace converts");
+        let back = convert(&old, SchemaVersion(2)).expect("the workspace converts");
 
         prop_assert_eq!(back, new);
     }
 
     #[test]
-    fn old_to_new_and_back_loses_nothing(
-        minute in 0_u32..1_000_000,
+    fn old_to_new_and_back_is_lossless(
+        rate in 0_u32..1_000_000,
         unknown in "[a-z]{1,8}",
     ) {
-        let seconds = f64::from(minute);
-        let body = json!({ "keys": [], "tokens_per_minute": seconds * 60.0, "unknown": unknown });
+        let rate = f64::from(rate);
+        let body = json!({ "keys": [], "tokens_per_minute": rate * 60.0, "unknown": unknown });
         let old = workspace(1, body);
 
-        let new = convert(&old, SchemaVersion(2)).expect("a conversion");
-        let back = convert(&new, SchemaVersion(1)).expect("a conversion");
+        let new = convert(&old, SchemaVersion(2)).expect("the workspace converts");
+        let back = convert(&new, SchemaVersion(1)).expect("the workspace converts");
 
         prop_assert_eq!(back, old);
     }
--- a/crates/cw_types/tests/units.rs
+++ b/crates/cw_types/tests/units.rs
@@ -1,4 +1,4 @@
-//! Quantities are written with their units and read back the same.
+//! Quantities are written with a unit, and parsing the text gives the same value.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 #[case("64KiB", 64 << 10)]
 #[case("8MiB", 8 << 20)]
 #[case("2GiB", 2 << 30)]
-fn a_size_is_read_and_written_with_its_unit(#[case] text: &str, #[case] bytes: u64) {
+fn a_size_round_trips_with_its_unit(#[case] text: &str, #[case] bytes: u64) {
     let size: ByteSize = text.parse().expect("the text is a size");
 
     assert_eq!(size, ByteSize(bytes));
@@ -25,7 +25,7 @@
 #[case("64KB")]
 #[case("-1B")]
 #[case("99999999999999999GiB")]
-fn a_size_without_a_known_unit_is_refused(#[case] text: &str) {
+fn a_size_without_a_known_unit_is_rejected(#[case] text: &str) {
     assert!(text.parse::<ByteSize>().is_err());
 }
 
@@ -36,14 +36,14 @@
 #[case("-1/s", None)]
 #[case("inf/s", None)]
 #[case("NaN/s", None)]
-fn a_rate_is_finite_and_has_its_unit(#[case] text: &str, #[case] expected: Option<f64>) {
+fn a_rate_is_finite_not_negative_and_has_a_unit(#[case] text: &str, #[case] expected: Option<f64>) {
     let rate = text.parse::<Rate>().ok();
 
     assert_eq!(rate, expected.map(Rate));
 }
 
 #[rstest]
-fn a_duration_without_unit_is_refused_by_name() {
+fn a_duration_without_unit_is_rejected_with_an_example() {
     let error = parse_duration("250").expect_err("a bare number has no unit");
 
     assert!(error.contains("250ms"), "{error}");
@@ -51,7 +51,7 @@
 }
 
 #[rstest]
-fn time_never_goes_below_zero() {
+fn differences_of_times_are_never_negative() {
     let early = Time(1_000);
     let late = early + Duration::from_millis(2);
 
--- a/crates/cw_wire/src/codec.rs
+++ b/crates/cw_wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! MessagePack bodies and streams of frames.
+//! Encoding of MessagePack bodies and of frame streams.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -12,26 +12,26 @@
 
 use crate::Frame;
 
-/// The largest frame, in bytes.
-const FRAME_MAX: usize = 16 << 20;
+/// The maximum size of a frame, in bytes.
+const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Bytes that are not a message.
+/// An error in encoding or decoding a message.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// The message could not be written.
+    /// The message could not be encoded.
     #[snafu(display("cannot encode a message: {source}"))]
     Encode {
         /// The cause.
         source: rmp_serde::encode::Error,
     },
-    /// The message could not be read.
+    /// The message could not be decoded.
     #[snafu(display("cannot decode a message: {source}"))]
     Decode {
         /// The cause.
         source: rmp_serde::decode::Error,
     },
-    /// The stream of frames broke.
-    #[snafu(display("a broken stream of frames: {source}"))]
+    /// The frame stream could not be split into or built from frames.
+    #[snafu(display("invalid frame stream: {source}"))]
     Stream {
         /// The cause.
         source: std::io::Error,
@@ -44,26 +44,26 @@
     }
 }
 
-/// Encodes one message, with field names, so that old and new processes understand each other.
+/// Encodes a message with its field names, so that processes of different versions are compatible.
 ///
 /// # Errors
 ///
-/// Fails only for a value that MessagePack cannot express.
+/// Returns [`WireError::Encode`] if MessagePack cannot represent the value.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, WireError> {
     let bytes = rmp_serde::to_vec_named(message).context(EncodeSnafu)?;
     Ok(Bytes::from(bytes))
 }
 
-/// Decodes one message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// Fails when `bytes` is not a message of this type.
+/// Returns [`WireError::Decode`] if `bytes` is not a message of type `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WireError> {
     rmp_serde::from_slice(bytes).context(DecodeSnafu)
 }
 
-/// Length-delimited frames.
+/// The codec of a stream of length-delimited [`Frame`]s.
 #[derive(Debug)]
 pub struct FrameCodec {
     inner: LengthDelimitedCodec,
@@ -72,7 +72,7 @@
 impl Default for FrameCodec {
     fn default() -> Self {
         let inner = LengthDelimitedCodec::builder()
-            .max_frame_length(FRAME_MAX)
+            .max_frame_length(MAX_FRAME_BYTES)
             .new_codec();
         Self { inner }
     }
--- a/crates/cw_wire/src/demand.rs
+++ b/crates/cw_wire/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much of their quotas workspaces use at entries.
+//! The demand of workspaces on their quotas.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,16 @@
 use cw_types::HostId;
 use cw_types::WorkspaceId;
 
-/// How much of their quotas workspaces want at one entry, or at several that a relay sums up.
+/// The share of its quota that each workspace wants at one entry, or at several entries whose
+/// demand a relay adds up.
 #[data]
 pub struct Demand {
     /// The host of the entry, or of the relay.
     pub from: HostId,
-    /// The number of the message: an older one is ignored.
+    /// The sequence number of the message; the receiver ignores an older one.
     pub sequence: u64,
-    /// How many entries the parts are summed over; the receiver is never one of them.
+    /// The number of entries in the sum, which never includes the receiver.
     pub entries: u32,
-    /// The part of the whole quota that each workspace wants, 1 for all of it.
+    /// The fraction of its total quota that each workspace wants; 1 is the whole quota.
     pub parts: BTreeMap<WorkspaceId, f64>,
 }
--- a/crates/cw_wire/src/directory_update.rs
+++ b/crates/cw_wire/src/directory_update.rs
@@ -1,4 +1,4 @@
-//! What an entry that watches the directory tells those that do not.
+//! Directory changes, sent by the entries that watch the directory to those that do not.
 
 use std::collections::BTreeMap;
 
@@ -6,39 +6,40 @@
 use cw_macro::data;
 use cw_types::TargetId;
 
-/// One change of the directory.
+/// A change of one key in the directory.
 #[data(Eq)]
 pub struct DirectoryChange {
-    /// The service's revision of the change before this one.
+    /// The revision of the preceding change, as assigned by the key-value service.
     pub previous: i64,
-    /// The service's revision of this change.
+    /// The revision of this change, as assigned by the key-value service.
     pub revision: i64,
     /// The key.
     pub key: String,
-    /// Its new value; `None` when it is gone.
+    /// The new value, or `None` if the key was deleted.
     pub value: Option<Bytes>,
 }
 
-/// What an entry that watches the directory knows.
+/// The state of the directory and its recent changes, as seen by an entry that watches it.
 #[data(Eq)]
 pub struct DirectoryUpdate {
-    /// Whether the key-value service answers it.
+    /// Whether the key-value service responds to the sender.
     pub up: bool,
-    /// Whether it has done so for long enough that an entry which is not there is gone.
+    /// Whether it has responded for long enough that a key missing from the directory is known to
+    /// be deleted.
     pub trusted: bool,
-    /// The version of the configuration in force there.
+    /// The configuration version in force at the sender.
     pub config: u64,
-    /// The revision of the last change that it knows.
+    /// The revision of the last change known to the sender.
     pub newest: i64,
-    /// The changes of the last moments, in order.
+    /// The most recent changes, in order.
     pub changes: Vec<DirectoryChange>,
 }
 
-/// All that an entry knows of the directory.
+/// The complete content of the directory, as known to an entry.
 #[data(Default, Eq)]
 pub struct DirectorySnapshot {
-    /// The revision of the last change that it knows.
+    /// The revision of the last change included.
     pub newest: i64,
-    /// The targets' entries as the service holds them.
+    /// The values of the target keys, as stored in the key-value service.
     pub targets: BTreeMap<TargetId, Bytes>,
 }
--- a/crates/cw_wire/src/dispatch.rs
+++ b/crates/cw_wire/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of an agent.
+//! Requests from an entry to an agent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,38 +20,38 @@
 
 use crate::Fingerprint;
 
-/// One message of a chat.
+/// A message of a chat.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Message {
-    /// Who speaks: `system`, `user` or `assistant`.
+    /// The role of the author: `system`, `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// The text of the message.
     pub content: String,
 }
 
-/// What a generation starts from.
+/// The prompt of a generation.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Prompt {
-    /// Text, which the engine turns into tokens.
+    /// Text, which the engine tokenizes.
     Text(String),
-    /// Tokens.
+    /// Token ids.
     Ids(Vec<TokenId>),
-    /// A chat, which the engine renders by its model's template.
+    /// Chat messages, which the engine renders with the chat template of the model.
     Chat(Vec<Message>),
 }
 
-/// How tokens are drawn; fixed for a generation's life.
+/// The sampling parameters, fixed for the lifetime of a generation.
 #[data]
 pub struct Sampling {
-    /// The seed. The entry draws one where the caller gives none.
+    /// The random seed. The entry chooses one if the caller gives none.
     pub seed: u64,
-    /// The temperature.
+    /// The sampling temperature.
     pub temperature: f64,
-    /// The probability mass to draw from.
+    /// The cumulative probability of the tokens to sample from.
     pub top_p: f64,
-    /// Texts that end the output.
+    /// The stop sequences, each of which ends the output.
     pub stop: Vec<String>,
 }
 
@@ -60,41 +60,41 @@
 pub struct Generate {
     /// The model.
     pub model: ModelName,
-    /// The version, fixed for the generation's life.
+    /// The version, fixed for the lifetime of the generation.
     pub version: VersionName,
-    /// The adapter, fixed for the generation's life.
+    /// The adapter, fixed for the lifetime of the generation.
     pub adapter: Option<AdapterName>,
-    /// What to start from.
+    /// The prompt.
     pub prompt: Prompt,
-    /// How to draw tokens.
+    /// The sampling parameters.
     pub sampling: Sampling,
-    /// The output of earlier attempts, which this one continues.
+    /// The output of earlier attempts, which this attempt continues.
     pub so_far: Vec<TokenId>,
-    /// The most tokens of the whole output, earlier attempts included.
+    /// The maximum number of output tokens, including those of earlier attempts.
     pub max_tokens: TokenCount,
 }
 
-/// The head of a call to a plain service.
+/// The method, path and headers of a call to a plain service.
 #[data(Eq)]
 pub struct CallHead {
     /// The HTTP method.
     pub method: String,
-    /// The path and query below the service.
+    /// The path and query, relative to the root of the service.
     pub path: String,
-    /// End-to-end headers.
+    /// The end-to-end headers.
     pub headers: BTreeMap<String, String>,
 }
 
 /// Work for a plain service.
 #[data(Eq)]
 pub struct Call {
-    /// The head.
+    /// The method, path and headers.
     pub head: CallHead,
     /// The body.
     pub body: Bytes,
 }
 
-/// What an attempt is to do.
+/// The work of an attempt.
 #[data]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
@@ -104,89 +104,90 @@
     Call(Call),
 }
 
-/// When an attempt was made, on the clock of the agent that it is meant for.
+/// The creation time of an attempt, on the clock of the agent that receives it.
 ///
-/// An entry copies it from the newest report of the target that it has, once for each attempt, and
-/// sends the same one with each repeat and cancel. The agent refuses an attempt whose stamp is of
-/// another life or older than its tombstones, so an attempt that is late is never run anew.
+/// An entry copies the stamp from its newest report of the target, once for each attempt, and sends
+/// the same stamp with each repeat and cancel. The agent rejects an attempt whose stamp is from
+/// another incarnation or is older than the retention of its tombstones, so an attempt that arrives
+/// late is never executed again.
 #[data(Copy, Eq)]
 pub struct Stamp {
-    /// The life of the agent that the entry believes in.
+    /// The incarnation of the agent, as known to the entry.
     pub incarnation: Incarnation,
-    /// How old that life was, by [`crate::Load::age`].
+    /// The time since the start of that incarnation, taken from [`crate::Load::age`].
     pub age: Duration,
 }
 
-/// Asks an agent to run one attempt. A repeat attaches to the attempt that runs already.
+/// A request to an agent to run an attempt. A repeat attaches to the attempt if it already runs.
 ///
-/// Once an entry has sent a repeat, it no longer heeds the answers to earlier dispatches of the
-/// attempt: an agent that restarted between the two takes the late first one for the only one.
+/// Once an entry has sent a repeat, it ignores the responses to earlier dispatches of the attempt:
+/// an agent that restarted between the two treats a delayed first dispatch as the only one.
 #[data]
 pub struct Dispatch {
-    /// The attempt.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// When the attempt was made; the same in each repeat.
+    /// The creation time of the attempt, which is the same in each repeat.
     pub stamp: Stamp,
-    /// Whether this dispatch may have been sent before.
+    /// Whether this dispatch may already have been sent.
     pub repeat: bool,
-    /// The workspace that asks.
+    /// The workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The weight of that workspace.
+    /// The weight of the workspace.
     pub weight: u32,
-    /// The rank of its priority: a higher one goes first.
+    /// The rank of the priority of the request; a higher rank is served first.
     pub rank: u8,
-    /// Whether the work may run more than once.
+    /// Whether the work may be executed more than once.
     pub idempotent: bool,
-    /// Whether this continues or repeats an earlier attempt.
+    /// Whether the attempt continues or repeats an earlier one.
     pub resumed: bool,
-    /// How long the agent may keep the attempt waiting before it starts.
+    /// The maximum time that the attempt may wait at the agent before it starts.
     pub patience: Duration,
     /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The first index to send.
+    /// The index of the first token to send.
     pub from: TokenIndex,
     /// The work.
     pub work: Work,
 }
 
-/// Asks for the frames of an attempt that exists, from an index on.
+/// A request for the frames of an existing attempt, starting at an index.
 #[data(Eq)]
 pub struct Attach {
     /// The generation.
     pub generation: GenerationId,
-    /// The attempt, where the one who asks knows it; the newest otherwise.
+    /// The attempt, if the sender knows it; otherwise the newest one is used.
     ///
-    /// Entries that took over from each other may have dispatched several, and only one of them
-    /// continues what the caller has.
+    /// Entries that took over the generation from each other may have dispatched several attempts,
+    /// and only one of them continues the output that the caller has received.
     #[serde(default)]
     pub attempt: Option<AttemptNo>,
-    /// The workspace that asks; another's generation is never found.
+    /// The workspace of the caller; the generation is found only if it belongs to this workspace.
     pub workspace: WorkspaceId,
-    /// The first index to send.
+    /// The index of the first token to send.
     pub from: TokenIndex,
 }
 
-/// Tells an agent that all output below an index is safe with the entry.
+/// Acknowledges that the entry has received all output below an index.
 #[data(Eq)]
 pub struct Ack {
-    /// The attempt.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// The first index that may still be asked for.
+    /// The lowest index that may still be requested.
     pub next: TokenIndex,
 }
 
-/// Ends an attempt, also one that the agent has not seen yet and now never will run.
+/// Cancels an attempt. If the agent has not received the attempt yet, it will never run it.
 #[data(Eq)]
 pub struct Cancel {
-    /// The attempt.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// The stamp of its dispatch.
+    /// The stamp of the dispatch.
     pub stamp: Stamp,
 }
 
-/// The proof that answers a [`Cancel`].
+/// The response to a [`Cancel`], which tells whether the attempt was executed.
 #[data(Eq)]
 pub struct Cancelled {
-    /// `No` when nothing of the attempt reached the target, and now nothing will.
+    /// The execution status: `No` if nothing of the attempt has reached the target or ever will.
     pub ran: Ran,
 }
--- a/crates/cw_wire/src/frame.rs
+++ b/crates/cw_wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames of an attempt's answer.
+//! The frames in the response of an attempt.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 
 use crate::Load;
 
-/// One token with its text.
+/// A token with its text.
 #[data(Eq)]
 pub struct Token {
-    /// The token.
+    /// The token id.
     pub id: TokenId,
-    /// The text it adds.
+    /// The text that the token adds to the output.
     pub text: String,
 }
 
-/// How an output ended.
+/// Why an output ended.
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model or a stop text ended it.
+    /// The model or a stop sequence ended the output.
     Stop,
-    /// The most tokens were reached.
+    /// The output reached the maximum number of tokens.
     Length,
 }
 
@@ -35,98 +35,98 @@
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRunReason {
-    /// The target is full.
+    /// The target has no capacity left.
     Busy,
-    /// The target is leaving.
+    /// The target accepts no new work.
     Leaving,
-    /// The target's engine is down.
+    /// The engine of the target is down.
     TargetDown,
-    /// The target does not hold the version or adapter.
+    /// The target does not have the version or adapter loaded.
     WrongVersion,
     /// The attempt was cancelled before it started.
     Cancelled,
-    /// The attempt waited longer than its patience.
+    /// The attempt waited longer than [`crate::Dispatch::patience`].
     Expired,
-    /// The generation or attempt is not known here.
+    /// The agent does not know the generation or attempt.
     Unknown,
 }
 
-/// Why an attempt that ran failed.
+/// Why a running attempt failed.
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// The engine died under a living agent.
+    /// The engine crashed while its agent kept running.
     TargetLost,
-    /// The engine has produced nothing for too long.
+    /// The engine produced no output for too long.
     TargetStalled,
     /// The engine answered with an error.
     TargetError,
     /// The attempt was cancelled.
     Cancelled,
-    /// The output asked for is no longer kept.
+    /// The requested output is no longer stored.
     Trimmed,
 }
 
-/// One frame. Within a stream, indices rise without gaps.
+/// A frame of the response stream. Within a stream, the token indices increase without gaps.
 #[data]
 #[serde(rename_all = "snake_case")]
 pub enum Frame {
-    /// The attempt is admitted: the target has it, or will have it at once.
+    /// The attempt is admitted: the target has received it or receives it immediately.
     Accepted {
-        /// Prompt tokens that the target had cached, where known.
+        /// The number of prompt tokens that the target had cached, if known.
         cached: TokenCount,
-        /// The target's load.
+        /// The load of the target.
         load: Load,
     },
     /// Tokens of the output.
     Tokens {
-        /// The index of the first.
+        /// The index of the first token.
         first: TokenIndex,
         /// The tokens.
         tokens: Vec<Token>,
     },
-    /// The head of a plain service's answer.
+    /// The status and headers in the response of a plain service.
     Head {
         /// The HTTP status.
         status: u16,
-        /// End-to-end headers.
+        /// The end-to-end headers.
         headers: BTreeMap<String, String>,
     },
-    /// A part of the body of a plain service's answer.
+    /// A part of the body in the response of a plain service.
     Body {
-        /// The offset of its first byte.
+        /// The offset of the first byte within the body.
         offset: u64,
-        /// The bytes.
+        /// The content.
         bytes: Bytes,
     },
-    /// The agent and the path to it live, whatever the engine does.
+    /// Shows that the agent and the connection to it are alive, whatever the state of the engine.
     Heartbeat {
-        /// How long the engine has produced nothing for this attempt.
+        /// The time since the engine last produced output for this attempt.
         quiet: Duration,
     },
-    /// The output is whole.
+    /// The output is complete.
     Done {
-        /// How it ended.
+        /// Why the output ended.
         finish: FinishReason,
-        /// The index after the last.
+        /// The index after the last token.
         next: TokenIndex,
     },
     /// The attempt failed after it was admitted.
     Failed {
-        /// Why.
+        /// Why the attempt failed.
         failure: Failure,
-        /// Whether the work was run.
+        /// Whether the work was executed.
         ran: Ran,
-        /// The index after the last that this attempt produced.
+        /// The index after the last token that this attempt produced.
         next: TokenIndex,
     },
-    /// The attempt was not run and will not be: proven.
+    /// The attempt provably was not executed and never will be.
     NotRun {
-        /// Why.
+        /// Why the attempt was not run.
         reason: NotRunReason,
-        /// When it is worth asking again.
+        /// The time to wait before the next try.
         retry: Duration,
-        /// The target's load.
+        /// The load of the target.
         load: Load,
     },
 }
--- a/crates/cw_wire/src/lib.rs
+++ b/crates/cw_wire/src/lib.rs
@@ -1,13 +1,14 @@
 //! Messages between the processes of the system.
 //!
-//! Bodies are MessagePack by `rmp-serde`; a stream of [`Frame`]s is length-delimited. Paths are
-//! constants of [`path`]. Nothing here decides anything.
+//! Bodies are encoded as MessagePack by `rmp-serde`; a stream of [`Frame`]s is length-delimited.
+//! The HTTP paths are constants of [`path`]. This crate contains no decision logic.
 //!
-//! - [`Dispatch`] asks an agent to run an attempt; the answer is a stream of [`Frame`]s.
-//! - [`Attach`], [`Ack`] and [`Cancel`] refer to an attempt by id alone.
+//! - [`Dispatch`] requests an agent to run an attempt; the response is a stream of [`Frame`]s.
+//! - [`Attach`], [`Ack`] and [`Cancel`] refer to an attempt only by its id.
 //! - [`Report`] goes from an agent to a relay, [`ReportBatch`] from a relay to the other entries.
-//! - [`Demand`] says how much of their quotas workspaces use, for sharing quotas among entries.
+//! - [`Demand`] carries the quota demand of workspaces, by which entries share the quotas.
 //! - [`Order`] goes from the planner to an agent.
+//! - [`OutstandingWork`] goes from a forwarding entry to the other entries.
 
 mod cached_prompt;
 mod codec;
--- a/crates/cw_wire/src/load.rs
+++ b/crates/cw_wire/src/load.rs
@@ -1,28 +1,29 @@
-//! The load of one target.
+//! The load of a target.
 
 use std::time::Duration;
 
 use cw_macro::data;
 use cw_types::TokenCount;
 
-/// A target's load, as its agent sees it.
+/// The load of a target, as measured by its agent.
 #[data(Copy, Default)]
 #[serde(default)]
 pub struct Load {
-    /// Attempts that the engine runs.
+    /// The number of attempts that the engine runs.
     pub running: u32,
-    /// Attempts that wait at the agent or in the engine.
+    /// The number of attempts that wait at the agent or in the engine.
     pub waiting: u32,
-    /// The most attempts that the agent lets run now.
+    /// The maximum number of attempts that the agent currently runs at once.
     pub limit: u32,
-    /// Tokens that the engine's cache holds.
+    /// The number of tokens in the cache of the engine.
     pub cached: TokenCount,
-    /// Tokens that the engine's cache can hold.
+    /// The capacity of the cache of the engine, in tokens.
     pub capacity: TokenCount,
-    /// Prompt tokens that wait to be processed.
+    /// The number of prompt tokens that wait for prefill.
     pub prefill: TokenCount,
-    /// The time between tokens, recent and smoothed.
+    /// The recent inter-token latency, smoothed.
     pub step: Duration,
-    /// The age of the agent's life when this was read; the source of a [`crate::Stamp`].
+    /// The time from the start of the agent's incarnation to the measurement of the load; the
+    /// source of a [`crate::Stamp`].
     pub age: Duration,
 }
--- a/crates/cw_wire/src/load_update.rs
+++ b/crates/cw_wire/src/load_update.rs
@@ -1,4 +1,4 @@
-//! Loads in few bytes.
+//! Compact load updates.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use crate::Load;
 
-/// The share of the cache that stands for one step of [`LoadUpdate`], as a divisor.
+/// The number of steps into which [`LoadUpdate`] divides the capacity of the cache.
 const CACHE_STEPS: u64 = 100;
 
-/// Prompt tokens that stand for one step of [`LoadUpdate`].
-const PREFILL_STEP: u64 = 256;
+/// Prompt tokens per step of [`LoadUpdate::prefill`].
+const PREFILL_STEP_TOKENS: u64 = 256;
 
-/// Microseconds that stand for one step of [`LoadUpdate`].
+/// Microseconds per unit of [`LoadUpdate::step`].
 const STEP_MICROS: u64 = 1000;
 
-/// Milliseconds that stand for one step of an age in [`LoadUpdate`].
-const AGE_MILLIS: u64 = 10;
+/// Milliseconds per step of [`LoadUpdate::age`].
+const AGE_STEP_MILLIS: u64 = 10;
 
-/// A target's name in few bytes: a hash of its id.
+/// A hash that identifies a target in a few bytes.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct TargetHash(u32);
@@ -32,35 +32,36 @@
     }
 }
 
-/// A newer load of a target, in steps coarse enough for one byte where that is enough.
+/// A newer load of a target, quantised so that small values take one byte.
 #[data(Copy, Eq)]
-#[serde(from = "Packed", into = "Packed")]
+#[serde(from = "PackedUpdate", into = "PackedUpdate")]
 pub struct LoadUpdate {
     /// The target.
     pub target: TargetHash,
-    /// The number of the report within the life that was last passed on whole.
+    /// The sequence number of the report, within the incarnation of the last full report that was
+    /// forwarded.
     pub sequence: u64,
-    /// How old the report is, in steps of 10 ms.
+    /// The age of the report, in steps of 10 ms.
     pub age: u32,
-    /// Attempts that the engine runs.
+    /// The number of attempts that the engine runs.
     pub running: u32,
-    /// Attempts that wait.
+    /// The number of waiting attempts.
     pub waiting: u32,
-    /// The most attempts that the agent lets run now.
+    /// The maximum number of attempts that the agent currently runs at once.
     pub limit: u32,
-    /// How full the cache is, in hundredths.
+    /// The occupancy of the cache, in hundredths of its capacity.
     pub cached: u8,
-    /// Prompt tokens that wait, in steps of 256.
+    /// The number of waiting prompt tokens, in steps of 256.
     pub prefill: u32,
-    /// The time between tokens, in milliseconds.
+    /// The inter-token latency, in milliseconds.
     pub step: u16,
 }
 
-/// The form on the wire: a sequence without field names.
-type Packed = (TargetHash, u64, u32, u32, u32, u32, u8, u32, u16);
+/// The wire format: a sequence without field names.
+type PackedUpdate = (TargetHash, u64, u32, u32, u32, u32, u8, u32, u16);
 
-impl From<Packed> for LoadUpdate {
-    fn from(packed: Packed) -> Self {
+impl From<PackedUpdate> for LoadUpdate {
+    fn from(packed: PackedUpdate) -> Self {
         let (target, sequence, age, running, waiting, limit, cached, prefill, step) = packed;
         Self {
             target,
@@ -76,8 +77,8 @@
     }
 }
 
-impl From<LoadUpdate> for Packed {
-    fn from(update: LoadUpdate) -> Packed {
+impl From<LoadUpdate> for PackedUpdate {
+    fn from(update: LoadUpdate) -> PackedUpdate {
         (
             update.target,
             update.sequence,
@@ -93,7 +94,7 @@
 }
 
 impl LoadUpdate {
-    /// Packs a load.
+    /// Returns the compact form of a load.
     pub fn new(target: &TargetId, sequence: u64, age: Duration, load: &Load) -> Self {
         let capacity = load.capacity.0.max(1);
         let cached = load.cached.0.saturating_mul(CACHE_STEPS) / capacity;
@@ -101,29 +102,31 @@
         Self {
             target: TargetHash::from(target),
             sequence,
-            age: narrow(age.as_millis() as u64 / AGE_MILLIS),
+            age: saturate(age.as_millis() as u64 / AGE_STEP_MILLIS),
             running: load.running,
             waiting: load.waiting,
             limit: load.limit,
             cached: cached.min(CACHE_STEPS) as u8,
-            prefill: narrow(load.prefill.0 / PREFILL_STEP),
+            prefill: saturate(load.prefill.0 / PREFILL_STEP_TOKENS),
             step: u16::try_from(step).unwrap_or(u16::MAX),
         }
     }
 
-    /// Says how old the report is.
+    /// Sets the age of the report.
     pub fn set_age(&mut self, age: Duration) {
-        self.age = narrow(age.as_millis() as u64 / AGE_MILLIS);
+        self.age = saturate(age.as_millis() as u64 / AGE_STEP_MILLIS);
     }
 
-    /// Returns how old the report is.
+    /// Returns the age of the report.
     pub fn age(&self) -> Duration {
-        Duration::from_millis(u64::from(self.age) * AGE_MILLIS)
+        Duration::from_millis(u64::from(self.age) * AGE_STEP_MILLIS)
     }
 
-    /// Unpacks the load; what the update leaves out is taken from the load last passed on whole.
+    /// Returns the load; fields that the update lacks are taken from `full`, the last load that was
+    /// forwarded in full.
     ///
-    /// The age stays the older one: a stamp made of it is refused sooner, never later.
+    /// The age is that of `full`, which is the lower one, so a [`crate::Stamp`] made from it can
+    /// only be rejected earlier, never later.
     pub fn unpack(&self, full: &Load) -> Load {
         let capacity = full.capacity;
         Load {
@@ -133,12 +136,12 @@
             limit: self.limit,
             cached: TokenCount(capacity.0 * u64::from(self.cached) / CACHE_STEPS),
             capacity,
-            prefill: TokenCount(u64::from(self.prefill) * PREFILL_STEP),
+            prefill: TokenCount(u64::from(self.prefill) * PREFILL_STEP_TOKENS),
             step: Duration::from_micros(u64::from(self.step) * STEP_MICROS),
         }
     }
 }
 
-fn narrow(number: u64) -> u32 {
+fn saturate(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/cw_wire/src/order.rs
+++ b/crates/cw_wire/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines.
+//! Orders from the planner to engines.
 
 use cw_macro::data;
 use cw_types::AdapterName;
@@ -6,7 +6,7 @@
 use cw_types::ModelName;
 use cw_types::VersionName;
 
-/// What an engine is told to do.
+/// The operation that an order requests of an engine.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
@@ -16,10 +16,10 @@
         model: ModelName,
         /// The version.
         version: VersionName,
-        /// Where the weight store keeps its weights.
+        /// The location of the weights in the weight store.
         weights: String,
     },
-    /// Unload a model version that nothing is pinned to.
+    /// Unload a model version to which no generation is pinned.
     Unload {
         /// The model.
         model: ModelName,
@@ -37,43 +37,43 @@
     },
     /// Change the engine's role.
     Role {
-        /// The role, in the engine's own terms.
+        /// The name of the role, as the engine defines it.
         role: String,
     },
 }
 
-/// One order, from the holder of the planner's lease.
+/// An order, sent by the holder of the planner lease.
 #[data(Eq)]
 pub struct Order {
-    /// The fencing number of the planner's lease.
+    /// The fencing number of the planner lease.
     pub fencing: FencingNumber,
-    /// The order's number under this fencing number, which makes it idempotent.
+    /// The sequence number under this fencing number, which makes the order idempotent.
     pub sequence: u64,
-    /// What to do.
+    /// The requested operation.
     pub kind: OrderKind,
 }
 
-/// What became of an order.
+/// The response to an order.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderResponse {
-    /// Done, or done before.
+    /// The operation is complete, now or by an earlier order.
     Done,
-    /// Begun; the report tells when it is done.
+    /// The operation has started; a later report shows its completion.
     Begun,
-    /// Refused: a higher fencing number has been seen.
+    /// The order is rejected, because a higher fencing number has been seen.
     Fenced {
-        /// The highest one seen.
+        /// The highest fencing number seen.
         highest: FencingNumber,
     },
-    /// Refused: live generations are pinned to the version.
+    /// The order is rejected, because live generations are pinned to the version.
     Pinned {
-        /// How many.
+        /// The number of pinned generations.
         generations: u32,
     },
-    /// The engine refused or is down.
+    /// The engine rejected the operation or is down.
     Failed {
-        /// The engine's words.
+        /// The error message of the engine.
         message: String,
     },
 }
--- a/crates/cw_wire/src/outstanding_work.rs
+++ b/crates/cw_wire/src/outstanding_work.rs
@@ -1,4 +1,4 @@
-//! What a forwarding entry has at the targets, told to the other entries.
+//! The work that a forwarding entry has at the targets, as announced to the other entries.
 
 use cw_macro::data;
 use cw_types::HostId;
@@ -8,34 +8,34 @@
 use crate::DirectoryUpdate;
 use crate::TargetHash;
 
-/// What one entry has at one target.
+/// The work that one entry has at one target.
 #[data(Copy, Default, Eq)]
 pub struct TargetShare {
-    /// Requests that it has there.
+    /// Requests in progress.
     pub runs: u32,
-    /// Tokens in the prompts of those whose answer has not begun.
+    /// Prompt tokens of the requests whose answer has not started.
     pub unread: u64,
-    /// Copies of its runs that the target keeps.
+    /// Copies of the entry's runs that the target holds.
     pub copies: u32,
-    /// Cache memory that runs and copies take, in tokens.
+    /// Cache memory that the runs and copies occupy, in tokens.
     pub tokens: u64,
 }
 
-/// What one entry has at all targets. The newest message replaces all earlier ones.
+/// The work that one entry has at all targets. Each message replaces all earlier ones.
 #[data(Eq)]
 pub struct OutstandingWork {
-    /// The entry's host.
+    /// The host of the entry.
     pub host: HostId,
-    /// The entry's life.
+    /// The incarnation of the entry.
     pub incarnation: Incarnation,
-    /// The number of the message within that life.
+    /// The sequence number of the message within the incarnation.
     pub sequence: u64,
-    /// Where it has anything.
+    /// The work at each target where there is any.
     pub shares: Vec<(TargetHash, TargetShare)>,
-    /// Targets that broke off, went silent or could not be reached since the last message.
+    /// Targets that closed the connection, timed out or were unreachable since the last message.
     pub lost: Vec<TargetHash>,
-    /// Prompts that it has sent since the last message.
+    /// Prompts that the entry has sent since the last message.
     pub prompts: Vec<CachedPrompt>,
-    /// What it knows of the directory, if it watches it.
+    /// The directory changes, if the entry watches the directory.
     pub directory: Option<DirectoryUpdate>,
 }
--- a/crates/cw_wire/src/report.rs
+++ b/crates/cw_wire/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of agents and the batches that carry them.
+//! Reports of agents, the batches that relays forward, and configuration updates between peers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,158 +22,159 @@
 use crate::Load;
 use crate::LoadUpdate;
 
-/// A hash of what a request asks: workspace, model and prompt.
+/// A hash of the workspace, model and prompt of a request.
 #[data(Copy, Default, Eq, Hash, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
-/// Whether a target takes work.
+/// Whether a target accepts work.
 #[data(Copy, Default, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// The engine is not there yet, or no longer.
+    /// The engine has not started yet or has stopped.
     #[default]
     Down,
-    /// The target takes work.
+    /// The target accepts work.
     Up,
-    /// The target takes no new work and finishes what it has.
+    /// The target accepts no new work and finishes the work that it has.
     Leaving,
 }
 
-/// An engine's crash under a living agent.
+/// A crash of an engine whose agent kept running.
 #[data(Eq)]
 pub struct CrashReport {
-    /// The number of the crash within the agent's incarnation.
+    /// The sequence number of the crash within the incarnation of the agent.
     pub sequence: u64,
-    /// The fingerprints of the attempts in flight.
+    /// The fingerprints of the attempts in flight at the crash.
     pub suspects: Vec<Fingerprint>,
 }
 
-/// How many live attempts are pinned to each version of each model.
+/// The number of live attempts that are pinned to each version of each model.
 pub type Pins = BTreeMap<ModelName, BTreeMap<VersionName, u32>>;
 
-/// The state of one target, sent by its agent.
+/// The state of a target, sent by its agent.
 #[data]
 pub struct Report {
     /// The target.
     pub target: TargetId,
-    /// The host it runs on.
+    /// The host that the target runs on.
     pub host: HostId,
-    /// The agent's life: a report of an earlier life is ignored.
+    /// The incarnation of the agent; a report of an earlier incarnation is ignored.
     pub incarnation: Incarnation,
-    /// The number of the report within that life: an older report is ignored.
+    /// The sequence number of the report within the incarnation; an older report is ignored.
     pub sequence: u64,
-    /// Whether it takes work.
+    /// Whether the target accepts work.
     pub state: TargetState,
-    /// Its load.
+    /// The load of the target.
     pub load: Load,
-    /// The versions it holds ready.
+    /// The versions that are loaded and ready.
     pub versions: BTreeMap<ModelName, BTreeSet<VersionName>>,
-    /// How many live attempts are pinned to each version.
+    /// The number of live attempts that are pinned to each version.
     #[serde(default)]
     pub pinned: Pins,
-    /// The crashes of the last minutes.
+    /// The crashes of the last few minutes.
     pub crashes: Vec<CrashReport>,
     /// The configuration revision in force at the agent.
     pub revision: Revision,
 }
 
-/// What a relay tells an agent that reported to it.
+/// The response of a relay to the report of an agent.
 #[data(Copy, Default, Eq)]
 #[serde(default)]
 pub struct ReportResponse {
     /// The configuration revision in force at the relay.
     pub revision: Revision,
-    /// Whether operators drain the target or its host: it takes no new work.
+    /// Whether the target or its host is drained, so that the target accepts no new work.
     pub drained: bool,
 }
 
-/// A target that a relay has not heard from for a while.
+/// A target from which a relay has recently received no report.
 #[data(Eq)]
 pub struct SilentTarget {
     /// The relay.
     pub relay: HostId,
     /// The target.
     pub target: TargetId,
-    /// The life that was last heard.
+    /// The incarnation of the last report.
     pub incarnation: Incarnation,
-    /// How long nothing has been heard.
+    /// The time since the last report.
     pub quiet: Duration,
 }
 
-/// One entry, as it tells of itself.
+/// The state of an entry, announced by the entry itself.
 #[data(Eq)]
 pub struct ProcessState {
-    /// Its host.
+    /// The host of the entry.
     pub host: HostId,
-    /// The number of this statement, which rises also over restarts.
+    /// The sequence number of the announcement, which also increases across restarts.
     pub sequence: u64,
-    /// How old the statement is.
+    /// The age of the announcement.
     pub age: Duration,
-    /// The configuration revision in force there.
+    /// The configuration revision in force at the entry.
     pub revision: Revision,
-    /// The highest schema version that it reads of each kind of record.
+    /// The newest schema version that the entry can read, for each record kind.
     pub schemas: BTreeMap<RecordKind, SchemaVersion>,
 }
 
-/// Reports that a relay passes on, each with its age at the relay.
+/// Reports that a relay forwards, each with its age at the relay.
 #[data]
 pub struct ReportBatch {
     /// The host of the relay.
     pub relay: HostId,
-    /// The number of the batch.
+    /// The sequence number of the batch.
     pub sequence: u64,
     /// The configuration revision in force at the relay.
     pub revision: Revision,
     /// The reports and their ages.
     pub reports: Vec<(Duration, Report)>,
-    /// Newer loads of targets whose reports were passed on before.
+    /// Newer loads of targets whose reports were forwarded earlier.
     #[serde(default)]
     pub loads: Vec<LoadUpdate>,
-    /// Targets that report to this relay and have fallen silent.
+    /// Targets that report to this relay and have stopped doing so.
     #[serde(default)]
     pub silent: Vec<SilentTarget>,
-    /// Entries.
+    /// The states of entries.
     #[serde(default)]
     pub processes: Vec<ProcessState>,
-    /// Whether the relay passes on what other relays told it: such a batch goes no further.
+    /// Whether the batch carries what other relays sent to this relay. Such a batch is not
+    /// forwarded again.
     #[serde(default)]
     pub forwarded: bool,
-    /// What workspaces want at other entries, and the ages.
+    /// The quota demands at other entries and their ages.
     #[serde(default)]
     pub demands: Vec<(Duration, Demand)>,
 }
 
-/// Asks a peer for a newer configuration.
+/// A request to a peer for a newer configuration.
 #[data(Copy, Eq)]
 pub struct ConfigRequest {
-    /// The revision that the asking process has.
+    /// The revision that the requesting process has.
     pub have: Revision,
 }
 
-/// The part of a configuration that changed between two revisions.
+/// The difference between two revisions of a configuration.
 #[data]
 pub struct ConfigDelta {
-    /// The revision that it applies to.
+    /// The revision to which the delta applies.
     pub from: Revision,
-    /// The revision that it makes.
+    /// The revision that results.
     pub to: Revision,
-    /// The records that were written, with the revision that wrote each.
+    /// The records that were written, each with the revision that wrote it.
     pub written: Vec<(Revision, Record)>,
-    /// The records that were removed.
+    /// The keys of the records that were removed.
     pub removed: Vec<RecordKey>,
-    /// The changes between the two.
+    /// The accepted changes between the two revisions.
     pub changes: Vec<Change>,
 }
 
-/// A peer's answer to a [`ConfigRequest`].
+/// The response of a peer to a [`ConfigRequest`].
 #[data]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigResponse {
-    /// The peer has nothing newer.
+    /// The peer has no newer revision than this one.
     Current(Revision),
-    /// What changed.
+    /// The difference from the revision of the request.
     Delta(ConfigDelta),
-    /// The whole.
+    /// The complete snapshot.
     Whole(Snapshot),
 }
--- a/crates/cw_wire/tests/decoders.rs
+++ b/crates/cw_wire/tests/decoders.rs
@@ -1,6 +1,6 @@
-//! Decoders of outside bytes never panic, and what was written is read back.
+//! Decoders of untrusted bytes never panic, and encoded frames decode to the same frames.
 //!
-//! The cases are drawn from a fixed seed; `PROPTEST_CASES=100000` makes a longer run.
+//! The cases are generated from a fixed seed; `PROPTEST_CASES=100000` makes a longer run.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 use tokio_util::codec::Decoder;
 use tokio_util::codec::Encoder;
 
-/// The seed of every random case here.
+/// The seed of all generated cases in this file.
 const SEED: [u8; 32] = *b"cyclamenwharf decoders seed 0001";
 
 fn runner() -> TestRunner {
@@ -52,34 +52,34 @@
 }
 
 #[rstest]
-fn frames_cut_anywhere_are_read_back() {
+fn frames_split_at_any_byte_decode_unchanged() {
     let cases = (vec(frames(), 0..6), 1_usize..32);
-    let read_back = |(frames, step): (Vec<Frame>, usize)| {
-        let mut written = BytesMut::new();
+    let round_trip = |(frames, chunk_bytes): (Vec<Frame>, usize)| {
+        let mut encoded = BytesMut::new();
         for frame in &frames {
-            FrameCodec::default().encode(frame, &mut written).unwrap();
+            FrameCodec::default().encode(frame, &mut encoded).unwrap();
         }
 
         let mut codec = FrameCodec::default();
         let mut buffer = BytesMut::new();
-        let mut read = Vec::new();
-        for piece in written.chunks(step) {
-            buffer.extend_from_slice(piece);
+        let mut decoded = Vec::new();
+        for chunk in encoded.chunks(chunk_bytes) {
+            buffer.extend_from_slice(chunk);
             while let Some(frame) = codec.decode(&mut buffer).unwrap() {
-                read.push(frame);
+                decoded.push(frame);
             }
         }
 
-        prop_assert_eq!(read, frames);
+        prop_assert_eq!(decoded, frames);
         Ok(())
     };
 
-    runner().run(&cases, read_back).unwrap();
+    runner().run(&cases, round_trip).unwrap();
 }
 
 #[rstest]
 fn arbitrary_bytes_never_panic() {
-    let decode = |bytes: Vec<u8>| {
+    let decode_all = |bytes: Vec<u8>| {
         let _ = cw_wire::decode::<Dispatch>(&bytes);
         let _ = cw_wire::decode::<Report>(&bytes);
         let mut buffer = BytesMut::from(bytes.as_slice());
@@ -87,5 +87,5 @@
         Ok(())
     };
 
-    runner().run(&vec(any::<u8>(), 0..512), decode).unwrap();
+    runner().run(&vec(any::<u8>(), 0..512), decode_all).unwrap();
 }
