--- a/crates/cw_policy/src/configuration/accept.rs
+++ b/crates/cw_policy/src/configuration/accept.rs
@@ -85,9 +85,9 @@
 }
 
 /// What the live processes can read.
-pub trait Readers {
+pub trait SchemaSupport {
     /// Returns the hosts of live processes that cannot read a version of a kind.
-    fn unable(&self, kind: RecordKind, schema: SchemaVersion) -> Vec<HostId>;
+    fn unsupported_hosts(&self, kind: RecordKind, schema: SchemaVersion) -> Vec<HostId>;
 }
 
 /// Who accepts, and what is known while doing so.
@@ -99,38 +99,38 @@
     /// The present, in seconds since the Unix epoch.
     pub at: u64,
     /// What the live processes can read.
-    pub readers: &'a dyn Readers,
+    pub readers: &'a dyn SchemaSupport,
     /// What in use stands against a change, such as live generations pinned to a version.
     pub in_use: &'a [Breakage],
 }
 
 /// The decision on a proposal.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AcceptDecision {
     /// The snapshot that is to replace the present one by compare-and-swap.
     Write(Box<Snapshot>),
     /// The change was accepted before.
-    Already(Change),
+    AlreadyAccepted(Change),
     /// It is not accepted.
     Refused(Refusal),
 }
 
 /// Decides on a proposal.
-pub fn accept(snapshot: &Snapshot, proposal: &Proposal, by: &Acceptance<'_>) -> Verdict {
+pub fn accept(snapshot: &Snapshot, proposal: &Proposal, by: &Acceptance<'_>) -> AcceptDecision {
     let same = |change: &&Change| change.id == proposal.id;
     if let Some(change) = snapshot.changes.iter().find(same) {
-        return Verdict::Already(change.clone());
+        return AcceptDecision::AlreadyAccepted(change.clone());
     }
     if let Err(refusal) = check(snapshot, proposal, by) {
-        return Verdict::Refused(refusal);
+        return AcceptDecision::Refused(refusal);
     }
     let next = apply(snapshot, proposal, by);
     let mut breakages = dry_run(snapshot, &next);
     breakages.extend(by.in_use.iter().cloned());
     if !breakages.is_empty() {
-        return Verdict::Refused(Refusal::Breaks { breakages });
+        return AcceptDecision::Refused(Refusal::Breaks { breakages });
     }
-    Verdict::Write(Box::new(next))
+    AcceptDecision::Write(Box::new(next))
 }
 
 fn check(snapshot: &Snapshot, proposal: &Proposal, by: &Acceptance<'_>) -> Result<(), Refusal> {
@@ -160,7 +160,7 @@
     if let ProposalState::Rejected(by) = &proposal.state {
         return Err(Refusal::Rejected { by: by.clone() });
     }
-    // Taking a target out of work must not wait for a second person.
+    // ApplyOutcome a target out of work must not wait for a second person.
     let is_drain = |edit: &Edit| edit.key().kind == RecordKind::Drain;
     let alone = by.operator.self_approval || proposal.edits.iter().all(is_drain);
     if accepter == proposal.proposer && !alone {
@@ -173,7 +173,7 @@
     let Edit::Put(record) = edit else {
         return Ok(());
     };
-    let hosts = by.readers.unable(record.kind, record.schema);
+    let hosts = by.readers.unsupported_hosts(record.kind, record.schema);
     if hosts.is_empty() {
         return Ok(());
     }
--- a/crates/cw_policy/src/configuration/accept_flow.rs
+++ b/crates/cw_policy/src/configuration/accept_flow.rs
@@ -4,11 +4,11 @@
 use cw_types::Revision;
 use cw_types::Snapshot;
 
+use super::AcceptDecision;
 use super::Acceptance;
 use super::Proposal;
 use super::ProposalState;
 use super::Refusal;
-use super::Verdict;
 use super::accept;
 
 /// How often a write that met another one, or lost its answer, is tried.
@@ -47,9 +47,9 @@
     /// Read the proposal and the snapshot.
     Read,
     /// Write the proposal, if it is as it was read.
-    Mark(Box<Proposal>),
+    MarkAccepting(Box<Proposal>),
     /// Write the snapshot, if it is as it was read.
-    Write(Box<Snapshot>),
+    WriteSnapshot(Box<Snapshot>),
     /// Nothing more.
     End(FlowEnd),
 }
@@ -145,9 +145,9 @@
             return self.end(FlowEnd::Reverted { found, held });
         }
         match accept(snapshot, &proposal, by) {
-            Verdict::Already(change) => FlowStep::End(FlowEnd::Accepted(change)),
-            Verdict::Refused(refusal) => self.end(FlowEnd::Refused(refusal)),
-            Verdict::Write(next) => self.mark(proposal, next, by),
+            AcceptDecision::AlreadyAccepted(change) => FlowStep::End(FlowEnd::Accepted(change)),
+            AcceptDecision::Refused(refusal) => self.end(FlowEnd::Refused(refusal)),
+            AcceptDecision::Write(next) => self.mark(proposal, next, by),
         }
     }
 
@@ -155,10 +155,10 @@
     fn mark(&mut self, proposal: Proposal, next: Box<Snapshot>, by: &Acceptance<'_>) -> FlowStep {
         if let ProposalState::Accepting(_) = proposal.state {
             self.stage = Stage::Writing(next.clone());
-            return FlowStep::Write(next);
+            return FlowStep::WriteSnapshot(next);
         }
         self.stage = Stage::Marking(next);
-        FlowStep::Mark(Box::new(Proposal {
+        FlowStep::MarkAccepting(Box::new(Proposal {
             state: ProposalState::Accepting(by.accepter.clone()),
             ..proposal
         }))
@@ -169,7 +169,7 @@
             Stage::Reading => FlowStep::Read,
             Stage::Marking(next) => {
                 self.stage = Stage::Writing(next.clone());
-                FlowStep::Write(next)
+                FlowStep::WriteSnapshot(next)
             }
             Stage::Writing(next) => match next.changes.into_iter().next_back() {
                 Some(change) => FlowStep::End(FlowEnd::Accepted(change)),
--- a/crates/cw_policy/src/configuration/in_force.rs
+++ b/crates/cw_policy/src/configuration/active_config.rs
@@ -44,29 +44,29 @@
 
 /// What became of a snapshot.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taking {
+pub enum ApplyOutcome {
     /// It is in force; these records could not be read, and what was known of them goes on.
     Applied(Vec<ConfigError>),
     /// It was in force already.
-    Same,
+    Unchanged,
     /// It is older than what is in force, as a peer that lags may have it.
-    Older,
+    Stale,
     /// It must not be taken, and operators have to know.
-    Held(Alarm),
+    Rejected(Alarm),
     /// Only the whole snapshot will do.
-    NeedsWhole,
+    NeedsSnapshot,
 }
 
 /// The snapshot in force, which never goes back.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfig {
     snapshot: Arc<Snapshot>,
     config: Arc<Config>,
     known: bool,
     alarm: Option<Alarm>,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// Returns the snapshot.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
@@ -93,30 +93,30 @@
     }
 
     /// Takes a snapshot, unless that would go back.
-    pub fn take(&mut self, source: Source, snapshot: Snapshot) -> Taking {
+    pub fn apply(&mut self, source: Source, snapshot: Snapshot) -> ApplyOutcome {
         let outcome = self.judge(source, &snapshot);
         if source == Source::Store {
             self.alarm = match &outcome {
-                Taking::Held(alarm) => Some(alarm.clone()),
+                ApplyOutcome::Rejected(alarm) => Some(alarm.clone()),
                 _ => None,
             };
         }
         match outcome {
-            Taking::Applied(_) => Taking::Applied(self.apply(snapshot)),
+            ApplyOutcome::Applied(_) => ApplyOutcome::Applied(self.install(snapshot)),
             other => other,
         }
     }
 
     /// Takes a peer's answer.
-    pub fn take_answer(&mut self, answer: ConfigResponse) -> Taking {
+    pub fn apply_response(&mut self, answer: ConfigResponse) -> ApplyOutcome {
         match answer {
-            ConfigResponse::Current(revision) if revision < self.revision() => Taking::Older,
-            ConfigResponse::Current(_) => Taking::Same,
-            ConfigResponse::Whole(snapshot) => self.take(Source::Peer, snapshot),
+            ConfigResponse::Current(revision) if revision < self.revision() => ApplyOutcome::Stale,
+            ConfigResponse::Current(_) => ApplyOutcome::Unchanged,
+            ConfigResponse::Whole(snapshot) => self.apply(Source::Peer, snapshot),
             ConfigResponse::Delta(delta) => match apply_delta(&self.snapshot, &delta) {
-                Ok(snapshot) => self.take(Source::Peer, snapshot),
-                Err(_) if delta.to <= self.revision() => Taking::Older,
-                Err(_) => Taking::NeedsWhole,
+                Ok(snapshot) => self.apply(Source::Peer, snapshot),
+                Err(_) if delta.to <= self.revision() => ApplyOutcome::Stale,
+                Err(_) => ApplyOutcome::NeedsSnapshot,
             },
         }
     }
@@ -132,23 +132,23 @@
         }
     }
 
-    fn judge(&self, source: Source, snapshot: &Snapshot) -> Taking {
+    fn judge(&self, source: Source, snapshot: &Snapshot) -> ApplyOutcome {
         let (found, held) = (snapshot.revision, self.revision());
         if !self.known {
-            return Taking::Applied(Vec::new());
+            return ApplyOutcome::Applied(Vec::new());
         }
         if found < held {
             return match source {
-                Source::Store => Taking::Held(Alarm::Reverted { found, held }),
-                Source::Peer => Taking::Older,
+                Source::Store => ApplyOutcome::Rejected(Alarm::Reverted { found, held }),
+                Source::Peer => ApplyOutcome::Stale,
             };
         }
         if !self.continues(snapshot) {
-            return Taking::Held(Alarm::Diverged { found, held });
+            return ApplyOutcome::Rejected(Alarm::Diverged { found, held });
         }
         match found == held {
-            true => Taking::Same,
-            false => Taking::Applied(Vec::new()),
+            true => ApplyOutcome::Unchanged,
+            false => ApplyOutcome::Applied(Vec::new()),
         }
     }
 
@@ -171,7 +171,7 @@
         }
     }
 
-    fn apply(&mut self, snapshot: Snapshot) -> Vec<ConfigError> {
+    fn install(&mut self, snapshot: Snapshot) -> Vec<ConfigError> {
         let (mut config, errors) = Config::from_snapshot(&snapshot);
         for error in &errors {
             config.keep_previous(&error.key, &self.config);
--- a/crates/cw_policy/src/configuration/mod.rs
+++ b/crates/cw_policy/src/configuration/mod.rs
@@ -3,30 +3,34 @@
 //! - [`Proposal`] is a change that waits; [`accept`] decides on it,
 //!   and [`AcceptFlow`] takes the decision through a service that fails.
 //! - [`dry_run`] says what a change would break.
-//! - [`InForce`] holds the snapshot in force and never goes back.
+//! - [`ActiveConfig`] holds the snapshot in force and never goes back.
 //! - [`make_delta`] and [`apply_delta`] pass a change on without the rest.
 
 mod accept;
 mod accept_flow;
+mod active_config;
 mod delta;
 mod diff;
 mod dry_run;
-mod in_force;
 mod in_use;
 mod proposal;
 mod reject;
 mod watchers;
 
+pub use accept::AcceptDecision;
 pub use accept::Acceptance;
-pub use accept::Readers;
 pub use accept::Refusal;
-pub use accept::Verdict;
+pub use accept::SchemaSupport;
 pub use accept::accept;
 pub use accept_flow::AcceptFlow;
 pub use accept_flow::Fault;
 pub use accept_flow::FlowEnd;
 pub use accept_flow::FlowEvent;
 pub use accept_flow::FlowStep;
+pub use active_config::ActiveConfig;
+pub use active_config::Alarm;
+pub use active_config::ApplyOutcome;
+pub use active_config::Source;
 pub use delta::DeltaError;
 pub use delta::apply_delta;
 pub use delta::make_delta;
@@ -34,14 +38,10 @@
 pub use diff::diff;
 pub use dry_run::Breakage;
 pub use dry_run::dry_run;
-pub use in_force::Alarm;
-pub use in_force::InForce;
-pub use in_force::Source;
-pub use in_force::Taking;
 pub use in_use::in_use;
 pub use proposal::Edit;
 pub use proposal::Proposal;
 pub use proposal::ProposalState;
-pub use reject::Rejection;
+pub use reject::RejectDecision;
 pub use reject::reject;
 pub use watchers::is_watcher;
--- a/crates/cw_policy/src/configuration/proposal.rs
+++ b/crates/cw_policy/src/configuration/proposal.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether another proposal is a repeat of this one.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn is_repeat(&self, other: &Self) -> bool {
         self.id == other.id && self.proposer == other.proposer && self.edits == other.edits
     }
 
--- a/crates/cw_policy/src/configuration/reject.rs
+++ b/crates/cw_policy/src/configuration/reject.rs
@@ -8,33 +8,33 @@
 
 /// The decision on a rejection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Rejection {
+pub enum RejectDecision {
     /// The proposal that is to replace the present one by compare-and-swap.
     Write(Box<Proposal>),
     /// The same operator rejected it before.
-    Already,
+    AlreadyRejected,
     /// Another operator rejected it before.
-    Rejected(Actor),
+    RejectedBy(Actor),
     /// It is accepted, or may be at any moment.
-    Accepted(Actor),
+    AcceptedBy(Actor),
 }
 
 /// Decides on the rejection of a proposal, at an entry with this snapshot in force.
 ///
 /// The snapshot has the last word: a service that was restored from an older backup may hold the
 /// proposal as it was before it was accepted.
-pub fn reject(in_force: &Snapshot, proposal: &Proposal, by: &Actor) -> Rejection {
+pub fn reject(in_force: &Snapshot, proposal: &Proposal, by: &Actor) -> RejectDecision {
     let accepted = in_force.changes.iter().find(|c| c.id == proposal.id);
     if let Some(change) = accepted {
-        return Rejection::Accepted(change.accepter.clone());
+        return RejectDecision::AcceptedBy(change.accepter.clone());
     }
     match &proposal.state {
-        ProposalState::Pending => Rejection::Write(Box::new(Proposal {
+        ProposalState::Pending => RejectDecision::Write(Box::new(Proposal {
             state: ProposalState::Rejected(by.clone()),
             ..proposal.clone()
         })),
-        ProposalState::Rejected(other) if other == by => Rejection::Already,
-        ProposalState::Rejected(other) => Rejection::Rejected(other.clone()),
-        ProposalState::Accepting(other) => Rejection::Accepted(other.clone()),
+        ProposalState::Rejected(other) if other == by => RejectDecision::AlreadyRejected,
+        ProposalState::Rejected(other) => RejectDecision::RejectedBy(other.clone()),
+        ProposalState::Accepting(other) => RejectDecision::AcceptedBy(other.clone()),
     }
 }
--- a/crates/cw_policy/src/membership/member.rs
+++ b/crates/cw_policy/src/membership/member.rs
@@ -10,7 +10,7 @@
 use cw_wire::SilentTarget;
 use cw_wire::TargetState;
 
-use super::HostMark;
+use super::HostStatus;
 use super::MembershipLimits;
 use crate::Liveness;
 
@@ -37,7 +37,7 @@
     /// Whether operators drain the target.
     pub(super) drained: bool,
     /// What the host list says of its host.
-    pub(super) mark: HostMark,
+    pub(super) mark: HostStatus,
     /// How many witnesses there can be at most.
     pub(super) entries: usize,
 }
@@ -92,16 +92,17 @@
     /// Judges the target.
     pub(super) fn liveness(&self, at: &Circumstances, limits: &MembershipLimits) -> Liveness {
         let quiet = at.now.since(self.made.max(at.awake));
-        if quiet < limits.fresh {
+        if quiet < limits.silent_after {
             return self.stated(at);
         }
         let witnesses = self.witnesses(at, limits);
-        let needed = limits.witnesses.min(at.entries.max(1));
-        let proven = witnesses >= needed || at.mark == HostMark::Absent;
-        if proven && quiet >= limits.gone {
+        let needed = limits.min_witnesses.min(at.entries.max(1));
+        let proven = witnesses >= needed || at.mark == HostStatus::Absent;
+        if proven && quiet >= limits.gone_after {
             return Liveness::Gone;
         }
-        let doubted = witnesses > 0 || at.mark == HostMark::Absent || quiet >= limits.blind;
+        let doubted =
+            witnesses > 0 || at.mark == HostStatus::Absent || quiet >= limits.suspect_after;
         match self.stated(at) {
             Liveness::Alive if doubted => Liveness::Suspect,
             stated => stated,
@@ -111,14 +112,14 @@
     fn witnesses(&self, at: &Circumstances, limits: &MembershipLimits) -> usize {
         self.silences
             .values()
-            .filter(|(_, said)| at.now.since(*said) < limits.statement)
+            .filter(|(_, said)| at.now.since(*said) < limits.statement_ttl)
             .count()
     }
 
     /// What the target, its operators and the host list say of it.
     fn stated(&self, at: &Circumstances) -> Liveness {
         let leaving = self.report.state == TargetState::Leaving;
-        if leaving || at.drained || at.mark == HostMark::Leaving {
+        if leaving || at.drained || at.mark == HostStatus::Leaving {
             return Liveness::Leaving;
         }
         match self.report.state {
--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -27,7 +27,7 @@
 
 /// What the host list says of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostMark {
+pub enum HostStatus {
     /// Nothing: the list has not been read.
     Unknown,
     /// It is there.
@@ -40,13 +40,13 @@
 
 /// What became of news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum MergeOutcome {
     /// It was newer and is in force.
-    Taken,
+    Applied,
     /// It was old or repeated, or of an earlier life.
     Stale,
     /// It refers to a report that this process never got, so it should ask a peer for all.
-    Missing,
+    MissingReport,
 }
 
 /// The judgement of all targets, by reports, batches and the host list.
@@ -61,7 +61,7 @@
     names: BTreeMap<TargetHash, TargetId>,
     drained: BTreeSet<TargetId>,
     records: BTreeMap<TargetId, Target>,
-    hosts: Option<BTreeMap<HostId, HostMark>>,
+    hosts: Option<BTreeMap<HostId, HostStatus>>,
     entries: usize,
     ticked: Time,
     awake: Time,
@@ -89,7 +89,7 @@
 
     /// Notes that the process runs. After a pause of its own, the silence of others begins anew.
     pub fn on_tick(&mut self, now: Time) {
-        if now.since(self.ticked) > self.limits.pause {
+        if now.since(self.ticked) > self.limits.pause_threshold {
             self.awake = now;
         }
         self.ticked = now;
@@ -108,13 +108,13 @@
     }
 
     /// Takes the host list. `entries` is the number of live entries.
-    pub fn on_hosts(&mut self, hosts: BTreeMap<HostId, HostMark>, entries: usize) {
+    pub fn on_hosts(&mut self, hosts: BTreeMap<HostId, HostStatus>, entries: usize) {
         self.hosts = Some(hosts);
         self.entries = entries;
     }
 
     /// Takes a report that was made `age` ago.
-    pub fn on_report(&mut self, now: Time, age: Duration, report: Report) -> Outcome {
+    pub fn on_report(&mut self, now: Time, age: Duration, report: Report) -> MergeOutcome {
         let made = ago(now, age);
         let id = report.target.clone();
         let was = self.liveness(now, &id);
@@ -123,29 +123,31 @@
             Some(member) if member.is_older_than(&report, was == Liveness::Gone) => {
                 member.renew(report, made, was);
             }
-            Some(_) => return Outcome::Stale,
-            None if refused => return Outcome::Stale,
+            Some(_) => return MergeOutcome::Stale,
+            None if refused => return MergeOutcome::Stale,
             None => {
                 self.names.insert(TargetHash::from(&id), id.clone());
                 self.members.insert(id, Member::new(report, made));
             }
         }
-        Outcome::Taken
+        MergeOutcome::Applied
     }
 
     /// Takes a batch of a relay.
-    pub fn on_batch(&mut self, now: Time, batch: &ReportBatch) -> Outcome {
-        let mut outcome = Outcome::Stale;
+    pub fn on_batch(&mut self, now: Time, batch: &ReportBatch) -> MergeOutcome {
+        let mut outcome = MergeOutcome::Stale;
         for (age, report) in &batch.reports {
-            if self.on_report(now, *age, report.clone()) == Outcome::Taken {
-                outcome = Outcome::Taken;
+            if self.on_report(now, *age, report.clone()) == MergeOutcome::Applied {
+                outcome = MergeOutcome::Applied;
             }
         }
         for update in &batch.loads {
             match self.on_load(now, update) {
-                Outcome::Missing => outcome = Outcome::Missing,
-                Outcome::Taken if outcome == Outcome::Stale => outcome = Outcome::Taken,
-                Outcome::Taken | Outcome::Stale => {}
+                MergeOutcome::MissingReport => outcome = MergeOutcome::MissingReport,
+                MergeOutcome::Applied if outcome == MergeOutcome::Stale => {
+                    outcome = MergeOutcome::Applied
+                }
+                MergeOutcome::Applied | MergeOutcome::Stale => {}
             }
         }
         for silence in &batch.silent {
@@ -161,16 +163,16 @@
         }
     }
 
-    fn on_load(&mut self, now: Time, update: &LoadUpdate) -> Outcome {
+    fn on_load(&mut self, now: Time, update: &LoadUpdate) -> MergeOutcome {
         let id = self.names.get(&update.target);
         let Some(member) = id.and_then(|id| self.members.get_mut(id)) else {
-            return Outcome::Missing;
+            return MergeOutcome::MissingReport;
         };
         if update.sequence <= member.report.sequence {
-            return Outcome::Stale;
+            return MergeOutcome::Stale;
         }
         member.update(update, ago(now, update.age()));
-        Outcome::Taken
+        MergeOutcome::Applied
     }
 
     fn is_full(&self) -> bool {
@@ -201,7 +203,7 @@
     }
 
     /// Returns since when this process has run without a pause.
-    pub fn awake(&self) -> Time {
+    pub fn running_since(&self) -> Time {
         self.awake
     }
 
@@ -239,10 +241,10 @@
         }
     }
 
-    fn mark(&self, host: &HostId) -> HostMark {
+    fn mark(&self, host: &HostId) -> HostStatus {
         match &self.hosts {
-            None => HostMark::Unknown,
-            Some(hosts) => hosts.get(host).copied().unwrap_or(HostMark::Absent),
+            None => HostStatus::Unknown,
+            Some(hosts) => hosts.get(host).copied().unwrap_or(HostStatus::Absent),
         }
     }
 }
--- a/crates/cw_policy/src/membership/mod.rs
+++ b/crates/cw_policy/src/membership/mod.rs
@@ -1,31 +1,31 @@
 //! Which targets and entries are there, and who passes on what is known of them.
 //!
 //! - [`Members`] judges targets by reports, batches and the host list.
-//! - [`Grid`] says which entry passes a batch on to which others.
+//! - [`RelayGroups`] says which entry passes a batch on to which others.
 //! - [`Outbox`] gathers what the next batch carries.
 //! - [`Processes`] keeps what entries tell of themselves.
 
 mod demands;
-mod grid;
-mod limits;
 mod member;
 mod members;
+mod membership_limits;
 mod outbox;
 mod processes;
 mod relay;
+mod relay_groups;
 mod relays;
 
-pub use grid::Grid;
-pub use limits::MembershipLimits;
-pub use members::HostMark;
+pub use members::HostStatus;
 pub use members::Members;
-pub use members::Outcome;
+pub use members::MergeOutcome;
+pub use membership_limits::MembershipLimits;
 pub use outbox::Outbox;
 pub use processes::Processes;
 pub use relay::Relay;
-pub use relay::Sendings;
+pub use relay::RelayBatches;
 pub use relay::Urgency;
-pub use relays::RELAYS;
+pub use relay_groups::RelayGroups;
+pub use relays::RELAYS_PER_TARGET;
 pub use relays::primary_relay;
 pub use relays::relays;
 
--- a/crates/cw_policy/src/membership/relay.rs
+++ b/crates/cw_policy/src/membership/relay.rs
@@ -20,9 +20,9 @@
 use cw_wire::SilentTarget;
 use cw_wire::TargetHash;
 
-use super::Grid;
 use super::Members;
 use super::Outbox;
+use super::RelayGroups;
 use super::ago;
 use super::demands::Demands;
 
@@ -64,20 +64,20 @@
 
 /// The batches of one round.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sendings {
+pub struct RelayBatches {
     /// For each entry of the own group.
-    pub near: Option<ReportBatch>,
+    pub group: Option<ReportBatch>,
     /// For the entries of other groups.
-    pub far: Option<ReportBatch>,
+    pub forwarded: Option<ReportBatch>,
 }
 
 /// When what a report says has to be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// With the next round.
-    Round,
+    NextRound,
     /// At once: the target takes work no more, or takes it again.
-    Now,
+    Immediate,
 }
 
 /// What an entry passes on of the reports that it gets.
@@ -127,14 +127,14 @@
             });
         let old = (direct.report.incarnation, direct.report.sequence);
         if (report.incarnation, report.sequence) < old {
-            return Urgency::Round;
+            return Urgency::NextRound;
         }
         let changed = direct.report.state != report.state;
         direct.heard = now;
         direct.report = report;
         match changed || direct.whole.is_none() {
-            true => Urgency::Now,
-            false => Urgency::Round,
+            true => Urgency::Immediate,
+            false => Urgency::NextRound,
         }
     }
 
@@ -168,10 +168,10 @@
         now: Time,
         members: &Members,
         revision: Revision,
-        grid: &Grid,
+        grid: &RelayGroups,
         is_first: &dyn Fn(&TargetId) -> bool,
-    ) -> Sendings {
-        let awake = members.awake();
+    ) -> RelayBatches {
+        let awake = members.running_since();
         self.direct
             .retain(|_, direct| is_kept(now, awake, direct, members));
         let period = Self::period(grid.size());
@@ -186,9 +186,9 @@
             forwarded,
             ..batch
         };
-        Sendings {
-            near: (!grid.near.is_empty()).then(|| numbered(near, false)),
-            far: (!grid.far.is_empty()).then(|| numbered(far, true)),
+        RelayBatches {
+            group: (!grid.group_peers.is_empty()).then(|| numbered(near, false)),
+            forwarded: (!grid.forward_peers.is_empty()).then(|| numbered(far, true)),
         }
     }
 
--- a/crates/cw_policy/src/membership/grid.rs
+++ b/crates/cw_policy/src/membership/relay_groups.rs
@@ -15,33 +15,33 @@
 /// the number of entries. Groups and shares are chosen by hashing, so that one entry more or
 /// less moves only its own part, and views that differ a little still fit together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Grid {
+pub struct RelayGroups {
     /// The other entries of the own group.
-    pub near: Vec<EntryPeer>,
+    pub group_peers: Vec<EntryPeer>,
     /// The entries of other groups to which this one passes on what its group says.
-    pub far: Vec<EntryPeer>,
+    pub forward_peers: Vec<EntryPeer>,
     size: usize,
 }
 
-impl Grid {
+impl RelayGroups {
     /// Arranges `entries` from the side of the one on `host`.
     pub fn new(host: &HostId, entries: &[EntryPeer]) -> Self {
         let groups = group_count(entries.len());
         let own = group(host, groups);
-        let (near, rest): (Vec<_>, Vec<_>) = entries
+        let (group_peers, rest): (Vec<_>, Vec<_>) = entries
             .iter()
             .filter(|entry| entry.host != *host)
             .cloned()
             .partition(|entry| group(&entry.host, groups) == own);
         let chosen = |entry: &EntryPeer| {
             let rank = |via: &HostId| weight(via.as_str(), entry.host.as_str());
-            let best = near.iter().map(|peer| rank(&peer.host)).max();
+            let best = group_peers.iter().map(|peer| rank(&peer.host)).max();
             best.is_none_or(|best| rank(host) > best)
         };
-        let far = rest.into_iter().filter(chosen).collect();
+        let forward_peers = rest.into_iter().filter(chosen).collect();
         Self {
-            near,
-            far,
+            group_peers,
+            forward_peers,
             size: entries.len(),
         }
     }
--- a/crates/cw_policy/src/membership/relays.rs
+++ b/crates/cw_policy/src/membership/relays.rs
@@ -8,7 +8,7 @@
 use crate::EntryPeer;
 
 /// To how many entries an agent reports.
-pub const RELAYS: usize = 3;
+pub const RELAYS_PER_TARGET: usize = 3;
 
 /// Returns the relays of a target, the first choice first: entries of its region, or of any where
 /// the region has none.
@@ -24,7 +24,7 @@
         ranked.retain(|entry| entry.region == *region);
     }
     ranked.sort_by_cached_key(|entry| weight(entry, target));
-    ranked.truncate(RELAYS);
+    ranked.truncate(RELAYS_PER_TARGET);
     ranked
 }
 
--- a/crates/cw_policy/src/planner/lease.rs
+++ b/crates/cw_policy/src/planner/lease.rs
@@ -54,7 +54,7 @@
         created: FencingNumber,
     },
     /// Another entry has the key.
-    Taken,
+    HeldElsewhere,
     /// The lease was kept alive by a call at this moment.
     Renewed {
         /// When the call was made.
@@ -63,7 +63,7 @@
         ttl: Duration,
     },
     /// The service does not know the lease any more.
-    Lapsed,
+    Expired,
     /// A call failed, or its answer was lost.
     Failed,
 }
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Nothing.
-    Rest,
+    Wait,
     /// Read the key, and ask for a lease of this length if it is free.
     Grant {
         /// How long the service is to keep it.
@@ -144,9 +144,9 @@
             LeaseEvent::Tick { candidate } => self.on_tick(now, candidate),
             LeaseEvent::Granted { asked, lease } => self.on_granted(now, asked, lease),
             LeaseEvent::Claimed { created } => self.on_claimed(now, created),
-            LeaseEvent::Taken => self.on_taken(now),
+            LeaseEvent::HeldElsewhere => self.on_taken(now),
             LeaseEvent::Renewed { asked, ttl } => self.on_renewed(asked, ttl),
-            LeaseEvent::Lapsed => self.leave(now),
+            LeaseEvent::Expired => self.leave(now),
             LeaseEvent::Failed => self.on_failed(now),
         }
     }
@@ -174,7 +174,7 @@
                 };
                 LeaseStep::Renew { lease }
             }
-            _ => LeaseStep::Rest,
+            _ => LeaseStep::Wait,
         }
     }
 
@@ -196,7 +196,7 @@
                 renew: now,
             };
         }
-        LeaseStep::Rest
+        LeaseStep::Wait
     }
 
     fn on_taken(&mut self, now: Time) -> LeaseStep {
@@ -204,7 +204,7 @@
         self.leave(now);
         match stage {
             Stage::Claiming { lease, .. } => LeaseStep::Revoke { lease },
-            _ => LeaseStep::Rest,
+            _ => LeaseStep::Wait,
         }
     }
 
@@ -212,7 +212,7 @@
         if let Stage::Holding { until, .. } = &mut self.stage {
             *until = (*until).max(end_of(asked, ttl));
         }
-        LeaseStep::Rest
+        LeaseStep::Wait
     }
 
     fn on_failed(&mut self, now: Time) -> LeaseStep {
@@ -221,7 +221,7 @@
             // Whether the key was written is found out by claiming again.
             Stage::Claiming { lease, until } if now < until => LeaseStep::Claim { lease },
             Stage::Claiming { .. } => self.leave(now),
-            Stage::Out { .. } | Stage::Holding { .. } => LeaseStep::Rest,
+            Stage::Out { .. } | Stage::Holding { .. } => LeaseStep::Wait,
         }
     }
 
@@ -229,7 +229,7 @@
         self.stage = Stage::Out {
             ask: now + ASK_PERIOD,
         };
-        LeaseStep::Rest
+        LeaseStep::Wait
     }
 }
 
--- a/crates/cw_policy/src/planner/mod.rs
+++ b/crates/cw_policy/src/planner/mod.rs
@@ -5,16 +5,16 @@
 
 mod checks;
 mod lease;
-mod need;
 mod planner_state;
+mod required_versions;
 
 pub use lease::Lease;
 pub use lease::LeaseEvent;
 pub use lease::LeaseStep;
 pub use lease::is_candidate;
-pub use need::Need;
 pub use planner_state::OrderOutcome;
 pub use planner_state::PlannedOrder;
 pub use planner_state::Planner;
 pub use planner_state::PlannerInput;
-pub use planner_state::Weight;
+pub use planner_state::WeightsInfo;
+pub use required_versions::RequiredVersions;
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -17,7 +17,7 @@
 use cw_wire::OrderResponse;
 use cw_wire::Pins;
 
-use super::Need;
+use super::RequiredVersions;
 use super::checks::holds;
 use super::checks::is_unpinned;
 use super::checks::is_usable;
@@ -41,14 +41,14 @@
 
 /// What the weight store says of one set of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Weight {
+pub struct WeightsInfo {
     /// Its size.
     pub size: ByteSize,
     /// How many bytes a second the store gives out to all readers together.
     pub rate: ByteSize,
 }
 
-impl Weight {
+impl WeightsInfo {
     /// Returns how long one load takes when it is alone.
     pub fn load_time(&self) -> Duration {
         let micros = self.size.0.saturating_mul(1_000_000) / self.rate.0.max(1);
@@ -62,7 +62,7 @@
     /// The view of targets and records.
     pub view: &'a View,
     /// What is known of weights; without it nothing is loaded.
-    pub weights: &'a BTreeMap<String, Weight>,
+    pub weights: &'a BTreeMap<String, WeightsInfo>,
     /// The pinned versions that targets reported; a target without an entry may have any.
     pub pins: &'a BTreeMap<TargetId, Pins>,
 }
@@ -146,7 +146,7 @@
         };
         self.settle(now, input.view);
         let mut orders = self.resend(now);
-        for (model, need) in Need::read(&input.view.config) {
+        for (model, need) in RequiredVersions::from_config(&input.view.config) {
             let mut kinds = self.loads(now, &model, &need, input);
             kinds.extend(self.adapter_loads(&model, &need, input.view));
             kinds.extend(self.unloads(now, &model, &need, input));
@@ -273,7 +273,7 @@
         &mut self,
         now: Time,
         model: &ModelName,
-        need: &Need,
+        need: &RequiredVersions,
         input: PlannerInput<'_>,
     ) -> Vec<Task> {
         for (name, version) in &need.versions {
@@ -319,7 +319,7 @@
             .map(|(id, _)| id.clone())
     }
 
-    fn adapter_loads(&self, model: &ModelName, need: &Need, view: &View) -> Vec<Task> {
+    fn adapter_loads(&self, model: &ModelName, need: &RequiredVersions, view: &View) -> Vec<Task> {
         let mut found = BTreeMap::new();
         for (name, version) in &need.versions {
             for (id, seen) in &view.targets {
@@ -356,7 +356,7 @@
         &mut self,
         now: Time,
         model: &ModelName,
-        need: &Need,
+        need: &RequiredVersions,
         input: PlannerInput<'_>,
     ) -> Vec<Task> {
         let view = input.view;
--- a/crates/cw_policy/src/planner/need.rs
+++ b/crates/cw_policy/src/planner/required_versions.rs
@@ -12,7 +12,7 @@
 
 /// What the records ask of engines for one model.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Need {
+pub struct RequiredVersions {
     /// The versions that should be loaded.
     pub versions: BTreeMap<VersionName, ModelVersion>,
     /// Versions that routes name without a record: they are not unloaded.
@@ -21,10 +21,10 @@
     pub keep: Duration,
 }
 
-impl Need {
+impl RequiredVersions {
     /// Reads the needs of all models that have a version record; others are not managed.
-    pub fn read(config: &Config) -> BTreeMap<ModelName, Need> {
-        let mut needs = BTreeMap::<ModelName, Need>::new();
+    pub fn from_config(config: &Config) -> BTreeMap<ModelName, RequiredVersions> {
+        let mut needs = BTreeMap::<ModelName, RequiredVersions>::new();
         for version in config.versions.values() {
             let need = needs.entry(version.model.clone()).or_default();
             need.keep = need.keep.max(version.keep);
--- a/crates/cw_policy/src/slo/burn.rs
+++ b/crates/cw_policy/src/slo/burn.rs
@@ -69,7 +69,7 @@
     /// Returns the part of the error budget of the longest window that is left, at most 1.
     ///
     /// It is negative when more was spent than allowed.
-    pub fn left(&self) -> Option<f64> {
+    pub fn budget_left(&self) -> Option<f64> {
         self.rate(Window::ThreeDays).map(|rate| 1.0 - rate)
     }
 
--- a/crates/cw_policy/src/slo/book.rs
+++ b/crates/cw_policy/src/slo/slo_recorder.rs
@@ -28,14 +28,14 @@
 
 /// The events of one process since its start.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct SloRecorder {
     /// What is promised.
     pub objectives: Objectives,
     started: Time,
     series: BTreeMap<(Class, Objective), Series>,
 }
 
-impl Book {
+impl SloRecorder {
     /// Returns an empty book, begun now.
     pub fn new(now: Time, objectives: Objectives) -> Self {
         Self {
--- a/crates/cw_policy/tests/configuration.rs
+++ b/crates/cw_policy/tests/configuration.rs
@@ -1,17 +1,17 @@
 //! Acceptance of changes, and what comes into force.
 
+use cw_policy::configuration::AcceptDecision;
 use cw_policy::configuration::Acceptance;
+use cw_policy::configuration::ActiveConfig;
 use cw_policy::configuration::Alarm;
+use cw_policy::configuration::ApplyOutcome;
 use cw_policy::configuration::Breakage;
 use cw_policy::configuration::Edit;
-use cw_policy::configuration::InForce;
 use cw_policy::configuration::Proposal;
 use cw_policy::configuration::ProposalState;
-use cw_policy::configuration::Readers;
 use cw_policy::configuration::Refusal;
+use cw_policy::configuration::SchemaSupport;
 use cw_policy::configuration::Source;
-use cw_policy::configuration::Taking;
-use cw_policy::configuration::Verdict;
 use cw_policy::configuration::accept;
 use cw_policy::configuration::apply_delta;
 use cw_policy::configuration::is_watcher;
@@ -34,8 +34,8 @@
 /// Live processes that read schema versions up to this one.
 struct Reads(u32);
 
-impl Readers for Reads {
-    fn unable(&self, _kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
+impl SchemaSupport for Reads {
+    fn unsupported_hosts(&self, _kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
         match schema.0 > self.0 {
             true => vec![name("entry-old")],
             false => Vec::new(),
@@ -75,7 +75,7 @@
     Proposal::new(name(id), name("alice"), 1, edits, snapshot)
 }
 
-fn decide(snapshot: &Snapshot, proposal: &Proposal, accepter: &str, alone: bool) -> Verdict {
+fn decide(snapshot: &Snapshot, proposal: &Proposal, accepter: &str, alone: bool) -> AcceptDecision {
     let accepter: Actor = name(accepter);
     let by = Acceptance {
         accepter: &accepter,
@@ -90,7 +90,7 @@
 /// Accepts edits by a second person.
 fn accepted(snapshot: &Snapshot, id: &str, edits: Vec<Edit>) -> Snapshot {
     match decide(snapshot, &propose(snapshot, id, edits), "bob", false) {
-        Verdict::Write(next) => *next,
+        AcceptDecision::Write(next) => *next,
         other => panic!("expected an acceptance, found {other:?}"),
     }
 }
@@ -130,13 +130,16 @@
 #[test]
 fn acceptance_is_idempotent_on_the_change_id() {
     let proposal = propose(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
-    let Verdict::Write(next) = decide(&Snapshot::default(), &proposal, "bob", false) else {
+    let AcceptDecision::Write(next) = decide(&Snapshot::default(), &proposal, "bob", false) else {
         panic!("expected an acceptance");
     };
 
     let again = decide(&next, &proposal, "bob", false);
 
-    assert_eq!(again, Verdict::Already(next.changes[0].clone()));
+    assert_eq!(
+        again,
+        AcceptDecision::AlreadyAccepted(next.changes[0].clone())
+    );
 }
 
 #[test]
@@ -147,7 +150,7 @@
 
     let verdict = decide(&next, &late, "bob", false);
 
-    let Verdict::Refused(Refusal::Conflict { key, other, .. }) = verdict else {
+    let AcceptDecision::Refused(Refusal::Conflict { key, other, .. }) = verdict else {
         panic!("expected a conflict, found {verdict:?}");
     };
     assert_eq!(key, priority("p", 1).key());
@@ -165,7 +168,7 @@
 
     assert!(matches!(
         verdict,
-        Verdict::Refused(Refusal::Conflict { .. })
+        AcceptDecision::Refused(Refusal::Conflict { .. })
     ));
 }
 
@@ -177,7 +180,7 @@
 
     let verdict = decide(&next, &other, "bob", false);
 
-    assert!(matches!(verdict, Verdict::Write(_)));
+    assert!(matches!(verdict, AcceptDecision::Write(_)));
 }
 
 #[rstest]
@@ -194,7 +197,7 @@
 
     let verdict = decide(&empty, &proposal, accepter, alone);
 
-    assert_eq!(matches!(verdict, Verdict::Write(_)), allowed);
+    assert_eq!(matches!(verdict, AcceptDecision::Write(_)), allowed);
 }
 
 #[test]
@@ -205,7 +208,7 @@
 
     let verdict = decide(&empty, &proposal, "alice", false);
 
-    assert!(matches!(verdict, Verdict::Write(_)));
+    assert!(matches!(verdict, AcceptDecision::Write(_)));
 }
 
 #[test]
@@ -225,7 +228,10 @@
 
     let verdict = accept(&empty, &proposal, &by);
 
-    assert!(matches!(verdict, Verdict::Refused(Refusal::Role { .. })));
+    assert!(matches!(
+        verdict,
+        AcceptDecision::Refused(Refusal::Role { .. })
+    ));
 }
 
 #[test]
@@ -238,7 +244,7 @@
 
     assert_eq!(
         verdict,
-        Verdict::Refused(Refusal::Rejected { by: name("carol") })
+        AcceptDecision::Refused(Refusal::Rejected { by: name("carol") })
     );
 }
 
@@ -250,7 +256,7 @@
 
     let verdict = decide(&empty, &proposal, "bob", false);
 
-    let Verdict::Refused(Refusal::Unreadable { hosts, schema, .. }) = verdict else {
+    let AcceptDecision::Refused(Refusal::Unreadable { hosts, schema, .. }) = verdict else {
         panic!("expected a refusal, found {verdict:?}");
     };
     assert_eq!(hosts, [name::<HostId>("entry-old")]);
@@ -267,7 +273,7 @@
 
     let verdict = decide(&present, &proposal, "bob", false);
 
-    let Verdict::Refused(Refusal::Breaks { breakages }) = verdict else {
+    let AcceptDecision::Refused(Refusal::Breaks { breakages }) = verdict else {
         panic!("expected a refusal, found {verdict:?}");
     };
     let expected = match removed {
@@ -293,7 +299,10 @@
         route: name("r1"),
         version: name("v2"),
     }];
-    assert_eq!(verdict, Verdict::Refused(Refusal::Breaks { breakages }));
+    assert_eq!(
+        verdict,
+        AcceptDecision::Refused(Refusal::Breaks { breakages })
+    );
 }
 
 #[test]
@@ -313,19 +322,19 @@
 fn lower_revision_is_held_with_an_alarm_until_the_service_catches_up() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
     let two = accepted(&one, "c2", vec![put(priority("q", 1))]);
-    let mut in_force = InForce::default();
-    in_force.take(Source::Store, two.clone());
+    let mut in_force = ActiveConfig::default();
+    in_force.apply(Source::Store, two.clone());
 
-    let taking = in_force.take(Source::Store, one);
+    let taking = in_force.apply(Source::Store, one);
 
     let alarm = Alarm::Reverted {
         found: Revision(1),
         held: Revision(2),
     };
-    assert_eq!(taking, Taking::Held(alarm.clone()));
+    assert_eq!(taking, ApplyOutcome::Rejected(alarm.clone()));
     assert_eq!(in_force.alarm(), Some(&alarm));
     assert_eq!(in_force.revision(), Revision(2));
-    assert_eq!(in_force.take(Source::Store, two), Taking::Same);
+    assert_eq!(in_force.apply(Source::Store, two), ApplyOutcome::Unchanged);
     assert_eq!(in_force.alarm(), None);
 }
 
@@ -335,12 +344,15 @@
     let ours = accepted(&one, "ours", vec![put(priority("q", 1))]);
     let theirs = accepted(&one, "theirs", vec![put(priority("q", 2))]);
     let theirs = accepted(&theirs, "theirs-2", vec![put(priority("q", 3))]);
-    let mut in_force = InForce::default();
-    in_force.take(Source::Store, ours.clone());
+    let mut in_force = ActiveConfig::default();
+    in_force.apply(Source::Store, ours.clone());
 
-    let taking = in_force.take(Source::Store, theirs);
+    let taking = in_force.apply(Source::Store, theirs);
 
-    assert!(matches!(taking, Taking::Held(Alarm::Diverged { .. })));
+    assert!(matches!(
+        taking,
+        ApplyOutcome::Rejected(Alarm::Diverged { .. })
+    ));
     assert_eq!(**in_force.snapshot(), ours);
 }
 
@@ -352,12 +364,12 @@
     let newer = record(RecordKind::Priority, "p", 9, json!({ "level": "x" }));
     two.records
         .insert(newer.key(), (Revision(2), newer.clone()));
-    let mut in_force = InForce::default();
-    in_force.take(Source::Store, one);
+    let mut in_force = ActiveConfig::default();
+    in_force.apply(Source::Store, one);
 
-    let taking = in_force.take(Source::Store, two);
+    let taking = in_force.apply(Source::Store, two);
 
-    assert!(matches!(&taking, Taking::Applied(errors) if errors.len() == 1));
+    assert!(matches!(&taking, ApplyOutcome::Applied(errors) if errors.len() == 1));
     assert_eq!(in_force.config().priorities[&name("p")].rank, 7);
     assert_eq!(in_force.snapshot().records[&newer.key()].1, newer);
 }
--- a/crates/cw_policy/tests/configuration_fuzz.rs
+++ b/crates/cw_policy/tests/configuration_fuzz.rs
@@ -5,16 +5,16 @@
 
 use cw_policy::configuration::AcceptFlow;
 use cw_policy::configuration::Acceptance;
+use cw_policy::configuration::ActiveConfig;
 use cw_policy::configuration::Edit;
 use cw_policy::configuration::Fault;
 use cw_policy::configuration::FlowEnd;
 use cw_policy::configuration::FlowEvent;
 use cw_policy::configuration::FlowStep;
-use cw_policy::configuration::InForce;
 use cw_policy::configuration::Proposal;
 use cw_policy::configuration::ProposalState;
-use cw_policy::configuration::Readers;
-use cw_policy::configuration::Rejection;
+use cw_policy::configuration::RejectDecision;
+use cw_policy::configuration::SchemaSupport;
 use cw_policy::configuration::Source;
 use cw_policy::configuration::reject;
 use cw_types::Actor;
@@ -132,8 +132,8 @@
 
 struct Everyone;
 
-impl Readers for Everyone {
-    fn unable(&self, _kind: RecordKind, _schema: SchemaVersion) -> Vec<HostId> {
+impl SchemaSupport for Everyone {
+    fn unsupported_hosts(&self, _kind: RecordKind, _schema: SchemaVersion) -> Vec<HostId> {
         Vec::new()
     }
 }
@@ -142,7 +142,7 @@
     store: Store,
     backup: Store,
     down: bool,
-    nodes: Vec<InForce>,
+    nodes: Vec<ActiveConfig>,
     paused: [bool; NODES],
     flows: Vec<Running>,
     flying: Vec<Flying>,
@@ -157,7 +157,7 @@
             store: Store::default(),
             backup: Store::default(),
             down: false,
-            nodes: vec![InForce::default(); NODES],
+            nodes: vec![ActiveConfig::default(); NODES],
             paused: [false; NODES],
             flows: Vec::new(),
             flying: Vec::new(),
@@ -231,7 +231,7 @@
 
     /// The highest revision that entries have told each other of.
     fn highest(&self) -> Revision {
-        let revisions = self.nodes.iter().map(InForce::revision);
+        let revisions = self.nodes.iter().map(ActiveConfig::revision);
         revisions.max().unwrap_or_default()
     }
 
@@ -245,7 +245,7 @@
         };
         let carol: Actor = "carol".parse().expect("a valid name");
         let decision = reject(self.nodes[node].snapshot(), &proposal, &carol);
-        if let Rejection::Write(rejected) = decision {
+        if let RejectDecision::Write(rejected) = decision {
             self.store.write_proposal(at, &rejected);
             self.rejected.push(proposal.id);
         }
@@ -262,8 +262,8 @@
         let luck = if self.down { Luck::Refused } else { luck };
         let event = match self.flows[index].step.clone() {
             FlowStep::Read => self.read(index, luck),
-            FlowStep::Mark(marked) => self.mark(index, &marked, luck),
-            FlowStep::Write(next) => self.write(index, &next, luck),
+            FlowStep::MarkAccepting(marked) => self.mark(index, &marked, luck),
+            FlowStep::WriteSnapshot(next) => self.write(index, &next, luck),
             FlowStep::End(_) => return,
         };
         let accepter: Actor = "bob".parse().expect("a valid name");
@@ -351,14 +351,14 @@
     fn follow(&mut self, node: usize) {
         if !self.down && !self.paused[node] && self.store.config.0 > 0 {
             let snapshot = self.store.config.1.clone();
-            self.nodes[node].take(Source::Store, snapshot);
+            self.nodes[node].apply(Source::Store, snapshot);
         }
     }
 
     fn ask(&mut self, node: usize, peer: usize) {
         if node != peer && !self.paused[node] && !self.paused[peer] {
             let answer = self.nodes[peer].answer(self.nodes[node].revision());
-            self.nodes[node].take_answer(answer);
+            self.nodes[node].apply_response(answer);
         }
     }
 
--- a/crates/cw_policy/tests/membership.rs
+++ b/crates/cw_policy/tests/membership.rs
@@ -5,13 +5,13 @@
 
 use cw_policy::EntryPeer;
 use cw_policy::Liveness;
-use cw_policy::membership::Grid;
-use cw_policy::membership::HostMark;
+use cw_policy::membership::HostStatus;
 use cw_policy::membership::Members;
 use cw_policy::membership::MembershipLimits;
-use cw_policy::membership::Outcome;
+use cw_policy::membership::MergeOutcome;
 use cw_policy::membership::Processes;
 use cw_policy::membership::Relay;
+use cw_policy::membership::RelayGroups;
 use cw_policy::membership::Urgency;
 use cw_types::Config;
 use cw_types::Drain;
@@ -63,7 +63,7 @@
 /// Members among three entries, with the target reported at second 0.
 fn members() -> Members {
     let mut members = Members::new(name("e0"), MembershipLimits::default(), at(0));
-    let hosts = [(name("h1"), HostMark::Live)];
+    let hosts = [(name("h1"), HostStatus::Live)];
     members.on_hosts(hosts.into(), 3);
     members.on_report(at(0), Duration::ZERO, up(1, 1));
     members
@@ -99,9 +99,9 @@
     let older = members.on_report(at(1), Duration::ZERO, report(1, 2, TargetState::Leaving));
     let earlier_life = members.on_report(at(1), Duration::ZERO, up(0, 99));
 
-    assert_eq!(newer, Outcome::Taken);
-    assert_eq!(older, Outcome::Stale);
-    assert_eq!(earlier_life, Outcome::Stale);
+    assert_eq!(newer, MergeOutcome::Applied);
+    assert_eq!(older, MergeOutcome::Stale);
+    assert_eq!(earlier_life, MergeOutcome::Stale);
     assert_eq!(members.liveness(at(1), &target()), Liveness::Alive);
 }
 
@@ -160,7 +160,7 @@
 
     let woken = members.on_report(at(6), Duration::ZERO, up(1, 500));
 
-    assert_eq!(woken, Outcome::Stale);
+    assert_eq!(woken, MergeOutcome::Stale);
     assert_eq!(
         members.report(&target()).expect("a report").incarnation,
         Incarnation(2)
@@ -177,7 +177,7 @@
 
     let earlier = members.on_report(at(20), Duration::ZERO, up(3, 1));
 
-    assert_eq!(earlier, Outcome::Taken);
+    assert_eq!(earlier, MergeOutcome::Applied);
     assert_eq!(members.liveness(at(20), &target()), Liveness::Alive);
 }
 
@@ -200,7 +200,7 @@
     run(&mut members, 0, 1);
     members.on_tick(at(300));
 
-    let said = relay.silent(at(300), members.awake());
+    let said = relay.silent(at(300), members.running_since());
 
     assert_eq!(said, []);
 }
@@ -213,9 +213,15 @@
     run(&mut members, 0, 10);
     members.on_report(at(10), Duration::ZERO, up(1, 20));
 
-    relay.round(at(10), &members, Revision(0), &Grid::default(), &|_| true);
+    relay.round(
+        at(10),
+        &members,
+        Revision(0),
+        &RelayGroups::default(),
+        &|_| true,
+    );
 
-    assert_eq!(relay.silent(at(10), members.awake()), []);
+    assert_eq!(relay.silent(at(10), members.running_since()), []);
 }
 
 #[test]
@@ -223,20 +229,26 @@
     let mut members = members();
     let mut relay = Relay::new(name("e0"), SECOND * 3);
     relay.on_report(at(0), up(1, 1));
-    relay.round(at(0), &members, Revision(0), &Grid::default(), &|_| true);
+    relay.round(
+        at(0),
+        &members,
+        Revision(0),
+        &RelayGroups::default(),
+        &|_| true,
+    );
     let leaving = report(1, 2, TargetState::Leaving);
 
     let urgency = relay.on_report(at(1), leaving.clone());
     members.on_report(at(1), Duration::ZERO, leaving);
 
-    assert_eq!(urgency, Urgency::Now);
+    assert_eq!(urgency, Urgency::Immediate);
     assert_eq!(members.liveness(at(1), &target()), Liveness::Leaving);
 }
 
 #[test]
 fn host_marked_leaving_and_drained_target_are_leaving() {
     let mut listed = members();
-    listed.on_hosts([(name("h1"), HostMark::Leaving)].into(), 3);
+    listed.on_hosts([(name("h1"), HostStatus::Leaving)].into(), 3);
     let mut drained = members();
     let record = cw_types::Target {
         agent: "127.0.0.1:1".parse().expect("an address"),
@@ -268,14 +280,14 @@
     sender.on_report(at(5), Duration::ZERO, up(1, 2));
     let update = relay
         .round(at(5), &sender, Revision(0), &grid, &|_| true)
-        .near;
+        .group;
     let update: ReportBatch = update.expect("a batch for the other entry");
     let mut fresh = Members::new(name("e9"), MembershipLimits::default(), at(5));
 
     let outcome = fresh.on_batch(at(5), &update);
 
     assert_eq!(update.loads.len(), 1);
-    assert_eq!(outcome, Outcome::Missing);
+    assert_eq!(outcome, MergeOutcome::MissingReport);
 }
 
 #[test]
@@ -302,9 +314,9 @@
     (0..count).map(entry).collect()
 }
 
-fn grid_of(count: usize, own: usize) -> Grid {
+fn grid_of(count: usize, own: usize) -> RelayGroups {
     let host: HostId = name(&format!("e{own}"));
-    Grid::new(&host, &entries(count))
+    RelayGroups::new(&host, &entries(count))
 }
 
 #[rstest]
@@ -318,10 +330,10 @@
     for start in 0..count {
         let mut reached = vec![false; count];
         reached[start] = true;
-        let near: Vec<_> = grids[start].near.iter().map(index).collect();
+        let near: Vec<_> = grids[start].group_peers.iter().map(index).collect();
         for via in near.into_iter().chain([start]) {
             reached[via] = true;
-            for peer in &grids[via].far {
+            for peer in &grids[via].forward_peers {
                 reached[index(peer)] = true;
             }
         }
@@ -337,7 +349,7 @@
     let most = |count: usize| {
         let sent = |n| {
             let grid = grid_of(count, n);
-            grid.near.len() + grid.far.len()
+            grid.group_peers.len() + grid.forward_peers.len()
         };
         (0..count).map(sent).max().unwrap_or_default()
     };
@@ -392,8 +404,12 @@
         for from in 0..count {
             let sendings =
                 relays[from].round(at(round), &members, Revision(0), &grids[from], &|_| true);
-            let near = sendings.near.map(|batch| (&grids[from].near, batch));
-            let far = sendings.far.map(|batch| (&grids[from].far, batch));
+            let near = sendings
+                .group
+                .map(|batch| (&grids[from].group_peers, batch));
+            let far = sendings
+                .forwarded
+                .map(|batch| (&grids[from].forward_peers, batch));
             for (peers, batch) in near.into_iter().chain(far) {
                 for peer in peers {
                     let to = index[&peer.host];
@@ -441,7 +457,7 @@
             other.on_batch(at(second), &batch);
         }
         let sendings = other.round(at(second), &members, Revision(0), &grid, &|_| false);
-        let batch = sendings.near.expect("a batch for the other entry");
+        let batch = sendings.group.expect("a batch for the other entry");
         sent.extend(batch.loads.iter().map(|_| second));
     }
 
--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -14,7 +14,7 @@
 use cw_policy::planner::PlannedOrder;
 use cw_policy::planner::Planner;
 use cw_policy::planner::PlannerInput;
-use cw_policy::planner::Weight;
+use cw_policy::planner::WeightsInfo;
 use cw_types::ByteSize;
 use cw_types::Config;
 use cw_types::FencingNumber;
@@ -132,10 +132,10 @@
     };
     lease.on_event(at(0), granted);
 
-    let step = lease.on_event(at(1), LeaseEvent::Taken);
+    let step = lease.on_event(at(1), LeaseEvent::HeldElsewhere);
 
     assert_eq!(step, LeaseStep::Revoke { lease: 7 });
-    assert_eq!(lease.on_event(at(2), TICK), LeaseStep::Rest);
+    assert_eq!(lease.on_event(at(2), TICK), LeaseStep::Wait);
 }
 
 #[test]
@@ -158,7 +158,7 @@
 /// A deployment of engines, each of which does what it is ordered at once.
 struct World {
     view: View,
-    weights: BTreeMap<String, Weight>,
+    weights: BTreeMap<String, WeightsInfo>,
     pins: BTreeMap<TargetId, Pins>,
     planner: Planner,
 }
@@ -183,7 +183,7 @@
     fn new(count: usize) -> Self {
         let mut planner = Planner::default();
         planner.on_lease(Some(FencingNumber(5)));
-        let weight = Weight {
+        let weight = WeightsInfo {
             size: ByteSize::mib(400),
             rate: ByteSize::mib(100),
         };
--- a/crates/cw_policy/tests/slo.rs
+++ b/crates/cw_policy/tests/slo.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use cw_policy::slo::Book;
 use cw_policy::slo::Burn;
 use cw_policy::slo::Class;
 use cw_policy::slo::Condition;
 use cw_policy::slo::Counts;
 use cw_policy::slo::Objective;
 use cw_policy::slo::Objectives;
+use cw_policy::slo::SloRecorder;
 use cw_policy::slo::Window;
 use cw_types::Time;
 use rstest::rstest;
@@ -22,7 +22,7 @@
     }
 }
 
-fn total(book: &mut Book, now: Time, window: Window) -> Counts {
+fn total(book: &mut SloRecorder, now: Time, window: Window) -> Counts {
     book.counts(now, window)
         .map(|(_, _, counts)| counts)
         .fold(Counts::default(), Counts::plus)
@@ -41,7 +41,7 @@
 #[rstest]
 fn an_event_leaves_each_window_when_it_is_too_old() {
     let start = Time(0);
-    let mut book = Book::new(start, Objectives::default());
+    let mut book = SloRecorder::new(start, Objectives::default());
     book.first_token(start, &class("chat"), Duration::from_secs(9));
 
     let after_4m = start + MINUTE * 4;
@@ -58,7 +58,7 @@
 #[rstest]
 fn a_young_process_says_how_little_it_has_seen() {
     let start = Time(5_000_000);
-    let book = Book::new(start, Objectives::default());
+    let book = SloRecorder::new(start, Objectives::default());
 
     let now = start + MINUTE * 10;
 
@@ -70,7 +70,7 @@
 #[case(Duration::from_millis(1500), 1)]
 #[case(Duration::from_millis(1501), 0)]
 fn the_limit_itself_is_still_good(#[case] took: Duration, #[case] good: u64) {
-    let mut book = Book::new(Time(0), Objectives::default());
+    let mut book = SloRecorder::new(Time(0), Objectives::default());
 
     book.first_token(Time(0), &class("chat"), took);
 
@@ -79,7 +79,7 @@
 
 #[rstest]
 fn the_number_of_classes_is_bounded() {
-    let mut book = Book::new(Time(0), Objectives::default());
+    let mut book = SloRecorder::new(Time(0), Objectives::default());
 
     for number in 0..1000 {
         book.whole(Time(0), &class(&format!("route-{number}")), true);
@@ -103,7 +103,7 @@
     let burn = burn([0; 4], 0);
 
     assert_eq!(burn.condition(), Condition::NoData);
-    assert_eq!(burn.left(), None);
+    assert_eq!(burn.budget_left(), None);
     assert_eq!(burn.rate(Window::Hour), None);
 }
 
--- a/crates/cw_testkit/src/experiment/capacity/spread.rs
+++ b/crates/cw_testkit/src/experiment/capacity/spread.rs
@@ -7,10 +7,10 @@
 
 use cw_policy::EntryPeer;
 use cw_policy::membership;
-use cw_policy::membership::Grid;
 use cw_policy::membership::Members;
 use cw_policy::membership::MembershipLimits;
 use cw_policy::membership::Relay;
+use cw_policy::membership::RelayGroups;
 use cw_policy::membership::primary_relay;
 use cw_types::Config;
 use cw_types::HostId;
@@ -81,7 +81,7 @@
 struct Entry {
     members: Members,
     relay: Relay,
-    grid: Grid,
+    grid: RelayGroups,
     bytes: u64,
 }
 
@@ -132,8 +132,8 @@
         let start = Time(1_000_000_000);
         let entry = |peer: &EntryPeer| Entry {
             members: Members::new(peer.host.clone(), limits(), start),
-            relay: Relay::new(peer.host.clone(), limits().fresh),
-            grid: Grid::new(&peer.host, &peers),
+            relay: Relay::new(peer.host.clone(), limits().silent_after),
+            grid: RelayGroups::new(&peer.host, &peers),
             bytes: 0,
         };
         let reports: Vec<_> = (0..targets).map(report).collect();
@@ -196,7 +196,10 @@
                 .relay
                 .round(now, &entry.members, revision, &grid, &is_first);
             self.busy += begin.elapsed();
-            for (peers, batch) in [(&grid.near, sendings.near), (&grid.far, sendings.far)] {
+            for (peers, batch) in [
+                (&grid.group_peers, sendings.group),
+                (&grid.forward_peers, sendings.forwarded),
+            ] {
                 let Some(batch) = batch else { continue };
                 self.send(now, from, peers, &batch);
             }
--- a/crates/cyclamenwharf/src/control/admin/desk.rs
+++ b/crates/cyclamenwharf/src/control/admin/desk.rs
@@ -5,6 +5,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
+use cw_policy::configuration::AcceptDecision;
 use cw_policy::configuration::AcceptFlow;
 use cw_policy::configuration::Acceptance;
 use cw_policy::configuration::Alarm;
@@ -15,8 +16,7 @@
 use cw_policy::configuration::FlowEvent;
 use cw_policy::configuration::FlowStep;
 use cw_policy::configuration::Proposal;
-use cw_policy::configuration::Rejection;
-use cw_policy::configuration::Verdict;
+use cw_policy::configuration::RejectDecision;
 use cw_policy::configuration::accept;
 use cw_policy::configuration::in_use;
 use cw_policy::configuration::reject;
@@ -112,7 +112,7 @@
             Err(error) => return Err(error.into()),
         };
         match found {
-            Some(old) if old.value.is_same(&proposal) => Ok(old.value),
+            Some(old) if old.value.is_repeat(&proposal) => Ok(old.value),
             Some(old) => {
                 let message = format!(
                     "change {} was proposed by {} with other edits",
@@ -148,10 +148,10 @@
         for _ in 0..ATTEMPTS {
             let stored = self.stored_proposal(id).await?;
             let rejected = match reject(&in_force, &stored.value, &caller.actor) {
-                Rejection::Write(rejected) => rejected,
-                Rejection::Already => return Ok(stored.value),
-                Rejection::Rejected(by) => return Err(taken(id, "rejected", &by)),
-                Rejection::Accepted(by) => return Err(taken(id, "accepted", &by)),
+                RejectDecision::Write(rejected) => rejected,
+                RejectDecision::AlreadyRejected => return Ok(stored.value),
+                RejectDecision::RejectedBy(by) => return Err(taken(id, "rejected", &by)),
+                RejectDecision::AcceptedBy(by) => return Err(taken(id, "accepted", &by)),
             };
             match self.put(&key_of(id), stored.modified, &rejected).await {
                 Ok(Swap::Done(_)) => return Ok(*rejected),
@@ -193,8 +193,8 @@
         let snapshot = self.snapshot().await?.value;
         let used = in_use(&inspection.view, proposal);
         match accept(&snapshot, proposal, &acceptance(caller, &inspection, &used)) {
-            Verdict::Refused(refusal) => Ok(Some(refusal.to_string())),
-            Verdict::Write(_) | Verdict::Already(_) => Ok(None),
+            AcceptDecision::Refused(refusal) => Ok(Some(refusal.to_string())),
+            AcceptDecision::Write(_) | AcceptDecision::AlreadyAccepted(_) => Ok(None),
         }
     }
 
@@ -218,8 +218,10 @@
                     (proposal, snapshot) = read;
                     event
                 }
-                FlowStep::Mark(marked) => written(self.put(&key_of(id), proposal, marked).await)?,
-                FlowStep::Write(next) => {
+                FlowStep::MarkAccepting(marked) => {
+                    written(self.put(&key_of(id), proposal, marked).await)?
+                }
+                FlowStep::WriteSnapshot(next) => {
                     let event = written(self.put(CONFIG_KEY, snapshot, next).await)?;
                     if event == FlowEvent::Written(true) {
                         self.on_accepted(next).await;
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -7,16 +7,16 @@
 
 use cw_policy::EntryPeer;
 use cw_policy::View;
-use cw_policy::configuration::InForce;
+use cw_policy::configuration::ActiveConfig;
+use cw_policy::configuration::ApplyOutcome;
 use cw_policy::configuration::Source;
-use cw_policy::configuration::Taking;
 use cw_policy::configuration::is_watcher;
-use cw_policy::membership::Grid;
 use cw_policy::membership::Members;
 use cw_policy::membership::MembershipLimits;
-use cw_policy::membership::Outcome;
+use cw_policy::membership::MergeOutcome;
 use cw_policy::membership::Processes;
 use cw_policy::membership::Relay;
+use cw_policy::membership::RelayGroups;
 use cw_policy::membership::Urgency;
 use cw_policy::membership::ago;
 use cw_policy::membership::primary_relay;
@@ -70,18 +70,18 @@
     pub(super) metrics: ControlMetrics,
     pub(super) sender: Sender,
     pub(super) usage: Arc<watch::Sender<StoreUse>>,
-    pub(super) seed: Arc<arc_swap::ArcSwap<InForce>>,
+    pub(super) seed: Arc<arc_swap::ArcSwap<ActiveConfig>>,
 }
 
 /// The control state of an entry.
 pub(super) struct Core {
     pub(super) parts: CoreParts,
-    pub(super) in_force: InForce,
+    pub(super) in_force: ActiveConfig,
     pub(super) members: Members,
     relay: Relay,
     pub(super) processes: Processes,
     entries: Vec<EntryPeer>,
-    grid: Grid,
+    grid: RelayGroups,
     behind: BTreeSet<HostId>,
     pub(super) planner: PlannerStatus,
     next_round: Time,
@@ -101,11 +101,11 @@
         let host = parts.own.host.clone();
         let entries = vec![parts.own.clone()];
         let mut core = Self {
-            in_force: InForce::clone(&parts.seed.load()),
-            relay: Relay::new(host.clone(), limits.fresh),
+            in_force: ActiveConfig::clone(&parts.seed.load()),
+            relay: Relay::new(host.clone(), limits.silent_after),
             members: Members::new(host, limits, now),
             processes: Processes::default(),
-            grid: Grid::default(),
+            grid: RelayGroups::default(),
             entries,
             behind: BTreeSet::new(),
             planner: PlannerStatus::default(),
@@ -153,7 +153,7 @@
     fn on_report(&mut self, now: Time, report: Report) -> ReportResponse {
         self.parts.metrics.reports.inc();
         let drained = self.in_force.config().is_drained(&report.target);
-        if self.relay.on_report(now, report.clone()) == Urgency::Now {
+        if self.relay.on_report(now, report.clone()) == Urgency::Immediate {
             self.urgent = true;
         }
         self.members.on_report(now, Duration::ZERO, report);
@@ -166,7 +166,7 @@
     fn on_batch(&mut self, now: Time, batch: &ReportBatch) {
         self.parts.metrics.batches.inc();
         self.relay.on_batch(now, batch);
-        if self.members.on_batch(now, batch) == Outcome::Missing {
+        if self.members.on_batch(now, batch) == MergeOutcome::MissingReport {
             self.incomplete = true;
         }
         for state in &batch.processes {
@@ -184,8 +184,8 @@
         // A key that is gone is the empty history.
         let taking = match snapshot {
             None if !self.in_force.is_known() => return,
-            None => self.in_force.take(Source::Store, Snapshot::default()),
-            Some(snapshot) => self.in_force.take(Source::Store, snapshot),
+            None => self.in_force.apply(Source::Store, Snapshot::default()),
+            Some(snapshot) => self.in_force.apply(Source::Store, snapshot),
         };
         self.on_taking(now, taking);
     }
@@ -194,26 +194,26 @@
         if answer == ConfigResponse::Current(Revision::default()) {
             return;
         }
-        let taking = self.in_force.take_answer(answer);
-        if taking == Taking::NeedsWhole {
+        let taking = self.in_force.apply_response(answer);
+        if taking == ApplyOutcome::NeedsSnapshot {
             self.ask_config(peer);
         }
         self.on_taking(now, taking);
     }
 
-    fn on_taking(&mut self, now: Time, taking: Taking) {
+    fn on_taking(&mut self, now: Time, taking: ApplyOutcome) {
         let alarm = self.in_force.alarm().is_some();
         self.parts.metrics.alarm.set(i64::from(alarm));
         match taking {
-            Taking::Applied(errors) => {
+            ApplyOutcome::Applied(errors) => {
                 for error in &errors {
                     warn!("an accepted record cannot be read: {error}");
                 }
                 self.parts.metrics.unreadable.set(errors.len() as i64);
                 self.on_applied(now);
             }
-            Taking::Held(alarm) => error!("the configuration is held: {alarm}"),
-            Taking::Same | Taking::Older | Taking::NeedsWhole => {}
+            ApplyOutcome::Rejected(alarm) => error!("the configuration is held: {alarm}"),
+            ApplyOutcome::Unchanged | ApplyOutcome::Stale | ApplyOutcome::NeedsSnapshot => {}
         }
     }
 
@@ -242,7 +242,7 @@
         if entries == self.entries {
             return;
         }
-        self.grid = Grid::new(&own.host, &entries);
+        self.grid = RelayGroups::new(&own.host, &entries);
         let usage = match is_watcher(&own.host, &own.zone, &entries) {
             true => StoreUse::Watch,
             false => StoreUse::Rest,
@@ -284,7 +284,7 @@
 
     fn round(&mut self, now: Time) {
         self.next_round = now + Relay::period(self.entries.len());
-        for silence in self.relay.silent(now, self.members.awake()) {
+        for silence in self.relay.silent(now, self.members.running_since()) {
             let host = self.members.host().clone();
             self.members.on_silence(now, &host, &silence);
         }
@@ -305,8 +305,8 @@
         let behind = std::mem::take(&mut self.behind);
         let is_behind = |peer: &EntryPeer| behind.contains(&peer.host);
         for (peers, batch) in [
-            (&self.grid.near, sendings.near),
-            (&self.grid.far, sendings.far),
+            (&self.grid.group_peers, sendings.group),
+            (&self.grid.forward_peers, sendings.forwarded),
         ] {
             let Some(batch) = batch else { continue };
             let (late, rest): (Vec<_>, Vec<_>) = peers.iter().cloned().partition(is_behind);
--- a/crates/cyclamenwharf/src/control/event.rs
+++ b/crates/cyclamenwharf/src/control/event.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cw_policy::View;
-use cw_policy::configuration::InForce;
-use cw_policy::configuration::Readers;
+use cw_policy::configuration::ActiveConfig;
+use cw_policy::configuration::SchemaSupport;
 use cw_store::Host;
 use cw_types::HostId;
 use cw_types::RecordKind;
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Inspection {
     /// The configuration in force.
-    pub(super) in_force: InForce,
+    pub(super) in_force: ActiveConfig,
     /// The live entries with the age of their last word.
     pub(super) processes: Vec<(Duration, ProcessState)>,
     /// The revisions that agents reported.
@@ -77,8 +77,8 @@
     pub(super) view: Arc<View>,
 }
 
-impl Readers for Inspection {
-    fn unable(&self, kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
+impl SchemaSupport for Inspection {
+    fn unsupported_hosts(&self, kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
         let reads = |state: &ProcessState| state.schemas.get(&kind).is_some_and(|v| *v >= schema);
         self.processes
             .iter()
--- a/crates/cyclamenwharf/src/control/lease_calls.rs
+++ b/crates/cyclamenwharf/src/control/lease_calls.rs
@@ -41,13 +41,13 @@
 impl LeaseCalls {
     /// Starts what `step` asks for; `news` gets the outcome.
     pub(super) fn start(&self, step: LeaseStep, now: Time, news: mpsc::Sender<News>) {
-        if step == LeaseStep::Rest {
+        if step == LeaseStep::Wait {
             return;
         }
         let this = self.clone();
         tokio::spawn(async move {
             let event = match step {
-                LeaseStep::Rest => None,
+                LeaseStep::Wait => None,
                 LeaseStep::Grant { ttl } => Some(this.grant(now, ttl).await),
                 LeaseStep::Claim { lease } => Some(this.claim(LeaseId(lease)).await),
                 LeaseStep::Renew { lease } => Some(this.renew(now, LeaseId(lease)).await),
@@ -66,7 +66,7 @@
     async fn grant(&self, asked: Time, ttl: Duration) -> LeaseEvent {
         match self.key_value.get(PLANNER_KEY).await {
             Ok(None) => {}
-            Ok(Some(_)) => return LeaseEvent::Taken,
+            Ok(Some(_)) => return LeaseEvent::HeldElsewhere,
             Err(_) => return LeaseEvent::Failed,
         }
         match self.key_value.grant(ttl).await {
@@ -91,8 +91,8 @@
         match swap {
             Ok(Swap::Done(revision)) => claimed(revision.0),
             Ok(Swap::Conflict(Some(found))) if is_own(&found, &holder) => claimed(found.created.0),
-            Ok(Swap::Conflict(_)) => LeaseEvent::Taken,
-            Err(StoreError::Lapsed) => LeaseEvent::Lapsed,
+            Ok(Swap::Conflict(_)) => LeaseEvent::HeldElsewhere,
+            Err(StoreError::Lapsed) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
     }
@@ -100,7 +100,7 @@
     async fn renew(&self, asked: Time, lease: LeaseId) -> LeaseEvent {
         match self.key_value.keep_alive(lease).await {
             Ok(ttl) => LeaseEvent::Renewed { asked, ttl },
-            Err(StoreError::Lapsed) => LeaseEvent::Lapsed,
+            Err(StoreError::Lapsed) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
     }
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -12,7 +12,7 @@
 use cw_policy::planner::PlannedOrder;
 use cw_policy::planner::Planner;
 use cw_policy::planner::PlannerInput;
-use cw_policy::planner::Weight;
+use cw_policy::planner::WeightsInfo;
 use cw_policy::planner::is_candidate;
 use cw_store::WeightStore;
 use cw_types::FencingNumber;
@@ -56,7 +56,7 @@
     /// Of an order.
     Order(TargetId, u64, OrderOutcome),
     /// Of a set of weights.
-    Weight(String, Weight),
+    Weight(String, WeightsInfo),
 }
 
 /// Holds the planner's lease when it can, and sends orders while it does.
@@ -75,7 +75,7 @@
 struct Work {
     lease: Lease,
     planner: Planner,
-    weights: BTreeMap<String, Weight>,
+    weights: BTreeMap<String, WeightsInfo>,
     asked: Time,
     status: PlannerStatus,
 }
@@ -123,7 +123,7 @@
         let view = self.view.load_full();
         let candidate = is_candidate(&self.host, &view.entries);
         let step = match work.planner.is_deposed() {
-            true => work.lease.on_event(now, LeaseEvent::Lapsed),
+            true => work.lease.on_event(now, LeaseEvent::Expired),
             false => work.lease.on_event(now, LeaseEvent::Tick { candidate }),
         };
         self.lease_calls.start(step, now, news.clone());
@@ -190,7 +190,9 @@
             tokio::spawn(async move {
                 if let Ok(info) = store.describe(&name).await {
                     let (size, rate) = (info.size, info.rate);
-                    let _ = news.send(News::Weight(name, Weight { size, rate })).await;
+                    let _ = news
+                        .send(News::Weight(name, WeightsInfo { size, rate }))
+                        .await;
                 }
             });
         }
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -256,7 +256,7 @@
     parts: &ControlParts,
     receiver: mpsc::Receiver<Event>,
     core_parts: impl Fn(
-        Arc<ArcSwap<cw_policy::configuration::InForce>>,
+        Arc<ArcSwap<cw_policy::configuration::ActiveConfig>>,
         Arc<crate::Health>,
     ) -> CoreParts
     + Send
--- a/crates/cyclamenwharf/src/host_entry.rs
+++ b/crates/cyclamenwharf/src/host_entry.rs
@@ -1,16 +1,16 @@
 //! What the host list says, as entries and agents use it.
 
 use cw_policy::EntryPeer;
-use cw_policy::membership::HostMark;
+use cw_policy::membership::HostStatus;
 use cw_store::Host;
 use cw_store::HostRole;
 use cw_store::HostState;
 
 /// Returns what the list says of a host.
-pub(crate) fn mark(host: &Host) -> HostMark {
+pub(crate) fn mark(host: &Host) -> HostStatus {
     match host.state {
-        HostState::Live => HostMark::Live,
-        HostState::Leaving => HostMark::Leaving,
+        HostState::Live => HostStatus::Live,
+        HostState::Leaving => HostStatus::Leaving,
     }
 }
 
--- a/crates/cyclamenwharf/src/slo_metrics.rs
+++ b/crates/cyclamenwharf/src/slo_metrics.rs
@@ -4,11 +4,11 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use cw_policy::slo::Book;
 use cw_policy::slo::Class;
 use cw_policy::slo::Counts;
 use cw_policy::slo::Objective;
 use cw_policy::slo::Objectives;
+use cw_policy::slo::SloRecorder;
 use cw_policy::slo::Window;
 use prometheus::GaugeVec;
 use prometheus::IntGaugeVec;
@@ -21,7 +21,7 @@
 
 /// The book of service-level events, readable as metrics.
 pub struct SloMetrics {
-    book: Mutex<Book>,
+    book: Mutex<SloRecorder>,
     clock: Clock,
     events: IntGaugeVec,
     covered: IntGaugeVec,
@@ -50,7 +50,7 @@
         let fraction = Opts::new(Self::FRACTION, "The fraction of events that must be good.");
         let labels = ["route", "priority", "objective", "window", "outcome"];
         Ok(Self {
-            book: Mutex::new(Book::new(clock.now(), objectives)),
+            book: Mutex::new(SloRecorder::new(clock.now(), objectives)),
             clock,
             events: IntGaugeVec::new(events, &labels)?,
             covered: IntGaugeVec::new(covered, &["window"])?,
@@ -88,13 +88,13 @@
         self.with(|book, _| book.objectives.clone())
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Book, &Clock) -> T) -> T {
+    fn with<T>(&self, work: impl FnOnce(&mut SloRecorder, &Clock) -> T) -> T {
         // A panic elsewhere leaves counts that are still worth reading.
         let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
         work(&mut book, &self.clock)
     }
 
-    fn refresh(&self, book: &mut Book) {
+    fn refresh(&self, book: &mut SloRecorder) {
         let now = self.clock.now();
         self.events.reset();
         for window in Window::ALL {
--- a/crates/cyclamenwharfctl/src/slo/html.rs
+++ b/crates/cyclamenwharfctl/src/slo/html.rs
@@ -110,7 +110,7 @@
             out,
             format_args!(
                 "<td>{}</td><td class=\"{}\">{}</td></tr>",
-                percent(row.burn.left()),
+                percent(row.burn.budget_left()),
                 class(row.condition),
                 row.condition
             ),
--- a/crates/cyclamenwharfctl/src/slo/report.rs
+++ b/crates/cyclamenwharfctl/src/slo/report.rs
@@ -106,7 +106,7 @@
         );
         for row in &self.rows {
             let [a, b, c, d] = Window::ALL.map(|window| rate(&row.burn, window));
-            let left = percent(row.burn.left());
+            let left = percent(row.burn.budget_left());
             // Writing to a string does not fail.
             let _ = writeln!(
                 out,
