--- a/crates/cw_policy/src/configuration/accept.rs
+++ b/crates/cw_policy/src/configuration/accept.rs
@@ -1,4 +1,4 @@
-//! The decision on a proposal.
+//! The decision on accepting a proposal.
 
 use cw_types::Actor;
 use cw_types::Change;
@@ -18,12 +18,12 @@
 use super::Proposal;
 use super::ProposalState;
 use super::dry_run;
-use super::proposal::touched_at;
+use super::proposal::last_touched;
 
-/// Why a proposal is not accepted.
+/// The reason why a proposal is not accepted.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum Refusal {
-    /// Another change touched a record since the proposal.
+    /// Another change wrote or removed a record since the proposal.
     #[snafu(display(
         "record {key} was changed at revision {revision} by {}",
         describe(other)
@@ -33,16 +33,16 @@
         key: RecordKey,
         /// The revision that changed it.
         revision: Revision,
-        /// The other change, while it is remembered.
+        /// The other change, unless it has been trimmed from the snapshot.
         other: Option<ChangeId>,
     },
-    /// The accepter proposed it, and may not accept alone.
+    /// The accepter is the proposer, and may not accept their own change.
     #[snafu(display("{accepter} proposed this change, so another person has to accept it"))]
     SamePerson {
         /// The accepter.
         accepter: Actor,
     },
-    /// The accepter lacks the role.
+    /// The accepter's role does not allow acceptance.
     #[snafu(display("{accepter} may not accept changes"))]
     Role {
         /// The accepter.
@@ -51,16 +51,16 @@
     /// The proposal was rejected before.
     #[snafu(display("the change was rejected by {by}"))]
     Rejected {
-        /// Who rejected it.
+        /// The operator who rejected it.
         by: Actor,
     },
     /// The change would break something.
     #[snafu(display("the change would break: {}", join(breakages)))]
     Breaks {
-        /// What it would break.
+        /// The faults that it would cause.
         breakages: Vec<Breakage>,
     },
-    /// Live processes could not read a record.
+    /// Live processes cannot read the schema version of a record.
     #[snafu(display("schema version {schema} of {key} cannot be read by {}", join(hosts)))]
     Unreadable {
         /// The record.
@@ -84,44 +84,45 @@
     texts.join(", ")
 }
 
-/// What the live processes can read.
+/// The schema versions that the live processes can read.
 pub trait SchemaSupport {
-    /// Returns the hosts of live processes that cannot read a version of a kind.
+    /// Returns the hosts of the live processes that cannot read a schema version of a record kind.
     fn unsupported_hosts(&self, kind: RecordKind, schema: SchemaVersion) -> Vec<HostId>;
 }
 
-/// Who accepts, and what is known while doing so.
+/// The accepter, and the state against which a proposal is checked.
 pub struct Acceptance<'a> {
     /// The accepter.
     pub accepter: &'a Actor,
-    /// What that operator may do.
+    /// The accepter's operator record.
     pub operator: &'a Operator,
-    /// The present, in seconds since the Unix epoch.
+    /// The current time, in seconds since the Unix epoch.
     pub at: u64,
-    /// What the live processes can read.
+    /// The schema versions that the live processes can read.
     pub readers: &'a dyn SchemaSupport,
-    /// What in use stands against a change, such as live generations pinned to a version.
+    /// The faults that the change would cause to what is in use, such as live generations pinned to
+    /// a version.
     pub in_use: &'a [Breakage],
 }
 
-/// The decision on a proposal.
+/// The decision on accepting a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AcceptDecision {
-    /// The snapshot that is to replace the present one by compare-and-swap.
+    /// Replace the stored snapshot by this one, by compare-and-swap.
     Write(Box<Snapshot>),
     /// The change was accepted before.
     AlreadyAccepted(Change),
-    /// It is not accepted.
+    /// The change is not accepted.
     Refused(Refusal),
 }
 
-/// Decides on a proposal.
+/// Decides on accepting a proposal on top of `snapshot`.
 pub fn accept(snapshot: &Snapshot, proposal: &Proposal, by: &Acceptance<'_>) -> AcceptDecision {
     let same = |change: &&Change| change.id == proposal.id;
     if let Some(change) = snapshot.changes.iter().find(same) {
         return AcceptDecision::AlreadyAccepted(change.clone());
     }
-    if let Err(refusal) = check(snapshot, proposal, by) {
+    if let Err(refusal) = check_proposal(snapshot, proposal, by) {
         return AcceptDecision::Refused(refusal);
     }
     let next = apply(snapshot, proposal, by);
@@ -133,10 +134,14 @@
     AcceptDecision::Write(Box::new(next))
 }
 
-fn check(snapshot: &Snapshot, proposal: &Proposal, by: &Acceptance<'_>) -> Result<(), Refusal> {
-    check_person(proposal, by)?;
+fn check_proposal(
+    snapshot: &Snapshot,
+    proposal: &Proposal,
+    by: &Acceptance<'_>,
+) -> Result<(), Refusal> {
+    check_accepter(proposal, by)?;
     for (key, base) in &proposal.base {
-        let revision = touched_at(snapshot, key);
+        let revision = last_touched(snapshot, key);
         if revision != *base {
             let other = snapshot.changes.iter().find(|c| c.revision == revision);
             return Err(Refusal::Conflict {
@@ -152,7 +157,7 @@
     Ok(())
 }
 
-fn check_person(proposal: &Proposal, by: &Acceptance<'_>) -> Result<(), Refusal> {
+fn check_accepter(proposal: &Proposal, by: &Acceptance<'_>) -> Result<(), Refusal> {
     let accepter = by.accepter.clone();
     if by.operator.role < OperatorRole::Accepter {
         return Err(Refusal::Role { accepter });
@@ -160,10 +165,10 @@
     if let ProposalState::Rejected(by) = &proposal.state {
         return Err(Refusal::Rejected { by: by.clone() });
     }
-    // ApplyOutcome a target out of work must not wait for a second person.
+    // Draining a target must not wait for a second person.
     let is_drain = |edit: &Edit| edit.key().kind == RecordKind::Drain;
-    let alone = by.operator.self_approval || proposal.edits.iter().all(is_drain);
-    if accepter == proposal.proposer && !alone {
+    let may_self_approve = by.operator.self_approval || proposal.edits.iter().all(is_drain);
+    if accepter == proposal.proposer && !may_self_approve {
         return Err(Refusal::SamePerson { accepter });
     }
     Ok(())
--- a/crates/cw_policy/src/configuration/accept_flow.rs
+++ b/crates/cw_policy/src/configuration/accept_flow.rs
@@ -1,4 +1,4 @@
-//! The way of one acceptance through a key-value service that fails.
+//! The steps that accept a proposal despite failures of the key-value service.
 
 use cw_types::Change;
 use cw_types::Revision;
@@ -11,68 +11,68 @@
 use super::Refusal;
 use super::accept;
 
-/// How often a write that met another one, or lost its answer, is tried.
-const ATTEMPTS: u32 = 8;
+/// The largest number of attempts, of which each starts by reading the proposal and the snapshot.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// A call that failed.
+/// The way in which a call to the key-value service failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It had no effect.
+    /// The call had no effect.
     Unavailable,
-    /// Its answer was lost: it may have had its effect, or may still have it.
+    /// The response was lost: the call may have taken effect, or may still do so.
     Lost,
 }
 
-/// What came of the last step.
+/// The result of the last step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowEvent {
-    /// The proposal, if there is one, and the snapshot were read.
+    /// The proposal and the snapshot were read.
     Read {
-        /// The proposal.
+        /// The proposal, if it exists.
         proposal: Option<Proposal>,
         /// The snapshot.
         snapshot: Box<Snapshot>,
-        /// The highest revision that is known to be in force anywhere, asked after reading.
+        /// The highest revision known to be in force at any entry, queried after the read.
         held: Revision,
     },
-    /// The write was made, or met another one.
+    /// The compare-and-swap was executed; true if it took effect, false if it met another write.
     Written(bool),
     /// The call failed.
     Failed(Fault),
 }
 
-/// What to do next.
+/// The next step of the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowStep {
     /// Read the proposal and the snapshot.
     Read,
-    /// Write the proposal, if it is as it was read.
+    /// Write the proposal if it has not changed since it was read.
     MarkAccepting(Box<Proposal>),
-    /// Write the snapshot, if it is as it was read.
+    /// Write the snapshot if it has not changed since it was read.
     WriteSnapshot(Box<Snapshot>),
-    /// Nothing more.
+    /// Stop, with this outcome.
     End(FlowEnd),
 }
 
-/// How an acceptance ends.
+/// The outcome of an acceptance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowEnd {
     /// The change is accepted.
     Accepted(Change),
-    /// It is not, and will not be by this call.
+    /// The change is refused: this call has not accepted it, and will not.
     Refused(Refusal),
-    /// There is no such proposal.
+    /// The proposal does not exist.
     NotFound,
-    /// The service holds less than what is in force.
+    /// The key-value service holds a lower revision than the one in force.
     Reverted {
-        /// What the service holds.
+        /// The revision of the service.
         found: Revision,
-        /// The highest revision in force anywhere.
+        /// The highest revision in force at any entry.
         held: Revision,
     },
-    /// It was not accepted, for want of the service.
+    /// The change is not accepted, because the key-value service is unavailable.
     Unavailable,
-    /// Nobody can tell.
+    /// It is unknown whether the change is accepted, or will be by a delayed write.
     Unknown,
 }
 
@@ -83,17 +83,17 @@
     Writing(Box<Snapshot>),
 }
 
-/// The way of one acceptance through a key-value service that fails.
+/// The acceptance of one proposal, with retries after failures of the key-value service.
 ///
-/// A lost answer is settled by reading the snapshot again: the change's id is in it if the write
-/// took effect. The write is a compare-and-swap, so one that arrives late cannot take effect
-/// after any other write has.
+/// After a lost response the snapshot is read again: it contains the change's id if the write took
+/// effect. The write is a compare-and-swap, so a delayed one cannot take effect after any other
+/// write has.
 #[derive(Clone, Debug)]
 pub struct AcceptFlow {
     stage: Stage,
     attempts: u32,
-    /// The revision on top of which a write was made whose answer was lost.
-    lost: Option<Revision>,
+    /// The base revision of a write whose response was lost.
+    lost_base: Option<Revision>,
 }
 
 impl Default for AcceptFlow {
@@ -103,16 +103,16 @@
 }
 
 impl AcceptFlow {
-    /// Returns a flow that is to begin with [`FlowStep::Read`].
+    /// Returns a flow whose first step is [`FlowStep::Read`].
     pub fn new() -> Self {
         Self {
             stage: Stage::Reading,
             attempts: 0,
-            lost: None,
+            lost_base: None,
         }
     }
 
-    /// Takes what came of the last step.
+    /// Returns the next step, given the result of the last one.
     pub fn on_event(&mut self, event: FlowEvent, by: &Acceptance<'_>) -> FlowStep {
         match event {
             FlowEvent::Read {
@@ -121,7 +121,7 @@
                 held,
             } => self.on_read(proposal, &snapshot, held, by),
             FlowEvent::Written(true) => self.on_written(),
-            FlowEvent::Written(false) => self.again(),
+            FlowEvent::Written(false) => self.retry(),
             FlowEvent::Failed(fault) => self.on_failed(fault),
         }
     }
@@ -133,9 +133,10 @@
         held: Revision,
         by: &Acceptance<'_>,
     ) -> FlowStep {
-        if self.lost.is_some_and(|base| snapshot.revision > base) {
-            // The lost write took effect, and then the change is there, or never will.
-            self.lost = None;
+        if self.lost_base.is_some_and(|base| snapshot.revision > base) {
+            // The lost write took effect, in which case the snapshot contains the change, or the
+            // compare-and-swap can no longer succeed.
+            self.lost_base = None;
         }
         let Some(proposal) = proposal else {
             return self.end(FlowEnd::NotFound);
@@ -147,12 +148,18 @@
         match accept(snapshot, &proposal, by) {
             AcceptDecision::AlreadyAccepted(change) => FlowStep::End(FlowEnd::Accepted(change)),
             AcceptDecision::Refused(refusal) => self.end(FlowEnd::Refused(refusal)),
-            AcceptDecision::Write(next) => self.mark(proposal, next, by),
+            AcceptDecision::Write(next) => self.mark_accepting(proposal, next, by),
         }
     }
 
-    /// Takes the proposal out of the reach of a rejection before the snapshot is written.
-    fn mark(&mut self, proposal: Proposal, next: Box<Snapshot>, by: &Acceptance<'_>) -> FlowStep {
+    /// Marks the proposal as being accepted, so that it cannot be rejected while the snapshot is
+    /// written.
+    fn mark_accepting(
+        &mut self,
+        proposal: Proposal,
+        next: Box<Snapshot>,
+        by: &Acceptance<'_>,
+    ) -> FlowStep {
         if let ProposalState::Accepting(_) = proposal.state {
             self.stage = Stage::Writing(next.clone());
             return FlowStep::WriteSnapshot(next);
@@ -180,23 +187,23 @@
 
     fn on_failed(&mut self, fault: Fault) -> FlowStep {
         if let (Stage::Writing(next), Fault::Lost) = (&self.stage, fault) {
-            self.lost = Some(Revision(next.revision.0.saturating_sub(1)));
+            self.lost_base = Some(Revision(next.revision.0.saturating_sub(1)));
         }
-        self.again()
+        self.retry()
     }
 
-    fn again(&mut self) -> FlowStep {
+    fn retry(&mut self) -> FlowStep {
         self.stage = Stage::Reading;
         self.attempts += 1;
-        if self.attempts < ATTEMPTS {
+        if self.attempts < MAX_ATTEMPTS {
             return FlowStep::Read;
         }
         self.end(FlowEnd::Unavailable)
     }
 
-    /// Ends, but not with a "no" while a lost write may still arrive.
+    /// Ends the flow, with [`FlowEnd::Unknown`] while a lost write may still take effect.
     fn end(&mut self, end: FlowEnd) -> FlowStep {
-        FlowStep::End(match self.lost {
+        FlowStep::End(match self.lost_base {
             Some(_) => FlowEnd::Unknown,
             None => end,
         })
--- a/crates/cw_policy/src/configuration/active_config.rs
+++ b/crates/cw_policy/src/configuration/active_config.rs
@@ -1,4 +1,4 @@
-//! The snapshot in force.
+//! The configuration in force at an entry.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::apply_delta;
 use super::make_delta;
 
-/// Where a snapshot comes from.
+/// The origin of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The key-value service.
@@ -21,43 +21,47 @@
     Peer,
 }
 
-/// Why what the key-value service holds is not taken.
+/// The reason why the snapshot of the key-value service is not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Alarm {
-    /// The service went back, as after a restore from an older backup.
-    #[snafu(display("the key-value service holds revision {found}, in force is {held}"))]
+    /// The service holds an earlier revision, as after a restore from an older backup.
+    #[snafu(display(
+        "the key-value service holds revision {found}, but revision {held} is in force"
+    ))]
     Reverted {
-        /// What the service holds.
+        /// The revision of the service.
         found: Revision,
-        /// What is in force.
+        /// The revision in force.
         held: Revision,
     },
-    /// The service holds a history that lacks what is in force.
-    #[snafu(display("revision {found} of the key-value service lacks change {held} in force"))]
+    /// The history of the service lacks the last change in force.
+    #[snafu(display(
+        "the history of revision {found} in the key-value service lacks the change of revision {held} in force"
+    ))]
     Diverged {
-        /// What the service holds.
+        /// The revision of the service.
         found: Revision,
-        /// What is in force.
+        /// The revision in force.
         held: Revision,
     },
 }
 
-/// What became of a snapshot.
+/// The outcome of applying a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyOutcome {
-    /// It is in force; these records could not be read, and what was known of them goes on.
+    /// The snapshot is in force. These records could not be read and keep their previous values.
     Applied(Vec<ConfigError>),
-    /// It was in force already.
+    /// The snapshot was in force already.
     Unchanged,
-    /// It is older than what is in force, as a peer that lags may have it.
+    /// The snapshot is older than the one in force, as that of a lagging peer can be.
     Stale,
-    /// It must not be taken, and operators have to know.
+    /// The snapshot must not be applied, and operators must be alerted.
     Rejected(Alarm),
-    /// Only the whole snapshot will do.
+    /// The delta could not be applied; the full snapshot has to be fetched.
     NeedsSnapshot,
 }
 
-/// The snapshot in force, which never goes back.
+/// The snapshot in force and its typed view. Its revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfig {
     snapshot: Arc<Snapshot>,
@@ -67,34 +71,34 @@
 }
 
 impl ActiveConfig {
-    /// Returns the snapshot.
+    /// Returns the snapshot in force.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// Returns its typed view.
+    /// Returns the typed view of the snapshot.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Returns its revision.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Revision {
         self.snapshot.revision
     }
 
-    /// Returns whether any configuration is known, were it the empty one.
+    /// Returns whether a snapshot has been applied, even an empty one.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Returns why the key-value service is not followed, if so.
+    /// Returns the reason why the last snapshot of the key-value service was not applied, if any.
     pub fn alarm(&self) -> Option<&Alarm> {
         self.alarm.as_ref()
     }
 
-    /// Takes a snapshot, unless that would go back.
+    /// Applies a snapshot, unless it is older than the one in force or diverges from it.
     pub fn apply(&mut self, source: Source, snapshot: Snapshot) -> ApplyOutcome {
-        let outcome = self.judge(source, &snapshot);
+        let outcome = self.classify(source, &snapshot);
         if source == Source::Store {
             self.alarm = match &outcome {
                 ApplyOutcome::Rejected(alarm) => Some(alarm.clone()),
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Takes a peer's answer.
+    /// Applies a peer's response.
     pub fn apply_response(&mut self, answer: ConfigResponse) -> ApplyOutcome {
         match answer {
             ConfigResponse::Current(revision) if revision < self.revision() => ApplyOutcome::Stale,
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Answers a peer that has revision `have`.
+    /// Returns the response to a peer that has revision `have`.
     pub fn answer(&self, have: Revision) -> ConfigResponse {
         if !self.known || have >= self.revision() {
             return ConfigResponse::Current(self.revision());
@@ -132,7 +136,7 @@
         }
     }
 
-    fn judge(&self, source: Source, snapshot: &Snapshot) -> ApplyOutcome {
+    fn classify(&self, source: Source, snapshot: &Snapshot) -> ApplyOutcome {
         let (found, held) = (snapshot.revision, self.revision());
         if !self.known {
             return ApplyOutcome::Applied(Vec::new());
@@ -143,7 +147,7 @@
                 Source::Peer => ApplyOutcome::Stale,
             };
         }
-        if !self.continues(snapshot) {
+        if !self.extends_history(snapshot) {
             return ApplyOutcome::Rejected(Alarm::Diverged { found, held });
         }
         match found == held {
@@ -152,8 +156,9 @@
         }
     }
 
-    /// Returns whether `snapshot` has the last change in force in its history.
-    fn continues(&self, snapshot: &Snapshot) -> bool {
+    /// Returns whether the history of `snapshot` contains the last change in force, or starts after
+    /// it.
+    fn extends_history(&self, snapshot: &Snapshot) -> bool {
         let Some(last) = self.snapshot.changes.last() else {
             return true;
         };
@@ -163,7 +168,7 @@
             .find(|change| change.revision == last.revision);
         match same {
             Some(change) => change.id == last.id,
-            // A process that was away for very long finds its last change trimmed.
+            // The last change of a process that was away for very long has been trimmed.
             None => snapshot
                 .changes
                 .first()
--- a/crates/cw_policy/src/configuration/delta.rs
+++ b/crates/cw_policy/src/configuration/delta.rs
@@ -1,4 +1,4 @@
-//! The part of a snapshot that changed.
+//! Deltas between snapshots.
 
 use std::collections::BTreeSet;
 
@@ -8,19 +8,20 @@
 use cw_wire::ConfigDelta;
 use snafu::Snafu;
 
-/// A delta that cannot be applied; the whole snapshot is needed.
+/// A delta that does not start at the revision in force, so that the full snapshot is needed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the delta starts at revision {from}, and revision {have} is in force"))]
 pub struct DeltaError {
-    /// Where the delta starts.
+    /// The revision at which the delta starts.
     pub from: Revision,
     /// The revision in force.
     pub have: Revision,
 }
 
-/// Returns what changed in `snapshot` since revision `from`.
+/// Returns the changes of `snapshot` since revision `from`.
 ///
-/// `None` when its changes do not reach that far back: then only the whole will do.
+/// `None` when the changes in the snapshot do not reach that far back, or `from` is later than the
+/// snapshot: then the full snapshot is needed.
 pub fn make_delta(snapshot: &Snapshot, from: Revision) -> Option<ConfigDelta> {
     let oldest = snapshot.changes.first()?.revision;
     if from.next() < oldest || from > snapshot.revision {
--- a/crates/cw_policy/src/configuration/diff.rs
+++ b/crates/cw_policy/src/configuration/diff.rs
@@ -1,4 +1,4 @@
-//! What a proposal changes, for people.
+//! The differences that a proposal makes, for display.
 
 use cw_macro::data;
 use cw_types::Record;
@@ -13,13 +13,13 @@
 pub struct RecordDiff {
     /// The record.
     pub key: RecordKey,
-    /// What is in force, if anything.
+    /// The record in force, if any.
     pub before: Option<Record>,
-    /// What would be in force, if anything.
+    /// The record after the change, if any.
     pub after: Option<Record>,
 }
 
-/// Returns what a proposal changes in `snapshot`.
+/// Returns the records of `snapshot` that a proposal edits, before and after the change.
 pub fn diff(snapshot: &Snapshot, proposal: &Proposal) -> Vec<RecordDiff> {
     let one = |edit: &Edit| {
         let key = edit.key();
--- a/crates/cw_policy/src/configuration/dry_run.rs
+++ b/crates/cw_policy/src/configuration/dry_run.rs
@@ -1,4 +1,4 @@
-//! What a change would break.
+//! The check of what a change would break.
 
 use std::fmt;
 
@@ -13,18 +13,18 @@
 use cw_types::VersionName;
 use cw_types::WorkspaceId;
 
-/// Something that a change would break.
+/// A fault in the configuration that a change would cause.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Breakage {
     /// A record cannot be read.
     Malformed {
-        /// The record, as `kind/name`.
+        /// The record's key, as `kind/name`.
         record: String,
-        /// What is wrong with it.
+        /// The fault in the record.
         reason: String,
     },
-    /// A route would have no target.
+    /// A route would have no target that is not drained.
     NoTarget {
         /// The route.
         route: RouteName,
@@ -34,7 +34,8 @@
         /// The route.
         route: RouteName,
     },
-    /// A route's model version has neither a record nor a target that holds it.
+    /// A route's model version would have neither a record that asks for targets nor a target that
+    /// holds it.
     NoVersion {
         /// The route.
         route: RouteName,
@@ -48,19 +49,19 @@
         /// The workspace.
         workspace: WorkspaceId,
     },
-    /// A workspace's quota lets nothing through.
+    /// A workspace's quota would admit no request.
     NoQuota {
         /// The workspace.
         workspace: WorkspaceId,
     },
-    /// Live generations are pinned to a version that would go.
+    /// Live generations are pinned to a version that would be removed.
     Pinned {
         /// The version.
         version: VersionName,
-        /// How many.
+        /// The number of generations.
         generations: u32,
     },
-    /// Nobody could accept a change any more.
+    /// No operator could accept changes any more.
     NoAccepter,
 }
 
@@ -99,15 +100,15 @@
     }
 }
 
-/// Returns what `next` breaks that `present` does not break already.
+/// Returns the faults of `next` that `present` does not have.
 pub fn dry_run(present: &Snapshot, next: &Snapshot) -> Vec<Breakage> {
-    let before = breakages(present);
-    let mut after = breakages(next);
+    let before = find_breakages(present);
+    let mut after = find_breakages(next);
     after.retain(|breakage| !before.contains(breakage));
     after
 }
 
-fn breakages(snapshot: &Snapshot) -> Vec<Breakage> {
+fn find_breakages(snapshot: &Snapshot) -> Vec<Breakage> {
     let (config, errors) = Config::from_snapshot(snapshot);
     let mut found: Vec<_> = errors.into_iter().map(malformed).collect();
     for (name, route) in &config.routes {
--- a/crates/cw_policy/src/configuration/in_use.rs
+++ b/crates/cw_policy/src/configuration/in_use.rs
@@ -1,4 +1,4 @@
-//! What is in use that a change would take away.
+//! The check for versions in use that a change would remove.
 
 use std::collections::BTreeSet;
 
@@ -12,15 +12,15 @@
 use super::Proposal;
 use crate::View;
 
-/// Returns the versions that a proposal removes while generations run on them.
+/// Returns a breakage for each version that a proposal removes while generations run on it.
 ///
-/// A target that holds one version of a model runs all its generations on that version; what
-/// targets with several versions run is not counted.
+/// A target that holds a single version runs all its generations on that version. Targets that
+/// hold several are not counted.
 pub fn in_use(view: &View, proposal: &Proposal) -> Vec<Breakage> {
-    removed(&view.config, proposal)
+    removed_versions(&view.config, proposal)
         .into_iter()
         .filter_map(|(model, version)| {
-            let generations = running_on(view, &model, &version);
+            let generations = running_generations(view, &model, &version);
             (generations > 0).then_some(Breakage::Pinned {
                 version,
                 generations,
@@ -29,7 +29,7 @@
         .collect()
 }
 
-fn removed(config: &Config, proposal: &Proposal) -> BTreeSet<(ModelName, VersionName)> {
+fn removed_versions(config: &Config, proposal: &Proposal) -> BTreeSet<(ModelName, VersionName)> {
     proposal
         .edits
         .iter()
@@ -43,7 +43,7 @@
         .collect()
 }
 
-fn running_on(view: &View, model: &ModelName, version: &VersionName) -> u32 {
+fn running_generations(view: &View, model: &ModelName, version: &VersionName) -> u32 {
     let holds_only = |held: &BTreeSet<VersionName>| held.len() == 1 && held.contains(version);
     view.targets
         .values()
--- a/crates/cw_policy/src/configuration/mod.rs
+++ b/crates/cw_policy/src/configuration/mod.rs
@@ -1,10 +1,10 @@
-//! What operators propose and accept, and what of it is in force.
+//! Changes that operators propose and accept, and the configuration in force.
 //!
-//! - [`Proposal`] is a change that waits; [`accept`] decides on it,
-//!   and [`AcceptFlow`] takes the decision through a service that fails.
-//! - [`dry_run`] says what a change would break.
-//! - [`ActiveConfig`] holds the snapshot in force and never goes back.
-//! - [`make_delta`] and [`apply_delta`] pass a change on without the rest.
+//! - [`Proposal`] is a proposed change; [`accept`] decides on it, and [`AcceptFlow`] carries out the
+//!   decision despite failures of the key-value service. [`reject`] decides on its rejection.
+//! - [`dry_run`] returns the faults that a change would cause.
+//! - [`ActiveConfig`] holds the snapshot in force, whose revision never decreases.
+//! - [`make_delta`] and [`apply_delta`] transfer changes without the unchanged records.
 
 mod accept;
 mod accept_flow;
--- a/crates/cw_policy/src/configuration/proposal.rs
+++ b/crates/cw_policy/src/configuration/proposal.rs
@@ -1,4 +1,4 @@
-//! Changes that wait to be accepted.
+//! Proposed changes.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 }
 
 impl Edit {
-    /// Returns the record that it touches.
+    /// Returns the key of the record that the edit writes or removes.
     pub fn key(&self) -> RecordKey {
         match self {
             Edit::Put(record) => record.key(),
@@ -30,42 +30,42 @@
     }
 }
 
-/// How a proposal is.
+/// The state of a proposal.
 #[data(Default, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ProposalState {
-    /// It waits.
+    /// The proposal awaits a decision.
     #[default]
     Pending,
-    /// An accepter is at it. It may be accepted again, but not rejected.
+    /// An operator has begun to accept the proposal. It can be accepted again, but not rejected.
     Accepting(Actor),
-    /// It was rejected.
+    /// An operator rejected the proposal.
     Rejected(Actor),
 }
 
-/// A change that waits to be accepted; kept after that, as the history of its records.
+/// A proposed change, which is kept after the decision as the history of its records.
 #[data]
 pub struct Proposal {
     /// The change's id.
     pub id: ChangeId,
-    /// Who proposes it.
+    /// The operator who proposes the change.
     pub proposer: Actor,
-    /// When, in seconds since the Unix epoch.
+    /// The time of the proposal, in seconds since the Unix epoch.
     pub proposed_at: u64,
-    /// Why, for other operators.
+    /// The reason for the change, for other operators.
     #[serde(default)]
     pub reason: String,
-    /// What it edits.
+    /// The edits, applied together.
     pub edits: Vec<Edit>,
-    /// The revision at which each record was last touched when it was proposed.
+    /// The revision that last wrote or removed each record, as of the proposal.
     pub base: BTreeMap<RecordKey, Revision>,
-    /// How it is.
+    /// The state of the proposal.
     #[serde(default)]
     pub state: ProposalState,
 }
 
 impl Proposal {
-    /// Returns a proposal on top of `snapshot`.
+    /// Returns a pending proposal based on `snapshot`.
     pub fn new(
         id: ChangeId,
         proposer: Actor,
@@ -75,7 +75,7 @@
     ) -> Self {
         let base_of = |edit: &Edit| {
             let key = edit.key();
-            let revision = touched_at(snapshot, &key);
+            let revision = last_touched(snapshot, &key);
             (key, revision)
         };
         Self {
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Returns whether another proposal is a repeat of this one.
+    /// Returns whether `other` repeats this proposal, whatever its reason, time and state.
     pub fn is_repeat(&self, other: &Self) -> bool {
         self.id == other.id && self.proposer == other.proposer && self.edits == other.edits
     }
 
-    /// Says why.
+    /// Sets the reason.
     #[must_use]
     pub fn with_reason(mut self, reason: &str) -> Self {
         self.reason = reason.to_owned();
@@ -102,8 +102,8 @@
     }
 }
 
-/// Returns the revision that last touched a record, also when it removed it.
-pub(super) fn touched_at(snapshot: &Snapshot, key: &RecordKey) -> Revision {
+/// Returns the revision that last wrote or removed a record, or the default revision if none did.
+pub(super) fn last_touched(snapshot: &Snapshot, key: &RecordKey) -> Revision {
     let written = snapshot.records.get(key).map(|(revision, _)| *revision);
     let removed = snapshot
         .changes
--- a/crates/cw_policy/src/configuration/reject.rs
+++ b/crates/cw_policy/src/configuration/reject.rs
@@ -9,20 +9,20 @@
 /// The decision on a rejection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RejectDecision {
-    /// The proposal that is to replace the present one by compare-and-swap.
+    /// Replace the stored proposal by this one, by compare-and-swap.
     Write(Box<Proposal>),
-    /// The same operator rejected it before.
+    /// The same operator rejected the proposal before.
     AlreadyRejected,
-    /// Another operator rejected it before.
+    /// Another operator rejected the proposal before.
     RejectedBy(Actor),
-    /// It is accepted, or may be at any moment.
+    /// This operator accepted the proposal, or is accepting it.
     AcceptedBy(Actor),
 }
 
-/// Decides on the rejection of a proposal, at an entry with this snapshot in force.
+/// Decides on the rejection of a proposal at an entry with the snapshot `in_force`.
 ///
-/// The snapshot has the last word: a service that was restored from an older backup may hold the
-/// proposal as it was before it was accepted.
+/// The snapshot takes precedence over the state of the proposal: a key-value service that was
+/// restored from an older backup may hold the proposal as it was before its acceptance.
 pub fn reject(in_force: &Snapshot, proposal: &Proposal, by: &Actor) -> RejectDecision {
     let accepted = in_force.changes.iter().find(|c| c.id == proposal.id);
     if let Some(change) = accepted {
--- a/crates/cw_policy/src/configuration/watchers.rs
+++ b/crates/cw_policy/src/configuration/watchers.rs
@@ -1,4 +1,4 @@
-//! Which entries watch the key-value service.
+//! The choice of the entries that watch the key-value service.
 
 use cw_types::HostId;
 use cw_types::ZoneId;
@@ -6,18 +6,19 @@
 
 use crate::EntryPeer;
 
-/// How many entries of each availability zone watch.
-const WATCHERS: usize = 2;
+/// The number of watchers in each availability zone.
+const WATCHERS_PER_ZONE: usize = 2;
 
 /// Returns whether the entry on `host` in `zone` is one of the watchers of its availability zone.
 ///
-/// The number of watchers does not grow with the number of entries.
+/// The number of watchers is constant, so the load on the service does not grow with the number of
+/// entries.
 pub fn is_watcher(host: &HostId, zone: &ZoneId, entries: &[EntryPeer]) -> bool {
     let rank = |host: &HostId| xxh3_64(host.as_str().as_bytes());
     let own = rank(host);
-    let better = entries
+    let higher = entries
         .iter()
         .filter(|entry| entry.zone == *zone && entry.host != *host)
         .filter(|entry| rank(&entry.host) > own);
-    better.count() < WATCHERS
+    higher.count() < WATCHERS_PER_ZONE
 }
--- a/crates/cw_policy/src/membership/demands.rs
+++ b/crates/cw_policy/src/membership/demands.rs
@@ -1,4 +1,4 @@
-//! The demands on quotas on their way.
+//! The quota demands that a relay sends and forwards.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,55 +8,59 @@
 use cw_types::WorkspaceId;
 use cw_wire::Demand;
 
-/// How old a demand may be and still be passed on.
-const FRESH: Duration = Duration::from_secs(6);
+/// The age from which a demand of another entry is no longer forwarded.
+const MAX_DEMAND_AGE: Duration = Duration::from_secs(6);
 
-/// The demands of an entry and of the others in its group.
+/// The latest quota demands of an entry and of its group peers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Demands {
     own: Option<(Time, Demand)>,
-    near: BTreeMap<HostId, (Time, Demand)>,
+    peers: BTreeMap<HostId, (Time, Demand)>,
 }
 
 impl Demands {
-    /// Takes the entry's own demand.
-    pub(super) fn on_own(&mut self, now: Time, demand: Demand) {
+    /// Replaces the entry's own demand.
+    pub(super) fn set_own(&mut self, now: Time, demand: Demand) {
         self.own = Some((now, demand));
     }
 
-    /// Takes the demand of another entry of the group.
-    pub(super) fn on_near(&mut self, made: Time, demand: Demand) {
-        self.near.insert(demand.from.clone(), (made, demand));
+    /// Replaces the demand of a group peer. `made` is when the peer computed it.
+    pub(super) fn set_peer(&mut self, made: Time, demand: Demand) {
+        self.peers.insert(demand.from.clone(), (made, demand));
     }
 
-    /// Returns the own demand, for the group.
+    /// Returns the entry's own demand with its age, to send to the group peers.
     pub(super) fn own(&self, now: Time) -> Vec<(Duration, Demand)> {
         let aged = |(made, demand): &(Time, Demand)| (now.since(*made), demand.clone());
         self.own.iter().map(aged).collect()
     }
 
-    /// Returns the sum of the group's demands, for the entries of other groups.
-    pub(super) fn sum(&mut self, now: Time, sequence: u64) -> Vec<(Duration, Demand)> {
-        self.near.retain(|_, (made, _)| now.since(*made) < FRESH);
+    /// Returns the total demand of the group, to send to entries of other groups.
+    ///
+    /// Its age is that of the oldest demand in it. The result is empty until the entry has a demand
+    /// of its own.
+    pub(super) fn group_total(&mut self, now: Time, sequence: u64) -> Vec<(Duration, Demand)> {
+        self.peers
+            .retain(|_, (made, _)| now.since(*made) < MAX_DEMAND_AGE);
         let Some((made, own)) = &self.own else {
             return Vec::new();
         };
         let mut oldest = *made;
-        let mut sum = Demand {
+        let mut total = Demand {
             sequence,
             ..own.clone()
         };
-        for (made, demand) in self.near.values() {
+        for (made, demand) in self.peers.values() {
             oldest = oldest.min(*made);
-            sum.entries += demand.entries;
-            add(&mut sum.parts, &demand.parts);
+            total.entries += demand.entries;
+            add_parts(&mut total.parts, &demand.parts);
         }
-        vec![(now.since(oldest), sum)]
+        vec![(now.since(oldest), total)]
     }
 }
 
-fn add(sum: &mut BTreeMap<WorkspaceId, f64>, parts: &BTreeMap<WorkspaceId, f64>) {
+fn add_parts(total: &mut BTreeMap<WorkspaceId, f64>, parts: &BTreeMap<WorkspaceId, f64>) {
     for (workspace, part) in parts {
-        *sum.entry(workspace.clone()).or_default() += part;
+        *total.entry(workspace.clone()).or_default() += part;
     }
 }
--- a/crates/cw_policy/src/membership/member.rs
+++ b/crates/cw_policy/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one target.
+//! The state of one target.
 
 use std::collections::BTreeMap;
 
@@ -14,74 +14,74 @@
 use super::MembershipLimits;
 use crate::Liveness;
 
-/// What is known of one target.
+/// The newest report of a target, and the relays that report its silence.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    /// The newest report.
     pub(super) report: Report,
-    /// When it was made, by this process's clock.
-    pub(super) made: Time,
+    /// When the report was made, by this process's clock.
+    pub(super) made_at: Time,
     /// When the target last became alive.
     pub(super) returned: Time,
-    /// The relays that say it is silent, with the life they mean and when they said so.
+    /// The relays that report the target's silence, with the incarnation that they refer to and the
+    /// time of their statement.
     silences: BTreeMap<HostId, (Incarnation, Time)>,
 }
 
-/// What the outside says of a target at one moment.
+/// What the liveness of a target depends on besides its reports.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Circumstances {
-    /// The present.
+pub(super) struct LivenessContext {
     pub(super) now: Time,
-    /// Since when this process has run without a pause.
-    pub(super) awake: Time,
-    /// Whether operators drain the target.
+    /// The start of the period in which this process has run without a pause.
+    pub(super) running_since: Time,
+    /// Whether an operator drains the target.
     pub(super) drained: bool,
-    /// What the host list says of its host.
-    pub(super) mark: HostStatus,
-    /// How many witnesses there can be at most.
-    pub(super) entries: usize,
+    /// The status of the target's host in the host list.
+    pub(super) host_status: HostStatus,
+    /// The number of live entries, which bounds the number of witnesses.
+    pub(super) entry_count: usize,
 }
 
 impl Member {
     pub(super) fn new(report: Report, made: Time) -> Self {
         Self {
             report,
-            made,
+            made_at: made,
             returned: made,
             silences: BTreeMap::new(),
         }
     }
 
-    /// Returns whether `report` is newer than the one at hand.
+    /// Returns whether `report` replaces the newest report.
     ///
-    /// An earlier life counts only when the later one is gone: a clock that was set back must not
-    /// shut a target out, and a paused agent must not displace the one that took its place.
-    pub(super) fn is_older_than(&self, report: &Report, gone: bool) -> bool {
-        let have = (self.report.incarnation, self.report.sequence);
-        (report.incarnation, report.sequence) > have
+    /// A report of an earlier incarnation is accepted only when the later incarnation is gone: an
+    /// agent whose clock was set back must not be locked out, and an agent that resumes from a pause
+    /// must not replace its successor.
+    pub(super) fn is_superseded_by(&self, report: &Report, gone: bool) -> bool {
+        let current = (self.report.incarnation, self.report.sequence);
+        (report.incarnation, report.sequence) > current
             || (gone && report.incarnation != self.report.incarnation)
     }
 
-    /// Takes a newer report.
-    pub(super) fn renew(&mut self, report: Report, made: Time, was: Liveness) {
+    /// Replaces the report with a newer one. `was` is the liveness before it.
+    pub(super) fn replace_report(&mut self, report: Report, made: Time, was: Liveness) {
         let up = report.state == TargetState::Up;
         if up && was != Liveness::Alive {
             self.returned = made;
         }
         self.report = report;
-        self.made = made;
+        self.made_at = made;
         self.silences.clear();
     }
 
-    /// Takes a newer load of the same life.
-    pub(super) fn update(&mut self, update: &LoadUpdate, made: Time) {
+    /// Applies a newer load of the same incarnation.
+    pub(super) fn apply_load(&mut self, update: &LoadUpdate, made: Time) {
         self.report.sequence = update.sequence;
         self.report.load = update.unpack(&self.report.load);
-        self.made = self.made.max(made);
+        self.made_at = self.made_at.max(made);
         self.silences.clear();
     }
 
-    /// Notes that a relay has not heard of the target.
+    /// Records that a relay reports the target's silence.
     pub(super) fn on_silence(&mut self, now: Time, relay: &HostId, silence: &SilentTarget) {
         if silence.incarnation == self.report.incarnation {
             let statement = (silence.incarnation, now);
@@ -89,37 +89,38 @@
         }
     }
 
-    /// Judges the target.
-    pub(super) fn liveness(&self, at: &Circumstances, limits: &MembershipLimits) -> Liveness {
-        let quiet = at.now.since(self.made.max(at.awake));
-        if quiet < limits.silent_after {
-            return self.stated(at);
+    /// Returns the liveness of the target.
+    pub(super) fn liveness(&self, at: &LivenessContext, limits: &MembershipLimits) -> Liveness {
+        let silent_for = at.now.since(self.made_at.max(at.running_since));
+        if silent_for < limits.silent_after {
+            return self.declared_liveness(at);
         }
-        let witnesses = self.witnesses(at, limits);
-        let needed = limits.min_witnesses.min(at.entries.max(1));
-        let proven = witnesses >= needed || at.mark == HostStatus::Absent;
-        if proven && quiet >= limits.gone_after {
+        let witnesses = self.witness_count(at, limits);
+        let needed = limits.min_witnesses.min(at.entry_count.max(1));
+        let confirmed = witnesses >= needed || at.host_status == HostStatus::Absent;
+        if confirmed && silent_for >= limits.gone_after {
             return Liveness::Gone;
         }
-        let doubted =
-            witnesses > 0 || at.mark == HostStatus::Absent || quiet >= limits.suspect_after;
-        match self.stated(at) {
-            Liveness::Alive if doubted => Liveness::Suspect,
-            stated => stated,
+        let suspect = witnesses > 0
+            || at.host_status == HostStatus::Absent
+            || silent_for >= limits.suspect_after;
+        match self.declared_liveness(at) {
+            Liveness::Alive if suspect => Liveness::Suspect,
+            declared => declared,
         }
     }
 
-    fn witnesses(&self, at: &Circumstances, limits: &MembershipLimits) -> usize {
+    fn witness_count(&self, at: &LivenessContext, limits: &MembershipLimits) -> usize {
         self.silences
             .values()
-            .filter(|(_, said)| at.now.since(*said) < limits.statement_ttl)
+            .filter(|(_, stated_at)| at.now.since(*stated_at) < limits.statement_ttl)
             .count()
     }
 
-    /// What the target, its operators and the host list say of it.
-    fn stated(&self, at: &Circumstances) -> Liveness {
+    /// Returns the liveness that the target, its operators and the host list declare.
+    fn declared_liveness(&self, at: &LivenessContext) -> Liveness {
         let leaving = self.report.state == TargetState::Leaving;
-        if leaving || at.drained || at.mark == HostStatus::Leaving {
+        if leaving || at.drained || at.host_status == HostStatus::Leaving {
             return Liveness::Leaving;
         }
         match self.report.state {
--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -1,4 +1,4 @@
-//! The judgement of all targets.
+//! The liveness and the latest reports of all targets.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,123 +17,130 @@
 
 use super::MembershipLimits;
 use super::ago;
-use super::member::Circumstances;
+use super::member::LivenessContext;
 use super::member::Member;
 use crate::Liveness;
 use crate::TargetView;
 
-/// The most targets that are remembered without a record.
-const STRANGERS_MAX: usize = 1024;
+/// The largest number of remembered targets that have no record.
+const MAX_UNREGISTERED: usize = 1024;
 
-/// What the host list says of a host.
+/// The status of a host in the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStatus {
-    /// Nothing: the list has not been read.
+    /// The list has not been read.
     Unknown,
-    /// It is there.
+    /// The list has the host.
     Live,
-    /// It is about to go.
+    /// The list has the host, marked as leaving.
     Leaving,
-    /// The list does not have it.
+    /// The list does not have the host.
     Absent,
 }
 
-/// What became of news.
+/// The outcome of merging a report or a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It was newer and is in force.
+    /// It was newer and has been applied.
     Applied,
-    /// It was old or repeated, or of an earlier life.
+    /// It was old or repeated, belonged to an earlier incarnation, or exceeded the limit on targets
+    /// without a record.
     Stale,
-    /// It refers to a report that this process never got, so it should ask a peer for all.
+    /// It updates the load of a target of which this process has no report. The caller should ask a
+    /// peer for all reports.
     MissingReport,
 }
 
-/// The judgement of all targets, by reports, batches and the host list.
+/// The targets known to an entry, from reports, batches and the host list.
 ///
-/// All moments are of this process's monotonic clock, and what comes from others is an age, so a
-/// wall clock that jumps changes nothing.
+/// Every time is one of this process's monotonic clock, and other processes send ages, so a jump of
+/// a wall clock has no effect.
 #[derive(Clone, Debug)]
 pub struct Members {
     host: HostId,
     limits: MembershipLimits,
     members: BTreeMap<TargetId, Member>,
-    names: BTreeMap<TargetHash, TargetId>,
+    ids_by_hash: BTreeMap<TargetHash, TargetId>,
     drained: BTreeSet<TargetId>,
     records: BTreeMap<TargetId, Target>,
     hosts: Option<BTreeMap<HostId, HostStatus>>,
-    entries: usize,
-    ticked: Time,
-    awake: Time,
+    entry_count: usize,
+    last_tick: Time,
+    running_since: Time,
 }
 
 impl Members {
-    /// Returns the state of an entry on `host` that has heard nothing.
+    /// Returns the state of an entry on `host` that has received no report.
     pub fn new(host: HostId, limits: MembershipLimits, now: Time) -> Self {
         Self {
             host,
             limits,
             members: BTreeMap::new(),
-            names: BTreeMap::new(),
+            ids_by_hash: BTreeMap::new(),
             drained: BTreeSet::new(),
             records: BTreeMap::new(),
             hosts: None,
-            entries: 1,
-            ticked: now,
-            awake: now,
+            entry_count: 1,
+            last_tick: now,
+            running_since: now,
         }
     }
 
     // ------------------------------------------------------------------------
     // Events
 
-    /// Notes that the process runs. After a pause of its own, the silence of others begins anew.
+    /// Records that the process is running. After a pause of the process itself, the silence of
+    /// targets is measured from the end of the pause.
     pub fn on_tick(&mut self, now: Time) {
-        if now.since(self.ticked) > self.limits.pause_threshold {
-            self.awake = now;
+        if now.since(self.last_tick) > self.limits.pause_threshold {
+            self.running_since = now;
         }
-        self.ticked = now;
+        self.last_tick = now;
     }
 
-    /// Takes the records of targets and drains.
+    /// Replaces the records of targets and drains. Forgets all targets without a record
+    /// when there are too many of them.
     pub fn on_config(&mut self, config: &Config) {
         let drained = |id: &&TargetId| config.is_drained(id);
         self.drained = config.targets.keys().filter(drained).cloned().collect();
         self.records = config.targets.clone();
         let records = &self.records;
-        let strangers = self.members.keys().filter(|id| !records.contains_key(id));
-        if strangers.count() > STRANGERS_MAX {
+        let unregistered = self.members.keys().filter(|id| !records.contains_key(id));
+        if unregistered.count() > MAX_UNREGISTERED {
             self.members.retain(|id, _| records.contains_key(id));
         }
     }
 
-    /// Takes the host list. `entries` is the number of live entries.
+    /// Replaces the host list. `entries` is the number of live entries.
     pub fn on_hosts(&mut self, hosts: BTreeMap<HostId, HostStatus>, entries: usize) {
         self.hosts = Some(hosts);
-        self.entries = entries;
+        self.entry_count = entries;
     }
 
-    /// Takes a report that was made `age` ago.
+    /// Merges a report that was made `age` ago.
     pub fn on_report(&mut self, now: Time, age: Duration, report: Report) -> MergeOutcome {
         let made = ago(now, age);
         let id = report.target.clone();
         let was = self.liveness(now, &id);
-        let refused = self.is_full() && !self.records.contains_key(&id);
+        let is_refused = self.is_full() && !self.records.contains_key(&id);
         match self.members.get_mut(&id) {
-            Some(member) if member.is_older_than(&report, was == Liveness::Gone) => {
-                member.renew(report, made, was);
+            Some(member) if member.is_superseded_by(&report, was == Liveness::Gone) => {
+                member.replace_report(report, made, was);
             }
             Some(_) => return MergeOutcome::Stale,
-            None if refused => return MergeOutcome::Stale,
+            None if is_refused => return MergeOutcome::Stale,
             None => {
-                self.names.insert(TargetHash::from(&id), id.clone());
+                self.ids_by_hash.insert(TargetHash::from(&id), id.clone());
                 self.members.insert(id, Member::new(report, made));
             }
         }
         MergeOutcome::Applied
     }
 
-    /// Takes a batch of a relay.
+    /// Merges a batch of a relay.
+    ///
+    /// Returns [`MergeOutcome::MissingReport`] if any load lacks its report, otherwise
+    /// [`MergeOutcome::Applied`] if any report or load was newer.
     pub fn on_batch(&mut self, now: Time, batch: &ReportBatch) -> MergeOutcome {
         let mut outcome = MergeOutcome::Stale;
         for (age, report) in &batch.reports {
@@ -156,7 +163,7 @@
         outcome
     }
 
-    /// Takes what a relay, or this process itself, says of a silent target.
+    /// Records a statement, of a relay or of this process itself, that a target is silent.
     pub fn on_silence(&mut self, now: Time, relay: &HostId, silence: &SilentTarget) {
         if let Some(member) = self.members.get_mut(&silence.target) {
             member.on_silence(now, relay, silence);
@@ -164,35 +171,35 @@
     }
 
     fn on_load(&mut self, now: Time, update: &LoadUpdate) -> MergeOutcome {
-        let id = self.names.get(&update.target);
+        let id = self.ids_by_hash.get(&update.target);
         let Some(member) = id.and_then(|id| self.members.get_mut(id)) else {
             return MergeOutcome::MissingReport;
         };
         if update.sequence <= member.report.sequence {
             return MergeOutcome::Stale;
         }
-        member.update(update, ago(now, update.age()));
+        member.apply_load(update, ago(now, update.age()));
         MergeOutcome::Applied
     }
 
     fn is_full(&self) -> bool {
-        self.members.len() >= self.records.len() + STRANGERS_MAX
+        self.members.len() >= self.records.len() + MAX_UNREGISTERED
     }
 
     // ------------------------------------------------------------------------
-    // Questions
+    // Queries
 
-    /// Judges one target.
+    /// Returns the liveness of a target; one without a report is [`Liveness::Down`].
     pub fn liveness(&self, now: Time, id: &TargetId) -> Liveness {
         let Some(member) = self.members.get(id) else {
             return Liveness::Down;
         };
-        let at = Circumstances {
+        let at = LivenessContext {
             now,
-            awake: self.awake,
+            running_since: self.running_since,
             drained: self.drained.contains(id),
-            mark: self.mark(&member.report.host),
-            entries: self.entries,
+            host_status: self.host_status(&member.report.host),
+            entry_count: self.entry_count,
         };
         member.liveness(&at, &self.limits)
     }
@@ -202,20 +209,21 @@
         &self.host
     }
 
-    /// Returns since when this process has run without a pause.
+    /// Returns the start of the period in which this process has run without a pause.
     pub fn running_since(&self) -> Time {
-        self.awake
+        self.running_since
     }
 
-    /// Returns the targets that have a record, as traffic sees them.
+    /// Returns the view of every target that has a record.
     pub fn view(&self, now: Time) -> BTreeMap<TargetId, TargetView> {
-        let one = |(id, target): (&TargetId, &Target)| (id.clone(), self.look(now, id, target));
+        let one =
+            |(id, target): (&TargetId, &Target)| (id.clone(), self.target_view(now, id, target));
         self.records.iter().map(one).collect()
     }
 
-    /// Returns every report with its age, for a process that has none.
+    /// Returns the newest report of every target with its age, for a process that has none.
     pub fn reports(&self, now: Time) -> Vec<(Duration, Report)> {
-        let aged = |member: &Member| (now.since(member.made), member.report.clone());
+        let aged = |member: &Member| (now.since(member.made_at), member.report.clone());
         self.members.values().map(aged).collect()
     }
 
@@ -224,24 +232,24 @@
         self.members.get(id).map(|member| &member.report)
     }
 
-    fn look(&self, now: Time, id: &TargetId, target: &Target) -> TargetView {
+    fn target_view(&self, now: Time, id: &TargetId, target: &Target) -> TargetView {
         let liveness = self.liveness(now, id);
         let Some(member) = self.members.get(id) else {
-            return unheard(target, self.drained.contains(id));
+            return unreported_view(target, self.drained.contains(id));
         };
         TargetView {
             target: target.clone(),
             liveness,
             incarnation: member.report.incarnation,
             load: member.report.load,
-            reported: member.made,
+            reported: member.made_at,
             returned: member.returned,
             versions: member.report.versions.clone(),
             crashes: member.report.crashes.clone(),
         }
     }
 
-    fn mark(&self, host: &HostId) -> HostStatus {
+    fn host_status(&self, host: &HostId) -> HostStatus {
         match &self.hosts {
             None => HostStatus::Unknown,
             Some(hosts) => hosts.get(host).copied().unwrap_or(HostStatus::Absent),
@@ -249,7 +257,7 @@
     }
 }
 
-fn unheard(target: &Target, drained: bool) -> TargetView {
+fn unreported_view(target: &Target, drained: bool) -> TargetView {
     TargetView {
         target: target.clone(),
         liveness: match drained {
--- a/crates/cw_policy/src/membership/membership_limits.rs
+++ b/crates/cw_policy/src/membership/membership_limits.rs
@@ -1,21 +1,22 @@
-//! The limits that membership is judged by.
+//! The limits for the liveness of targets.
 
 use std::time::Duration;
 
-/// The limits that membership is judged by.
+/// The durations and counts that decide the liveness of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipLimits {
-    /// How old the last report of a target may be before silence counts at all.
+    /// The age of a target's last report from which the target counts as silent.
     pub silent_after: Duration,
-    /// How long a target must be silent before it can be gone.
+    /// How long a target must be silent before it can count as gone.
     pub gone_after: Duration,
-    /// How long a target stays alive while no relay says anything of it.
+    /// How long a silent target stays alive while no relay reports its silence.
     pub suspect_after: Duration,
-    /// How long what a relay says of a silence counts.
+    /// How long a relay's statement that a target is silent is valid.
     pub statement_ttl: Duration,
-    /// How many relays must say so before a silent target is gone.
+    /// How many relays must report the silence of a target before it counts as gone, at most as many
+    /// as there are live entries.
     pub min_witnesses: usize,
-    /// A pause between two ticks above which this process was paused itself.
+    /// The time between two ticks above which this process counts as having been paused.
     pub pause_threshold: Duration,
 }
 
--- a/crates/cw_policy/src/membership/mod.rs
+++ b/crates/cw_policy/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! Which targets and entries are there, and who passes on what is known of them.
+//! The liveness of targets and entries, and the relaying of their reports.
 //!
-//! - [`Members`] judges targets by reports, batches and the host list.
-//! - [`RelayGroups`] says which entry passes a batch on to which others.
-//! - [`Outbox`] gathers what the next batch carries.
-//! - [`Processes`] keeps what entries tell of themselves.
+//! - [`Members`] derives the liveness of targets from reports, batches and the host list.
+//! - [`Relay`] forwards the reports of agents to other entries.
+//! - [`RelayGroups`] lists the entries to which an entry sends batches.
+//! - [`Outbox`] collects the contents of the next batch.
+//! - [`Processes`] stores the states that entries send of themselves.
 
 mod demands;
 mod member;
@@ -33,7 +34,7 @@
 
 use cw_types::Time;
 
-/// Returns the moment that lies `age` before `now`.
+/// Returns the time that lies `age` before `now`, or the clock's origin if that is later.
 pub fn ago(now: Time, age: Duration) -> Time {
     let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     Time(now.0.saturating_sub(micros))
--- a/crates/cw_policy/src/membership/outbox.rs
+++ b/crates/cw_policy/src/membership/outbox.rs
@@ -1,4 +1,4 @@
-//! What the next batch carries.
+//! The contents of the next batch.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 
 use super::ago;
 
-/// What the next batch carries: only the newest of each target and entry.
+/// The contents of the next batch: only the newest report, load, silence and state of each target
+/// and entry.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
     reports: BTreeMap<TargetId, (Time, Report)>,
@@ -25,7 +26,7 @@
 }
 
 impl Outbox {
-    /// Adds a whole report that was made at `made`.
+    /// Adds a full report that was made at `made`, in place of an older report or load of its target.
     pub fn put_report(&mut self, made: Time, report: Report) {
         let newer =
             |old: &Report| (old.incarnation, old.sequence) < (report.incarnation, report.sequence);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Adds a load that was reported at `made`.
+    /// Adds a load update that was reported at `made`.
     pub fn put_load(&mut self, made: Time, update: LoadUpdate) {
         let old = self.loads.get(&update.target);
         if old.is_none_or(|(_, old)| old.sequence < update.sequence) {
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Adds what a relay says of a silent target.
+    /// Adds a relay's statement that a target is silent.
     pub fn put_silence(&mut self, silence: SilentTarget) {
         let key = (silence.relay.clone(), silence.target.clone());
         self.silent.insert(key, silence);
     }
 
-    /// Adds what an entry said of itself at `made`.
+    /// Adds the state that an entry sent of itself at `made`.
     pub fn put_process(&mut self, made: Time, state: ProcessState) {
         let old = self.processes.get(&state.host);
         if old.is_none_or(|(_, old)| old.sequence < state.sequence) {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Adds all that another relay's batch carries.
+    /// Adds the contents of another relay's batch, except its demands.
     pub fn put_batch(&mut self, now: Time, batch: &ReportBatch) {
         for (age, report) in &batch.reports {
             self.put_report(ago(now, *age), report.clone());
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Returns whether there is nothing to send.
+    /// Returns whether the outbox is empty.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
             && self.loads.is_empty()
@@ -82,9 +83,9 @@
             && self.processes.is_empty()
     }
 
-    /// Empties the outbox into a batch of the relay on `host`.
+    /// Moves the contents of the outbox into a batch of the relay on `host`, with ages as of `now`.
     pub fn take(&mut self, now: Time, host: &HostId, revision: Revision) -> ReportBatch {
-        let whole = std::mem::take(self);
+        let contents = std::mem::take(self);
         let aged_load = |(made, mut update): (Time, LoadUpdate)| {
             update.set_age(now.since(made));
             update
@@ -97,14 +98,14 @@
             relay: host.clone(),
             sequence: 0,
             revision,
-            reports: whole
+            reports: contents
                 .reports
                 .into_values()
                 .map(|(made, report)| (now.since(made), report))
                 .collect(),
-            loads: whole.loads.into_values().map(aged_load).collect(),
-            silent: whole.silent.into_values().collect(),
-            processes: whole.processes.into_values().map(aged_state).collect(),
+            loads: contents.loads.into_values().map(aged_load).collect(),
+            silent: contents.silent.into_values().collect(),
+            processes: contents.processes.into_values().map(aged_state).collect(),
             forwarded: false,
             demands: Vec::new(),
         }
--- a/crates/cw_policy/src/membership/processes.rs
+++ b/crates/cw_policy/src/membership/processes.rs
@@ -1,4 +1,4 @@
-//! What entries tell of themselves.
+//! The states that entries send of themselves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,41 +9,42 @@
 
 use super::ago;
 
-/// How long an entry counts as live after its last word.
-const LIVE_FOR: Duration = Duration::from_secs(180);
+/// How long an entry counts as live after its last state.
+const LIVE_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// The age of a statement from which on any other replaces it: the number of a statement comes
-/// from a wall clock, which may be set back.
-const OLD: Duration = Duration::from_secs(45);
+/// The age from which any other state replaces the known one, whatever its sequence number:
+/// sequence numbers come from a wall clock, which may be set back.
+const SEQUENCE_RESET_AGE: Duration = Duration::from_secs(45);
 
-/// What entries tell of themselves.
+/// The newest state of every entry, as sent by the entry itself.
 #[derive(Clone, Debug, Default)]
 pub struct Processes {
     states: BTreeMap<HostId, (Time, ProcessState)>,
 }
 
 impl Processes {
-    /// Takes what an entry said; older statements are ignored.
+    /// Stores the state of an entry. A state that does not have a higher sequence number than the
+    /// known one is ignored, unless the known one is outdated.
     pub fn on_state(&mut self, now: Time, state: &ProcessState) {
         let made = ago(now, state.age);
         let old = self.states.get(&state.host);
-        let is_old = |at: Time| now.since(at) >= OLD;
-        if old.is_none_or(|(at, old)| old.sequence < state.sequence || is_old(*at)) {
+        let is_outdated = |at: Time| now.since(at) >= SEQUENCE_RESET_AGE;
+        if old.is_none_or(|(at, old)| old.sequence < state.sequence || is_outdated(*at)) {
             self.states
                 .insert(state.host.clone(), (made, state.clone()));
         }
     }
 
-    /// Forgets an entry that the host list no longer has.
+    /// Removes the entries for whose host `listed` returns false.
     pub fn retain(&mut self, listed: impl Fn(&HostId) -> bool) {
         self.states.retain(|host, _| listed(host));
     }
 
-    /// Returns the live entries with the age of their last word.
+    /// Returns the states of the live entries with their age.
     pub fn live(&self, now: Time) -> impl Iterator<Item = (Duration, &ProcessState)> {
         self.states
             .values()
             .map(move |(made, state)| (now.since(*made), state))
-            .filter(|(age, _)| *age < LIVE_FOR)
+            .filter(|(age, _)| *age < LIVE_TIMEOUT)
     }
 }
--- a/crates/cw_policy/src/membership/relay.rs
+++ b/crates/cw_policy/src/membership/relay.rs
@@ -1,4 +1,4 @@
-//! What an entry passes on of the reports that it gets.
+//! The relaying of reports from agents to other entries.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,192 +26,197 @@
 use super::ago;
 use super::demands::Demands;
 
-/// How often each report is passed on whole, changed or not.
-const WHOLE_PERIOD: Duration = Duration::from_secs(120);
+/// How often a full report is sent even when it has not changed.
+const FULL_REPORT_PERIOD: Duration = Duration::from_secs(120);
 
-/// How often a report is passed on whole because its pinned versions changed.
-const PINNED_PERIOD: Duration = Duration::from_secs(5);
+/// The shortest time between full reports that only a change of the pinned versions causes.
+const PIN_CHANGE_PERIOD: Duration = Duration::from_secs(5);
 
-/// How long a relay that is not the first of a target leaves its loads to the first one.
-const BACKUP_PERIOD: Duration = Duration::from_secs(10);
+/// How long the other relays of a target must have sent none of its reports and loads before a
+/// relay that is not its first one sends its loads.
+const BACKUP_DELAY: Duration = Duration::from_secs(10);
 
-/// How long a silent target is spoken of before it is forgotten.
-const SILENCE_MAX: Duration = Duration::from_secs(90);
+/// How long the silence of a target is reported before the target is forgotten.
+const MAX_SILENCE: Duration = Duration::from_secs(90);
 
-/// The period of batches by the largest number of entries that it is for.
-const PERIODS: [(usize, Duration); 4] = [
+/// The largest number of entries of each size class, and the period of batches in that class.
+const BATCH_PERIODS: [(usize, Duration); 4] = [
     (16, Duration::from_millis(500)),
     (64, Duration::from_millis(1000)),
     (160, Duration::from_millis(2000)),
     (usize::MAX, Duration::from_millis(4000)),
 ];
 
-/// A change of a load below this share of the limit, as a divisor, can wait.
-const LOAD_SHARE: u32 = 8;
+/// The divisor of a target's limit that gives the smallest change of load to be sent at once.
+const LOAD_CHANGE_DIVISOR: u32 = 8;
 
-/// A target that reports here.
+/// A target whose agent reports to this relay.
 #[derive(Clone, Debug)]
-struct Direct {
+struct DirectTarget {
     report: Report,
-    heard: Time,
-    /// When another relay was last heard to pass its loads on.
-    elsewhere: Time,
-    /// The report that was last passed on whole, and when.
-    whole: Option<(Time, Report)>,
-    /// The load that was last passed on, and when.
-    load: (Time, Load),
+    last_heard: Time,
+    /// When another relay last sent a report or load of the target.
+    relayed_by_peer: Time,
+    /// The last full report sent, and when it was sent.
+    sent_report: Option<(Time, Report)>,
+    /// The last load sent, and when it was sent.
+    sent_load: (Time, Load),
 }
 
 /// The batches of one round.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RelayBatches {
-    /// For each entry of the own group.
+    /// For each other entry of this relay's group.
     pub group: Option<ReportBatch>,
-    /// For the entries of other groups.
+    /// For each chosen entry of the other groups.
     pub forwarded: Option<ReportBatch>,
 }
 
-/// When what a report says has to be passed on.
+/// How soon a report has to be sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// With the next round.
     NextRound,
-    /// At once: the target takes work no more, or takes it again.
+    /// Without waiting for the next round: the target is new, or its state changed, so it may stop or
+    /// start to accept work.
     Immediate,
 }
 
-/// What an entry passes on of the reports that it gets.
+/// Forwards the reports that an entry receives from agents.
 #[derive(Clone, Debug)]
 pub struct Relay {
     host: HostId,
-    fresh: Duration,
-    direct: BTreeMap<TargetId, Direct>,
-    near: Outbox,
-    far: Outbox,
+    silent_after: Duration,
+    direct: BTreeMap<TargetId, DirectTarget>,
+    group_outbox: Outbox,
+    forward_outbox: Outbox,
     demands: Demands,
     sequence: u64,
 }
 
 impl Relay {
-    /// Returns the relay on `host`, which speaks of a silence after `fresh`.
-    pub fn new(host: HostId, fresh: Duration) -> Self {
+    /// Returns the relay on `host`, which reports a target as silent after `silent_after`.
+    pub fn new(host: HostId, silent_after: Duration) -> Self {
         Self {
             host,
-            fresh,
+            silent_after,
             direct: BTreeMap::new(),
-            near: Outbox::default(),
-            far: Outbox::default(),
+            group_outbox: Outbox::default(),
+            forward_outbox: Outbox::default(),
             demands: Demands::default(),
             sequence: 0,
         }
     }
 
-    /// Returns how often batches are sent among so many entries.
+    /// Returns the period of batches among this number of entries.
     pub fn period(entries: usize) -> Duration {
         let fits = |(most, _): &&(usize, Duration)| entries <= *most;
-        let found = PERIODS.iter().find(fits);
-        found.map_or(PERIODS[0].1, |(_, period)| *period)
+        let found = BATCH_PERIODS.iter().find(fits);
+        found.map_or(BATCH_PERIODS[0].1, |(_, period)| *period)
     }
 
-    /// Takes a report that came from its agent.
+    /// Records a report that the target's agent sent to this relay; an older one is ignored.
     pub fn on_report(&mut self, now: Time, report: Report) -> Urgency {
         let direct = self
             .direct
             .entry(report.target.clone())
-            .or_insert_with(|| Direct {
+            .or_insert_with(|| DirectTarget {
                 report: report.clone(),
-                heard: now,
-                elsewhere: now,
-                whole: None,
-                load: (now, report.load),
+                last_heard: now,
+                relayed_by_peer: now,
+                sent_report: None,
+                sent_load: (now, report.load),
             });
         let old = (direct.report.incarnation, direct.report.sequence);
         if (report.incarnation, report.sequence) < old {
             return Urgency::NextRound;
         }
         let changed = direct.report.state != report.state;
-        direct.heard = now;
+        direct.last_heard = now;
         direct.report = report;
-        match changed || direct.whole.is_none() {
+        match changed || direct.sent_report.is_none() {
             true => Urgency::Immediate,
             false => Urgency::NextRound,
         }
     }
 
-    /// Takes a batch of another entry, to be passed on if it is of the own group.
+    /// Records a batch of another entry, and forwards it if it comes from this relay's group.
     pub fn on_batch(&mut self, now: Time, batch: &ReportBatch) {
-        self.note_elsewhere(now, batch);
+        self.record_peer_relays(now, batch);
         if batch.forwarded {
             return;
         }
-        self.far.put_batch(now, batch);
+        self.forward_outbox.put_batch(now, batch);
         for (age, demand) in &batch.demands {
-            self.demands.on_near(ago(now, *age), demand.clone());
+            self.demands.set_peer(ago(now, *age), demand.clone());
         }
     }
 
-    /// Takes what this entry wants of quotas.
+    /// Replaces this entry's own quota demand.
     pub fn on_demand(&mut self, now: Time, demand: Demand) {
-        self.demands.on_own(now, demand);
+        self.demands.set_own(now, demand);
     }
 
-    /// Adds what this process says of itself.
+    /// Adds the state of this process to the next batches.
     pub fn on_state(&mut self, now: Time, state: &ProcessState) {
-        self.near.put_process(now, state.clone());
-        self.far.put_process(now, state.clone());
+        self.group_outbox.put_process(now, state.clone());
+        self.forward_outbox.put_process(now, state.clone());
     }
 
-    /// Returns the batches of a round. `is_first` tells the targets whose first relay this is:
-    /// it passes their loads on, the others only while they do not hear of them elsewhere.
+    /// Returns the batches of a round.
+    ///
+    /// `is_first` returns whether this is the first relay of a target. The first relay always sends
+    /// the target's loads; the others do only while no other relay sends them.
     pub fn round(
         &mut self,
         now: Time,
         members: &Members,
         revision: Revision,
-        grid: &RelayGroups,
+        groups: &RelayGroups,
         is_first: &dyn Fn(&TargetId) -> bool,
     ) -> RelayBatches {
-        let awake = members.running_since();
+        let running_since = members.running_since();
         self.direct
-            .retain(|_, direct| is_kept(now, awake, direct, members));
-        let period = Self::period(grid.size());
-        self.gather(now, awake, period * 3 / 2, is_first);
+            .retain(|_, direct| is_retained(now, running_since, direct, members));
+        let period = Self::period(groups.size());
+        self.fill_outboxes(now, running_since, period * 3 / 2, is_first);
         self.sequence += 1;
-        let mut near = self.near.take(now, &self.host, revision);
-        let mut far = self.far.take(now, &self.host, revision);
-        near.demands = self.demands.own(now);
-        far.demands = self.demands.sum(now, self.sequence);
+        let mut group = self.group_outbox.take(now, &self.host, revision);
+        let mut forwarded = self.forward_outbox.take(now, &self.host, revision);
+        group.demands = self.demands.own(now);
+        forwarded.demands = self.demands.group_total(now, self.sequence);
         let numbered = |batch: ReportBatch, forwarded: bool| ReportBatch {
             sequence: self.sequence,
             forwarded,
             ..batch
         };
         RelayBatches {
-            group: (!grid.group_peers.is_empty()).then(|| numbered(near, false)),
-            forwarded: (!grid.forward_peers.is_empty()).then(|| numbered(far, true)),
+            group: (!groups.group_peers.is_empty()).then(|| numbered(group, false)),
+            forwarded: (!groups.forward_peers.is_empty()).then(|| numbered(forwarded, true)),
         }
     }
 
-    /// Returns the targets that report here and have fallen silent.
-    pub fn silent(&self, now: Time, awake: Time) -> Vec<SilentTarget> {
-        let quiet = |direct: &Direct| now.since(direct.heard.max(awake));
+    /// Returns the targets of this relay that are silent. `running_since` is the start of the period
+    /// in which this process has run without a pause, from which silence is measured at the earliest.
+    pub fn silent(&self, now: Time, running_since: Time) -> Vec<SilentTarget> {
+        let silent_for = |direct: &DirectTarget| now.since(direct.last_heard.max(running_since));
         self.direct
             .values()
-            .filter(|direct| quiet(direct) >= self.fresh)
+            .filter(|direct| silent_for(direct) >= self.silent_after)
             .map(|direct| SilentTarget {
                 relay: self.host.clone(),
                 target: direct.report.target.clone(),
                 incarnation: direct.report.incarnation,
-                quiet: quiet(direct),
+                quiet: silent_for(direct),
             })
             .collect()
     }
 
-    fn note_elsewhere(&mut self, now: Time, batch: &ReportBatch) {
+    fn record_peer_relays(&mut self, now: Time, batch: &ReportBatch) {
         let reported = batch.reports.iter().map(|(_, report)| &report.target);
         for target in reported {
             if let Some(direct) = self.direct.get_mut(target) {
-                direct.elsewhere = now;
+                direct.relayed_by_peer = now;
             }
         }
         if batch.loads.is_empty() {
@@ -220,96 +225,102 @@
         let loads: BTreeSet<_> = batch.loads.iter().map(|update| update.target).collect();
         for (target, direct) in &mut self.direct {
             if loads.contains(&TargetHash::from(target)) {
-                direct.elsewhere = now;
+                direct.relayed_by_peer = now;
             }
         }
     }
 
-    fn gather(
+    fn fill_outboxes(
         &mut self,
         now: Time,
-        awake: Time,
+        running_since: Time,
         load_period: Duration,
         is_first: &dyn Fn(&TargetId) -> bool,
     ) {
-        for silence in self.silent(now, awake) {
-            self.near.put_silence(silence.clone());
-            self.far.put_silence(silence);
+        for silence in self.silent(now, running_since) {
+            self.group_outbox.put_silence(silence.clone());
+            self.forward_outbox.put_silence(silence);
         }
         for (target, direct) in &mut self.direct {
-            if needs_whole(now, direct) {
-                direct.whole = Some((now, direct.report.clone()));
-                direct.load = (now, direct.report.load);
-                self.near.put_report(direct.heard, direct.report.clone());
-                self.far.put_report(direct.heard, direct.report.clone());
-            } else if needs_load(now, load_period, direct) && speaks(now, direct, is_first(target))
+            if needs_full_report(now, direct) {
+                direct.sent_report = Some((now, direct.report.clone()));
+                direct.sent_load = (now, direct.report.load);
+                self.group_outbox
+                    .put_report(direct.last_heard, direct.report.clone());
+                self.forward_outbox
+                    .put_report(direct.last_heard, direct.report.clone());
+            } else if needs_load_update(now, load_period, direct)
+                && relays_load(now, direct, is_first(target))
             {
-                direct.load = (now, direct.report.load);
-                let update = to_update(now, direct);
-                self.near.put_load(direct.heard, update);
-                self.far.put_load(direct.heard, update);
+                direct.sent_load = (now, direct.report.load);
+                let update = load_update(now, direct);
+                self.group_outbox.put_load(direct.last_heard, update);
+                self.forward_outbox.put_load(direct.last_heard, update);
             }
         }
     }
 }
 
-/// Returns whether a target still reports here, or is silent everywhere as far as is known.
+/// Returns whether to keep a target: its silence is short enough, and no other relay has a newer
+/// report of it.
 ///
-/// An agent may choose other relays, and this one must not be a witness against it then.
-fn is_kept(now: Time, awake: Time, direct: &Direct, members: &Members) -> bool {
+/// An agent may move to other relays, and the one that it left must not report it as silent.
+fn is_retained(now: Time, running_since: Time, direct: &DirectTarget, members: &Members) -> bool {
     let moved = |newest: &Report| newest.sequence > direct.report.sequence;
-    let quiet = now.since(direct.heard.max(awake));
+    let silent_for = now.since(direct.last_heard.max(running_since));
     let newest = members.report(&direct.report.target);
-    quiet < SILENCE_MAX && !newest.is_some_and(moved)
+    silent_for < MAX_SILENCE && !newest.is_some_and(moved)
 }
 
-fn to_update(now: Time, direct: &Direct) -> LoadUpdate {
+fn load_update(now: Time, direct: &DirectTarget) -> LoadUpdate {
     let report = &direct.report;
-    let age = now.since(direct.heard);
+    let age = now.since(direct.last_heard);
     LoadUpdate::new(&report.target, report.sequence, age, &report.load)
 }
 
-/// Returns whether what a load update leaves out has changed.
-fn needs_whole(now: Time, direct: &Direct) -> bool {
-    let Some((sent, whole)) = &direct.whole else {
+/// Returns whether a full report is due, because a field that load updates omit has changed or
+/// because of its age.
+fn needs_full_report(now: Time, direct: &DirectTarget) -> bool {
+    let Some((sent_at, sent)) = &direct.sent_report else {
         return true;
     };
     let report = &direct.report;
-    report.incarnation != whole.incarnation
-        || report.state != whole.state
-        || report.versions != whole.versions
-        || report.crashes != whole.crashes
-        || report.load.capacity != whole.load.capacity
-        || (is_pinned_otherwise(report, whole) && now.since(*sent) >= PINNED_PERIOD)
-        || now.since(*sent) >= WHOLE_PERIOD
+    report.incarnation != sent.incarnation
+        || report.state != sent.state
+        || report.versions != sent.versions
+        || report.crashes != sent.crashes
+        || report.load.capacity != sent.load.capacity
+        || (pinned_versions_differ(report, sent) && now.since(*sent_at) >= PIN_CHANGE_PERIOD)
+        || now.since(*sent_at) >= FULL_REPORT_PERIOD
 }
 
-/// Returns whether other versions have live attempts than before; how many does not matter.
-fn is_pinned_otherwise(report: &Report, whole: &Report) -> bool {
+/// Returns whether the sets of versions with live attempts differ; the number of attempts does not
+/// matter.
+fn pinned_versions_differ(report: &Report, sent: &Report) -> bool {
     let keys = |pins: &Pins| -> Vec<_> {
         let each = |(model, versions): (&ModelName, &BTreeMap<VersionName, u32>)| {
             (model.clone(), versions.keys().cloned().collect::<Vec<_>>())
         };
         pins.iter().map(each).collect()
     };
-    keys(&report.pinned) != keys(&whole.pinned)
+    keys(&report.pinned) != keys(&sent.pinned)
 }
 
-/// Returns whether this relay is the one to pass a load on.
-fn speaks(now: Time, direct: &Direct, is_first: bool) -> bool {
-    is_first || now.since(direct.elsewhere) >= BACKUP_PERIOD
+/// Returns whether this relay is responsible for sending the load of a target.
+fn relays_load(now: Time, direct: &DirectTarget, is_first: bool) -> bool {
+    is_first || now.since(direct.relayed_by_peer) >= BACKUP_DELAY
 }
 
-/// Returns whether the load has changed enough, or was last sent long enough ago.
-fn needs_load(now: Time, load_period: Duration, direct: &Direct) -> bool {
-    let (sent, old) = &direct.load;
+/// Returns whether the load has changed enough, or was last sent long enough ago, to be sent again.
+fn needs_load_update(now: Time, load_period: Duration, direct: &DirectTarget) -> bool {
+    let (sent_at, old) = &direct.sent_load;
     let load = &direct.report.load;
-    if direct.heard <= *sent {
+    if direct.last_heard <= *sent_at {
         return false;
     }
-    let step = load.limit.max(LOAD_SHARE) / LOAD_SHARE;
+    let step = load.limit.max(LOAD_CHANGE_DIVISOR) / LOAD_CHANGE_DIVISOR;
     load.running.abs_diff(old.running) >= step
         || load.waiting.abs_diff(old.waiting) >= step
         || load.limit.abs_diff(old.limit) >= step
-        || now.since(*sent) >= load_period
+        || now.since(*sent_at) >= load_period
 }
--- a/crates/cw_policy/src/membership/relays.rs
+++ b/crates/cw_policy/src/membership/relays.rs
@@ -1,4 +1,4 @@
-//! Which entries an agent reports to, and which of them passes its loads on.
+//! The choice of the entries that relay the reports of a target.
 
 use cw_types::HostId;
 use cw_types::RegionId;
@@ -7,13 +7,13 @@
 
 use crate::EntryPeer;
 
-/// To how many entries an agent reports.
+/// The number of entries to which an agent reports.
 pub const RELAYS_PER_TARGET: usize = 3;
 
-/// Returns the relays of a target, the first choice first: entries of its region, or of any where
-/// the region has none.
+/// Returns the relays of a target, the preferred one first: entries of its region, or of any region
+/// if its own has none.
 ///
-/// Rendezvous hashing moves few targets when an entry comes or goes.
+/// Rendezvous hashing reassigns few targets when an entry is added or removed.
 pub fn relays<'a>(
     target: &TargetId,
     region: &RegionId,
@@ -23,25 +23,27 @@
     if entries.iter().any(|entry| entry.region == *region) {
         ranked.retain(|entry| entry.region == *region);
     }
-    ranked.sort_by_cached_key(|entry| weight(entry, target));
+    ranked.sort_by_cached_key(|entry| rank(entry, target));
     ranked.truncate(RELAYS_PER_TARGET);
     ranked
 }
 
-/// Returns the relay that passes a target's loads on.
+/// Returns the preferred relay of a target, which forwards its load updates.
+///
+/// `None` when there are no entries.
 pub fn primary_relay<'a>(
     target: &TargetId,
     region: &RegionId,
     entries: &'a [EntryPeer],
 ) -> Option<&'a HostId> {
-    let near = |entry: &&EntryPeer| entry.region == *region;
-    let weight = |entry: &&EntryPeer| weight(entry, target);
-    let own = entries.iter().filter(near).min_by_key(weight);
-    own.or_else(|| entries.iter().min_by_key(weight))
+    let is_near = |entry: &&EntryPeer| entry.region == *region;
+    let rank = |entry: &&EntryPeer| rank(entry, target);
+    let own = entries.iter().filter(is_near).min_by_key(rank);
+    own.or_else(|| entries.iter().min_by_key(rank))
         .map(|entry| &entry.host)
 }
 
-fn weight(entry: &EntryPeer, target: &TargetId) -> (u64, HostId) {
+fn rank(entry: &EntryPeer, target: &TargetId) -> (u64, HostId) {
     let key = format!("{}/{target}", entry.host);
     (xxh3_64(key.as_bytes()), entry.host.clone())
 }
--- a/crates/cw_policy/src/planner/checks.rs
+++ b/crates/cw_policy/src/planner/checks.rs
@@ -1,4 +1,4 @@
-//! Questions about targets, and orders by their parts.
+//! Predicates on targets, and constructors of orders.
 
 use cw_types::ModelName;
 use cw_types::ModelVersion;
@@ -11,7 +11,7 @@
 use crate::Liveness;
 use crate::TargetView;
 
-/// Returns whether a target is an engine that orders can be sent to and counted on.
+/// Returns whether a target is a live engine, to which orders can be sent.
 pub(super) fn is_usable(seen: &TargetView) -> bool {
     seen.target.kind == TargetKind::Engine && seen.liveness == Liveness::Alive
 }
@@ -22,10 +22,10 @@
         .is_some_and(|versions| versions.contains(version))
 }
 
-/// Returns whether every target that holds a version says that nothing is pinned to it.
+/// Returns whether every target that holds a version reports no pinned attempts for it.
 ///
-/// A generation whose target dies goes on elsewhere, so one that is pinned anywhere keeps the
-/// version everywhere.
+/// A generation whose target fails resumes on another target, so a pin on one target keeps the
+/// version on all of them.
 pub(super) fn is_unpinned(
     model: &ModelName,
     version: &VersionName,
@@ -45,7 +45,7 @@
 }
 
 /// Returns the order to load a version.
-pub(super) fn load(version: &ModelVersion) -> OrderKind {
+pub(super) fn load_order(version: &ModelVersion) -> OrderKind {
     OrderKind::Load {
         model: version.model.clone(),
         version: version.version.clone(),
@@ -54,7 +54,7 @@
 }
 
 /// Returns the order to unload a version.
-pub(super) fn unload(model: &ModelName, version: &VersionName) -> OrderKind {
+pub(super) fn unload_order(model: &ModelName, version: &VersionName) -> OrderKind {
     OrderKind::Unload {
         model: model.clone(),
         version: version.clone(),
--- a/crates/cw_policy/src/planner/lease.rs
+++ b/crates/cw_policy/src/planner/lease.rs
@@ -1,4 +1,4 @@
-//! Who the planner is.
+//! The lease that elects the planner.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -10,22 +10,23 @@
 
 use crate::EntryPeer;
 
-/// How long the service keeps a lease that is not kept alive.
-const TTL: Duration = Duration::from_secs(6);
+/// The time to live of a lease, after which the key-value service revokes it unless renewed.
+const LEASE_TTL: Duration = Duration::from_secs(6);
 
-/// How long before the service gives the lease away its holder stops.
-const MARGIN: Duration = Duration::from_millis(1500);
+/// How long before the expiry of the lease its holder stops acting as the planner.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(1500);
 
-/// How often the holder keeps the lease alive.
+/// How often the holder renews the lease.
 const RENEW_PERIOD: Duration = Duration::from_secs(2);
 
-/// How often a candidate asks whether the lease is free.
-const ASK_PERIOD: Duration = Duration::from_secs(3);
+/// How long a candidate waits before it requests the lease again.
+const REQUEST_PERIOD: Duration = Duration::from_secs(3);
 
-/// How many entries ask for the lease.
+/// The number of entries that request the lease.
 const CANDIDATES: usize = 3;
 
-/// Returns whether the entry on `host` may ask for the lease; few may, however many there are.
+/// Returns whether the entry on `host` may request the lease. The number of candidates does not
+/// grow with the number of entries.
 pub fn is_candidate(host: &HostId, entries: &[EntryPeer]) -> bool {
     let mut ranked: Vec<_> = entries.iter().map(|entry| &entry.host).collect();
     ranked.sort_by_key(|host| Reverse(xxh3_64(format!("planner/{host}").as_bytes())));
@@ -33,90 +34,91 @@
     ranked.contains(&host)
 }
 
-/// What happens to the lease.
+/// An event that concerns the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseEvent {
     /// Time has passed.
     Tick {
-        /// Whether this entry may ask for the lease.
+        /// Whether this entry may request the lease.
         candidate: bool,
     },
-    /// The service granted a lease that was asked for at this moment.
+    /// The key-value service granted a lease.
     Granted {
-        /// When it was asked for.
+        /// When the lease was requested.
         asked: Time,
-        /// The lease.
+        /// The lease's id.
         lease: i64,
     },
-    /// The key was written under the lease, at this revision of the service.
+    /// The planner's key was written under the lease.
     Claimed {
-        /// The revision.
+        /// The revision of the key-value service at which the key was created.
         created: FencingNumber,
     },
-    /// Another entry has the key.
+    /// Another entry holds the key.
     HeldElsewhere,
-    /// The lease was kept alive by a call at this moment.
+    /// The lease was renewed.
     Renewed {
-        /// When the call was made.
+        /// When the renewal was requested.
         asked: Time,
-        /// How long the lease lives from then on.
+        /// The remaining time to live from then on.
         ttl: Duration,
     },
-    /// The service does not know the lease any more.
+    /// The key-value service no longer has the lease.
     Expired,
-    /// A call failed, or its answer was lost.
+    /// A call failed, or its response was lost.
     Failed,
 }
 
-/// What to do about the lease next.
+/// The next step for the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing.
+    /// Do nothing until the next event.
     Wait,
-    /// Read the key, and ask for a lease of this length if it is free.
+    /// Read the key, and request a lease if the key does not exist.
     Grant {
-        /// How long the service is to keep it.
+        /// The time to live of the lease.
         ttl: Duration,
     },
-    /// Write the key under this lease if it does not exist; a lost answer is settled by reading
-    /// the key.
+    /// Write the key under this lease if it does not exist. After a lost response the key is read to
+    /// find out whether the write took effect.
     Claim {
-        /// The lease.
+        /// The lease's id.
         lease: i64,
     },
-    /// Keep the lease alive.
+    /// Renew the lease.
     Renew {
-        /// The lease.
+        /// The lease's id.
         lease: i64,
     },
-    /// Give the lease up.
+    /// Revoke the lease.
     Revoke {
-        /// The lease.
+        /// The lease's id.
         lease: i64,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Without a lease.
-    Out { ask: Time },
-    /// A call is under way, of whose end an event tells.
-    Asking { since: Time },
-    /// With a lease, but not yet with the key.
+    /// This entry has no lease and does not request one before the given time.
+    Idle { request_at: Time },
+    /// A lease has been requested; an event reports the result.
+    Requesting { since: Time },
+    /// This entry has a lease, but does not hold the key yet.
     Claiming { lease: i64, until: Time },
-    /// The planner.
+    /// This entry is the planner.
     Holding {
         lease: i64,
         fencing: FencingNumber,
         until: Time,
-        renew: Time,
+        renew_at: Time,
     },
 }
 
-/// The lease of the planner, from the side of one entry.
+/// The planner's lease as seen by one entry.
 ///
-/// The holder counts from before it asked, by its own clock, and stops a margin before the
-/// service would give the lease away. So a holder that was paused finds that it is none.
+/// The holder measures the time to live by its own clock, from before the request, and stops a margin
+/// before the lease can expire in the key-value service. A holder that was paused therefore notices
+/// that it no longer holds the lease.
 #[derive(Clone, Debug)]
 pub struct Lease {
     stage: Stage,
@@ -126,11 +128,11 @@
     /// Returns the state of an entry without a lease.
     pub fn new(now: Time) -> Self {
         Self {
-            stage: Stage::Out { ask: now },
+            stage: Stage::Idle { request_at: now },
         }
     }
 
-    /// Returns the fencing number, while this entry is the planner.
+    /// Returns the fencing number while this entry is the planner.
     pub fn fencing(&self, now: Time) -> Option<FencingNumber> {
         match self.stage {
             Stage::Holding { fencing, until, .. } if now < until => Some(fencing),
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Takes an event and says what to do next.
+    /// Handles an event and returns the next step.
     pub fn on_event(&mut self, now: Time, event: LeaseEvent) -> LeaseStep {
         match event {
             LeaseEvent::Tick { candidate } => self.on_tick(now, candidate),
@@ -146,31 +148,31 @@
             LeaseEvent::Claimed { created } => self.on_claimed(now, created),
             LeaseEvent::HeldElsewhere => self.on_taken(now),
             LeaseEvent::Renewed { asked, ttl } => self.on_renewed(asked, ttl),
-            LeaseEvent::Expired => self.leave(now),
+            LeaseEvent::Expired => self.become_idle(now),
             LeaseEvent::Failed => self.on_failed(now),
         }
     }
 
     fn on_tick(&mut self, now: Time, candidate: bool) -> LeaseStep {
         match self.stage {
-            Stage::Out { ask } if candidate && now >= ask => {
-                self.stage = Stage::Asking { since: now };
-                LeaseStep::Grant { ttl: TTL }
+            Stage::Idle { request_at } if candidate && now >= request_at => {
+                self.stage = Stage::Requesting { since: now };
+                LeaseStep::Grant { ttl: LEASE_TTL }
             }
-            Stage::Asking { since } if now.since(since) >= TTL => self.leave(now),
-            Stage::Claiming { until, .. } if now >= until => self.leave(now),
-            Stage::Holding { until, .. } if now >= until => self.leave(now),
+            Stage::Requesting { since } if now.since(since) >= LEASE_TTL => self.become_idle(now),
+            Stage::Claiming { until, .. } if now >= until => self.become_idle(now),
+            Stage::Holding { until, .. } if now >= until => self.become_idle(now),
             Stage::Holding {
                 lease,
                 fencing,
                 until,
-                renew,
-            } if now >= renew => {
+                renew_at,
+            } if now >= renew_at => {
                 self.stage = Stage::Holding {
                     lease,
                     fencing,
                     until,
-                    renew: now + RENEW_PERIOD,
+                    renew_at: now + RENEW_PERIOD,
                 };
                 LeaseStep::Renew { lease }
             }
@@ -179,8 +181,8 @@
     }
 
     fn on_granted(&mut self, now: Time, asked: Time, lease: i64) -> LeaseStep {
-        let until = end_of(asked, TTL);
-        if now >= until || !matches!(self.stage, Stage::Asking { .. }) {
+        let until = expiry(asked, LEASE_TTL);
+        if now >= until || !matches!(self.stage, Stage::Requesting { .. }) {
             return LeaseStep::Revoke { lease };
         }
         self.stage = Stage::Claiming { lease, until };
@@ -193,7 +195,7 @@
                 lease,
                 fencing: created,
                 until,
-                renew: now,
+                renew_at: now,
             };
         }
         LeaseStep::Wait
@@ -201,7 +203,7 @@
 
     fn on_taken(&mut self, now: Time) -> LeaseStep {
         let stage = self.stage;
-        self.leave(now);
+        self.become_idle(now);
         match stage {
             Stage::Claiming { lease, .. } => LeaseStep::Revoke { lease },
             _ => LeaseStep::Wait,
@@ -210,29 +212,29 @@
 
     fn on_renewed(&mut self, asked: Time, ttl: Duration) -> LeaseStep {
         if let Stage::Holding { until, .. } = &mut self.stage {
-            *until = (*until).max(end_of(asked, ttl));
+            *until = (*until).max(expiry(asked, ttl));
         }
         LeaseStep::Wait
     }
 
     fn on_failed(&mut self, now: Time) -> LeaseStep {
         match self.stage {
-            Stage::Asking { .. } => self.leave(now),
-            // Whether the key was written is found out by claiming again.
+            Stage::Requesting { .. } => self.become_idle(now),
+            // Claiming again shows whether the key was written.
             Stage::Claiming { lease, until } if now < until => LeaseStep::Claim { lease },
-            Stage::Claiming { .. } => self.leave(now),
-            Stage::Out { .. } | Stage::Holding { .. } => LeaseStep::Wait,
+            Stage::Claiming { .. } => self.become_idle(now),
+            Stage::Idle { .. } | Stage::Holding { .. } => LeaseStep::Wait,
         }
     }
 
-    fn leave(&mut self, now: Time) -> LeaseStep {
-        self.stage = Stage::Out {
-            ask: now + ASK_PERIOD,
+    fn become_idle(&mut self, now: Time) -> LeaseStep {
+        self.stage = Stage::Idle {
+            request_at: now + REQUEST_PERIOD,
         };
         LeaseStep::Wait
     }
 }
 
-fn end_of(asked: Time, ttl: Duration) -> Time {
-    asked + ttl.saturating_sub(MARGIN)
+fn expiry(asked: Time, ttl: Duration) -> Time {
+    asked + ttl.saturating_sub(EXPIRY_MARGIN)
 }
--- a/crates/cw_policy/src/planner/mod.rs
+++ b/crates/cw_policy/src/planner/mod.rs
@@ -1,7 +1,7 @@
-//! Orders to engines, by one planner at a time.
+//! Orders to engines from the one entry that is the planner.
 //!
-//! - [`Lease`] decides who the planner is; its fencing number rises with each holder.
-//! - [`Planner`] turns accepted model versions into orders.
+//! - [`Lease`] decides which entry is the planner; its fencing number rises with each holder.
+//! - [`Planner`] derives orders from the accepted model versions.
 
 mod checks;
 mod lease;
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -1,4 +1,4 @@
-//! From accepted model versions to orders.
+//! The planning of orders from model version records.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,49 +21,50 @@
 use super::checks::holds;
 use super::checks::is_unpinned;
 use super::checks::is_usable;
-use super::checks::load;
-use super::checks::unload;
+use super::checks::load_order;
+use super::checks::unload_order;
 use crate::Liveness;
 use crate::TargetView;
 use crate::View;
 
-/// How long an order may go without an answer before it is sent again.
+/// How long to wait for a response before an order is sent again.
 const RESEND_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a target is left alone after it refused an order.
+/// How long no order is sent to a target after it refused one or an order timed out.
 const BACKOFF: Duration = Duration::from_secs(10);
 
-/// How long after an answer the target's report must show the effect.
-const EFFECT_LIMIT: Duration = Duration::from_secs(60);
+/// How long after an order the target's report may take to show its effect.
+const EFFECT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How many times the paced time a load may take.
-const LOAD_SLACK: u32 = 4;
+/// The multiple of the undisturbed load time that a load may take.
+const LOAD_TIMEOUT_FACTOR: u32 = 4;
 
-/// What the weight store says of one set of weights.
+/// The size of one set of weights, and the rate at which the weight store serves it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightsInfo {
-    /// Its size.
+    /// The size of the weights.
     pub size: ByteSize,
-    /// How many bytes a second the store gives out to all readers together.
+    /// The store's total throughput over all readers, in bytes per second.
     pub rate: ByteSize,
 }
 
 impl WeightsInfo {
-    /// Returns how long one load takes when it is alone.
+    /// Returns how long a load takes when it is the only one.
     pub fn load_time(&self) -> Duration {
         let micros = self.size.0.saturating_mul(1_000_000) / self.rate.0.max(1);
         Duration::from_micros(micros)
     }
 }
 
-/// What the planner goes by.
+/// The state on which the planner bases its orders.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerInput<'a> {
     /// The view of targets and records.
     pub view: &'a View,
-    /// What is known of weights; without it nothing is loaded.
+    /// The known weights by name. A version whose weights are missing is not loaded.
     pub weights: &'a BTreeMap<String, WeightsInfo>,
-    /// The pinned versions that targets reported; a target without an entry may have any.
+    /// The pinned versions that targets reported. A target that is missing here may have pins on any
+    /// version.
     pub pins: &'a BTreeMap<TargetId, Pins>,
 }
 
@@ -76,50 +77,51 @@
     pub order: Order,
 }
 
-/// What became of sending an order.
+/// The outcome of sending an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The agent answered.
+    /// The agent responded.
     Answer(OrderResponse),
-    /// No answer came: the order may or may not have arrived.
+    /// No response arrived: the agent may or may not have received the order.
     Lost,
 }
 
-/// An order that was sent.
+/// An order whose effect has not been reported yet.
 #[derive(Clone, Debug)]
-struct Sent {
+struct PendingOrder {
     order: Order,
-    first: Time,
-    last: Time,
-    answered: bool,
-    limit: Duration,
+    first_sent: Time,
+    last_sent: Time,
+    responded: bool,
+    timeout: Duration,
 }
 
-/// A target, what to order, and how long it may take to show.
+/// A target, the order for it, and how long the effect may take to be reported.
 type Task = (TargetId, OrderKind, Duration);
 
 /// A version on a target.
-type Held = (TargetId, ModelName, VersionName);
+type HeldVersion = (TargetId, ModelName, VersionName);
 
-/// From accepted model versions to orders, at most one at a time for each target.
+/// Plans orders from model version records, with at most one order in progress for each target.
 ///
-/// An order keeps its number when it is sent again, so a doubled one has no second effect, and
-/// every order carries the fencing number of the lease, so a late one of a deposed planner is
+/// An order keeps its sequence number when it is sent again, so a duplicate has no second effect.
+/// Every order carries the fencing number of the lease, so a delayed order of a former holder is
 /// refused.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     fencing: Option<FencingNumber>,
     deposed: bool,
     sequence: u64,
-    sent: BTreeMap<TargetId, Sent>,
-    rest: BTreeMap<TargetId, Time>,
-    next_load: Time,
-    unneeded: BTreeMap<Held, Time>,
-    adapters: BTreeSet<(TargetId, Incarnation, VersionName, AdapterName)>,
+    pending: BTreeMap<TargetId, PendingOrder>,
+    backoff: BTreeMap<TargetId, Time>,
+    next_load_at: Time,
+    unpinned_since: BTreeMap<HeldVersion, Time>,
+    loaded_adapters: BTreeSet<(TargetId, Incarnation, VersionName, AdapterName)>,
 }
 
 impl Planner {
-    /// Takes the fencing number of the lease, or its loss, which ends all orders at once.
+    /// Sets the fencing number of the lease, or `None` after its loss. A change drops all orders in
+    /// progress.
     pub fn on_lease(&mut self, fencing: Option<FencingNumber>) {
         if self.fencing != fencing {
             *self = Self {
@@ -129,52 +131,58 @@
         }
     }
 
-    /// Returns whether a target has seen a later holder of the lease than this process.
+    /// Returns whether a target refused an order because it has received one of a later holder.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
     /// Returns how many orders are in progress.
     pub fn in_progress(&self) -> usize {
-        self.sent.len()
+        self.pending.len()
     }
 
-    /// Returns the orders to send now.
+    /// Returns the orders to send now, repeated ones included.
     pub fn plan(&mut self, now: Time, input: PlannerInput<'_>) -> Vec<PlannedOrder> {
         let Some(fencing) = self.fencing else {
             return Vec::new();
         };
-        self.settle(now, input.view);
+        self.update_pending(now, input.view);
         let mut orders = self.resend(now);
-        for (model, need) in RequiredVersions::from_config(&input.view.config) {
-            let mut kinds = self.loads(now, &model, &need, input);
-            kinds.extend(self.adapter_loads(&model, &need, input.view));
-            kinds.extend(self.unloads(now, &model, &need, input));
-            for (target, kind, limit) in kinds {
-                let order = self.number(now, fencing, &target, kind, limit);
+        for (model, required) in RequiredVersions::from_config(&input.view.config) {
+            let mut kinds = self.plan_load(now, &model, &required, input);
+            kinds.extend(self.plan_adapter_loads(&model, &required, input.view));
+            kinds.extend(self.plan_unloads(now, &model, &required, input));
+            for (target, kind, timeout) in kinds {
+                let order = self.start_order(now, fencing, &target, kind, timeout);
                 orders.push(PlannedOrder { target, order });
             }
         }
         orders
     }
 
-    /// Takes what became of an order.
-    pub fn on_outcome(&mut self, now: Time, target: &TargetId, sequence: u64, end: OrderOutcome) {
-        let Some(sent) = self.sent.get_mut(target) else {
+    /// Records the outcome of an order. One for another order than that in progress is ignored.
+    pub fn on_outcome(
+        &mut self,
+        now: Time,
+        target: &TargetId,
+        sequence: u64,
+        outcome: OrderOutcome,
+    ) {
+        let Some(sent) = self.pending.get_mut(target) else {
             return;
         };
         if sent.order.sequence != sequence {
             return;
         }
-        match end {
+        match outcome {
             OrderOutcome::Lost => {}
             OrderOutcome::Answer(OrderResponse::Done | OrderResponse::Begun) => {
-                sent.answered = true
+                sent.responded = true
             }
             OrderOutcome::Answer(OrderResponse::Fenced { highest }) => self.on_fenced(highest),
             OrderOutcome::Answer(OrderResponse::Pinned { .. } | OrderResponse::Failed { .. }) => {
-                self.sent.remove(target);
-                self.rest.insert(target.clone(), now + BACKOFF);
+                self.pending.remove(target);
+                self.backoff.insert(target.clone(), now + BACKOFF);
             }
         }
     }
@@ -183,32 +191,32 @@
     // Orders in progress
 
     fn on_fenced(&mut self, highest: FencingNumber) {
-        // A later holder is at work, whatever this process believes of its lease.
+        // A later holder is active, even if this process still considers its own lease valid.
         if self.fencing.is_some_and(|own| own < highest) {
             self.on_lease(None);
             self.deposed = true;
         }
     }
 
-    fn settle(&mut self, now: Time, view: &View) {
-        self.rest.retain(|_, until| now < *until);
-        let sent = std::mem::take(&mut self.sent);
-        for (target, sent) in sent {
+    fn update_pending(&mut self, now: Time, view: &View) {
+        self.backoff.retain(|_, until| now < *until);
+        let pending = std::mem::take(&mut self.pending);
+        for (target, sent) in pending {
             let seen = view.targets.get(&target);
             if seen.is_none_or(|seen| seen.liveness == Liveness::Gone) {
                 continue;
             }
-            if seen.is_some_and(|seen| shows(seen, &sent)) {
-                self.on_shown(target, seen, &sent);
-            } else if now.since(sent.first) >= sent.limit {
-                self.rest.insert(target, now + BACKOFF);
+            if seen.is_some_and(|seen| shows_effect(seen, &sent)) {
+                self.on_effect(target, seen, &sent);
+            } else if now.since(sent.first_sent) >= sent.timeout {
+                self.backoff.insert(target, now + BACKOFF);
             } else {
-                self.sent.insert(target, sent);
+                self.pending.insert(target, sent);
             }
         }
     }
 
-    fn on_shown(&mut self, target: TargetId, seen: Option<&TargetView>, sent: &Sent) {
+    fn on_effect(&mut self, target: TargetId, seen: Option<&TargetView>, sent: &PendingOrder) {
         if let (
             Some(seen),
             OrderKind::LoadAdapter {
@@ -217,17 +225,18 @@
         ) = (seen, &sent.order.kind)
         {
             let key = (target, seen.incarnation, version.clone(), adapter.clone());
-            self.adapters.insert(key);
+            self.loaded_adapters.insert(key);
         }
     }
 
     fn resend(&mut self, now: Time) -> Vec<PlannedOrder> {
-        let due = |sent: &Sent| !sent.answered && now.since(sent.last) >= RESEND_PERIOD;
-        self.sent
+        let due =
+            |sent: &PendingOrder| !sent.responded && now.since(sent.last_sent) >= RESEND_PERIOD;
+        self.pending
             .iter_mut()
             .filter(|(_, sent)| due(sent))
             .map(|(target, sent)| {
-                sent.last = now;
+                sent.last_sent = now;
                 PlannedOrder {
                     target: target.clone(),
                     order: sent.order.clone(),
@@ -236,13 +245,13 @@
             .collect()
     }
 
-    fn number(
+    fn start_order(
         &mut self,
         now: Time,
         fencing: FencingNumber,
         target: &TargetId,
         kind: OrderKind,
-        limit: Duration,
+        timeout: Duration,
     ) -> Order {
         self.sequence += 1;
         let order = Order {
@@ -250,54 +259,54 @@
             sequence: self.sequence,
             kind,
         };
-        let sent = Sent {
+        let sent = PendingOrder {
             order: order.clone(),
-            first: now,
-            last: now,
-            answered: false,
-            limit,
+            first_sent: now,
+            last_sent: now,
+            responded: false,
+            timeout,
         };
-        self.sent.insert(target.clone(), sent);
+        self.pending.insert(target.clone(), sent);
         order
     }
 
     fn is_free(&self, target: &TargetId) -> bool {
-        !self.sent.contains_key(target) && !self.rest.contains_key(target)
+        !self.pending.contains_key(target) && !self.backoff.contains_key(target)
     }
 
     // ------------------------------------------------------------------------
     // Loads
 
-    /// At most one load starts at a time, and the next when the store has had time for it.
-    fn loads(
+    /// Returns at most one load, and none before the weight store has had time for the previous one.
+    fn plan_load(
         &mut self,
         now: Time,
         model: &ModelName,
-        need: &RequiredVersions,
+        required: &RequiredVersions,
         input: PlannerInput<'_>,
     ) -> Vec<Task> {
-        for (name, version) in &need.versions {
+        for (name, version) in &required.versions {
             let wanted = version.targets as usize;
-            if now < self.next_load || self.holding(model, name, input.view) >= wanted {
+            if now < self.next_load_at || self.holder_count(model, name, input.view) >= wanted {
                 continue;
             }
             let Some(weight) = input.weights.get(&version.weights) else {
                 continue;
             };
-            let Some(target) = self.choose(model, name, input.view) else {
+            let Some(target) = self.choose_target(model, name, input.view) else {
                 continue;
             };
-            self.next_load = now + weight.load_time();
-            let limit = weight.load_time() * LOAD_SLACK + EFFECT_LIMIT;
-            return vec![(target, load(version), limit)];
+            self.next_load_at = now + weight.load_time();
+            let timeout = weight.load_time() * LOAD_TIMEOUT_FACTOR + EFFECT_TIMEOUT;
+            return vec![(target, load_order(version), timeout)];
         }
         Vec::new()
     }
 
-    /// Returns how many targets hold a version or are loading it.
-    fn holding(&self, model: &ModelName, version: &VersionName, view: &View) -> usize {
+    /// Returns the number of usable targets that hold a version or are loading it.
+    fn holder_count(&self, model: &ModelName, version: &VersionName, view: &View) -> usize {
         let loading = |id: &TargetId| {
-            self.sent.get(id).is_some_and(|sent| {
+            self.pending.get(id).is_some_and(|sent| {
                 matches!(&sent.order.kind, OrderKind::Load { model: m, version: v, .. }
                     if m == model && v == version)
             })
@@ -308,8 +317,13 @@
             .count()
     }
 
-    /// Chooses the target with the fewest versions, so that the old one stays where it is.
-    fn choose(&self, model: &ModelName, version: &VersionName, view: &View) -> Option<TargetId> {
+    /// Chooses the free target with the fewest versions, so that the old version stays loaded.
+    fn choose_target(
+        &self,
+        model: &ModelName,
+        version: &VersionName,
+        view: &View,
+    ) -> Option<TargetId> {
         let count = |seen: &TargetView| -> usize { seen.versions.values().map(|v| v.len()).sum() };
         view.targets
             .iter()
@@ -319,9 +333,14 @@
             .map(|(id, _)| id.clone())
     }
 
-    fn adapter_loads(&self, model: &ModelName, need: &RequiredVersions, view: &View) -> Vec<Task> {
+    fn plan_adapter_loads(
+        &self,
+        model: &ModelName,
+        required: &RequiredVersions,
+        view: &View,
+    ) -> Vec<Task> {
         let mut found = BTreeMap::new();
-        for (name, version) in &need.versions {
+        for (name, version) in &required.versions {
             for (id, seen) in &view.targets {
                 let ready = is_usable(seen) && holds(seen, model, name) && self.is_free(id);
                 let missing = |adapter: &&AdapterName| {
@@ -331,7 +350,7 @@
                         name.clone(),
                         (*adapter).clone(),
                     );
-                    !self.adapters.contains(&key)
+                    !self.loaded_adapters.contains(&key)
                 };
                 if let Some(adapter) = version.adapters.iter().find(missing).filter(|_| ready) {
                     let kind = OrderKind::LoadAdapter {
@@ -343,24 +362,24 @@
                 }
             }
         }
-        let limited = |(id, kind)| (id, kind, EFFECT_LIMIT);
+        let limited = |(id, kind)| (id, kind, EFFECT_TIMEOUT);
         found.into_iter().map(limited).collect()
     }
 
     // ------------------------------------------------------------------------
     // Unloads
 
-    /// Unloads what is not needed, once the needed versions are everywhere they should be and
-    /// nothing in the whole deployment has been pinned to the old one for long enough.
-    fn unloads(
+    /// Unloads versions that are not required, once the required versions are loaded on enough targets
+    /// and the unrequired one has had no pins in the whole deployment for the retention time.
+    fn plan_unloads(
         &mut self,
         now: Time,
         model: &ModelName,
-        need: &RequiredVersions,
+        required: &RequiredVersions,
         input: PlannerInput<'_>,
     ) -> Vec<Task> {
         let view = input.view;
-        let complete = need.versions.iter().all(|(name, version)| {
+        let complete = required.versions.iter().all(|(name, version)| {
             let loaded = |seen: &&TargetView| is_usable(seen) && holds(seen, model, name);
             let usable = view.targets.values().filter(|seen| is_usable(seen)).count();
             let wanted = (version.targets as usize).min(usable);
@@ -369,18 +388,18 @@
         let mut found = Vec::<Task>::new();
         for (id, seen) in &view.targets {
             let held = seen.versions.get(model).into_iter().flatten();
-            for version in held.filter(|version| !need.wants(version)) {
+            for version in held.filter(|version| !required.requires(version)) {
                 let key = (id.clone(), model.clone(), version.clone());
-                let quiet = complete && is_unpinned(model, version, input);
-                if !quiet {
-                    self.unneeded.remove(&key);
+                let unpinned = complete && is_unpinned(model, version, input);
+                if !unpinned {
+                    self.unpinned_since.remove(&key);
                     continue;
                 }
-                let since = *self.unneeded.entry(key).or_insert(now);
-                let due = now.since(since) >= need.keep;
-                let again = found.iter().any(|(other, ..)| other == id);
-                if due && !again && is_usable(seen) && self.is_free(id) {
-                    found.push((id.clone(), unload(model, version), EFFECT_LIMIT));
+                let since = *self.unpinned_since.entry(key).or_insert(now);
+                let due = now.since(since) >= required.retention;
+                let ordered = found.iter().any(|(other, ..)| other == id);
+                if due && !ordered && is_usable(seen) && self.is_free(id) {
+                    found.push((id.clone(), unload_order(model, version), EFFECT_TIMEOUT));
                 }
             }
         }
@@ -388,11 +407,11 @@
     }
 }
 
-/// Returns whether the report of a target shows what it was ordered.
-fn shows(seen: &TargetView, sent: &Sent) -> bool {
+/// Returns whether a target's report shows the effect of an order.
+fn shows_effect(seen: &TargetView, sent: &PendingOrder) -> bool {
     match &sent.order.kind {
         OrderKind::Load { model, version, .. } => holds(seen, model, version),
         OrderKind::Unload { model, version } => !holds(seen, model, version),
-        OrderKind::LoadAdapter { .. } | OrderKind::Role { .. } => sent.answered,
+        OrderKind::LoadAdapter { .. } | OrderKind::Role { .. } => sent.responded,
     }
 }
--- a/crates/cw_policy/src/planner/required_versions.rs
+++ b/crates/cw_policy/src/planner/required_versions.rs
@@ -1,4 +1,4 @@
-//! What the records ask of engines.
+//! The model versions that the records require on engines.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,41 +10,43 @@
 use cw_types::RouteTarget;
 use cw_types::VersionName;
 
-/// What the records ask of engines for one model.
+/// The versions of one model that the records require on engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequiredVersions {
-    /// The versions that should be loaded.
+    /// The versions to be loaded.
     pub versions: BTreeMap<VersionName, ModelVersion>,
-    /// Versions that routes name without a record: they are not unloaded.
+    /// The versions that routes name. They are not unloaded, even without a record.
     pub routed: BTreeSet<VersionName>,
-    /// How long a version that is not needed is kept after nothing is pinned to it.
-    pub keep: Duration,
+    /// How long a version that is not required stays loaded after its last pin is gone.
+    pub retention: Duration,
 }
 
 impl RequiredVersions {
-    /// Reads the needs of all models that have a version record; others are not managed.
+    /// Returns the required versions of every model that has a version record. Other models are not
+    /// managed by the planner.
     pub fn from_config(config: &Config) -> BTreeMap<ModelName, RequiredVersions> {
-        let mut needs = BTreeMap::<ModelName, RequiredVersions>::new();
+        let mut models = BTreeMap::<ModelName, RequiredVersions>::new();
         for version in config.versions.values() {
-            let need = needs.entry(version.model.clone()).or_default();
-            need.keep = need.keep.max(version.keep);
+            let required = models.entry(version.model.clone()).or_default();
+            required.retention = required.retention.max(version.keep);
             if version.targets > 0 {
-                need.versions
+                required
+                    .versions
                     .insert(version.version.clone(), version.clone());
             }
         }
         for route in config.routes.values() {
             if let RouteTarget::Model { model, version, .. } = &route.to
-                && let Some(need) = needs.get_mut(model)
+                && let Some(required) = models.get_mut(model)
             {
-                need.routed.insert(version.clone());
+                required.routed.insert(version.clone());
             }
         }
-        needs
+        models
     }
 
-    /// Returns whether a version has to stay.
-    pub fn wants(&self, version: &VersionName) -> bool {
+    /// Returns whether a version must not be unloaded.
+    pub fn requires(&self, version: &VersionName) -> bool {
         self.versions.contains_key(version) || self.routed.contains(version)
     }
 }
--- a/crates/cw_policy/src/slo/burn.rs
+++ b/crates/cw_policy/src/slo/burn.rs
@@ -1,8 +1,8 @@
-//! How fast the error budget burns.
+//! The burn rate of the error budget.
 //!
 //! The pairs of windows and their thresholds are those of "Alerting on SLOs" in the Site
-//! Reliability Workbook (Google, 2018): a long window shows that it matters, a short one that it
-//! still goes on.
+//! Reliability Workbook (Google, 2018): the long window shows that the burn is significant, and the
+//! short one that it continues.
 
 use std::fmt;
 
@@ -11,24 +11,24 @@
 use super::Counts;
 use super::Window;
 
-/// The rate that spends 2 % of a 30-day budget in an hour.
-const PAGE_FAST: f64 = 14.4;
-/// The rate that spends 5 % of a 30-day budget in six hours.
-const PAGE_SLOW: f64 = 6.0;
-/// The rate that spends the whole budget in its period.
-const TICKET: f64 = 1.0;
+/// The burn rate that spends 2 % of a 30-day budget in one hour.
+const FAST_PAGE_RATE: f64 = 14.4;
+/// The burn rate that spends 5 % of a 30-day budget in six hours.
+const SLOW_PAGE_RATE: f64 = 6.0;
+/// The burn rate that spends the entire budget in its period.
+const TICKET_RATE: f64 = 1.0;
 
-/// How bad a burn is.
+/// The severity of a burn.
 #[data(Copy, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// Nothing was counted.
+    /// No events were counted.
     NoData,
-    /// The budget lasts.
+    /// The budget lasts for its period.
     Ok,
-    /// The budget will be spent before its period ends.
+    /// The budget will be spent before its period ends, so a ticket is due.
     Ticket,
-    /// A person is needed now.
+    /// The budget is burning so fast that an operator must be paged.
     Page,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The burn of one objective over every window.
+/// The event counts of one objective over each window, and its required fraction.
 #[data]
 pub struct Burn {
     /// The fraction of events that must be good.
@@ -53,11 +53,11 @@
 }
 
 impl Burn {
-    /// Returns the burn rate over a window: 1 spends the budget exactly in its period.
+    /// Returns the burn rate over a window, where 1 spends the budget exactly in its period.
     ///
-    /// `None` when nothing was counted.
+    /// `None` if no events were counted in the window.
     pub fn rate(&self, window: Window) -> Option<f64> {
-        let counts = self.of(window);
+        let counts = self.counts_of(window);
         if counts.total == 0 {
             return None;
         }
@@ -66,32 +66,32 @@
         Some(bad / allowed)
     }
 
-    /// Returns the part of the error budget of the longest window that is left, at most 1.
+    /// Returns the fraction of the longest window's error budget that is left, at most 1.
     ///
-    /// It is negative when more was spent than allowed.
+    /// It is negative if the budget is overspent, and `None` if no events were counted.
     pub fn budget_left(&self) -> Option<f64> {
         self.rate(Window::ThreeDays).map(|rate| 1.0 - rate)
     }
 
-    /// Returns how bad it is.
+    /// Returns the severity.
     pub fn condition(&self) -> Condition {
         if self.counts.iter().all(|counts| counts.total == 0) {
             return Condition::NoData;
         }
-        let over = |window, limit| self.rate(window).is_some_and(|rate| rate >= limit);
-        let both = |long, short, limit| over(long, limit) && over(short, limit);
-        if both(Window::Hour, Window::FiveMinutes, PAGE_FAST)
-            || both(Window::SixHours, Window::Hour, PAGE_SLOW)
+        let reaches = |window, limit| self.rate(window).is_some_and(|rate| rate >= limit);
+        let both_reach = |long, short, limit| reaches(long, limit) && reaches(short, limit);
+        if both_reach(Window::Hour, Window::FiveMinutes, FAST_PAGE_RATE)
+            || both_reach(Window::SixHours, Window::Hour, SLOW_PAGE_RATE)
         {
             return Condition::Page;
         }
-        if both(Window::ThreeDays, Window::SixHours, TICKET) {
+        if both_reach(Window::ThreeDays, Window::SixHours, TICKET_RATE) {
             return Condition::Ticket;
         }
         Condition::Ok
     }
 
-    fn of(&self, window: Window) -> Counts {
+    fn counts_of(&self, window: Window) -> Counts {
         Window::ALL
             .into_iter()
             .zip(self.counts)
--- a/crates/cw_policy/src/slo/mod.rs
+++ b/crates/cw_policy/src/slo/mod.rs
@@ -1,8 +1,10 @@
-//! Service-level objectives: what counts as good, over which windows, and how fast the budget burns.
+//! Service-level objectives: the criteria for good events, the windows over which they are counted,
+//! and the burn rate of the error budget.
 //!
-//! An entry records events in a [`SloRecorder`]; the counts over each [`Window`] are its metrics, and the
-//! operators' tool turns them into a [`Burn`]. Hosts keep nothing, so a window reaches back no
-//! further than the start of the process; [`SloRecorder::covered`] says how far that is.
+//! An entry records events in an [`SloRecorder`] and exports the counts over each [`Window`] as
+//! metrics, from which the operators' tool computes a [`Burn`]. Hosts store no counts, so a window
+//! reaches back no further than the start of the process; [`SloRecorder::covered`] returns how much
+//! of a window that is.
 
 mod burn;
 mod objective;
--- a/crates/cw_policy/src/slo/objective.rs
+++ b/crates/cw_policy/src/slo/objective.rs
@@ -1,4 +1,4 @@
-//! What is promised.
+//! The objectives and their limits.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,32 +9,32 @@
 use serde_with::serde_as;
 use snafu::Snafu;
 
-/// The kinds of promises.
+/// The kinds of service-level objectives.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// The first token comes in time.
+    /// The first token is sent within its limit.
     FirstToken,
-    /// The next token comes in time.
+    /// Each later token is sent within the limit after the previous one.
     TokenGap,
-    /// A stream goes on in time after its target was lost.
+    /// A stream resumes within its limit after the loss of its target.
     Resume,
-    /// An accepted request gets its whole answer.
+    /// An accepted request gets its complete response.
     Whole,
-    /// A refusal is proven: the request was not run.
+    /// A refused request is proven not to have run.
     Refusal,
 }
 
-/// Text that names no objective.
+/// The error for a text that is not the name of an objective.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("unknown objective {text:?}"))]
 pub struct ObjectiveError {
-    /// The text found.
+    /// The rejected text.
     pub text: String,
 }
 
 impl Objective {
-    /// Every objective, in the order of reports.
+    /// Every objective, in the order used in reports.
     pub const ALL: [Objective; 5] = [
         Objective::FirstToken,
         Objective::TokenGap,
@@ -74,23 +74,24 @@
     }
 }
 
-/// The limits of time, and the fraction of events that must be good.
+/// The latency limits, and the fractions of events that must be good.
 #[serde_as]
 #[data]
 #[serde(default, deny_unknown_fields)]
 pub struct Objectives {
-    /// The first token's limit.
+    /// The limit for the time to the first token.
     #[serde_as(as = "DurationText")]
     pub first_token: Duration,
-    /// The limit between tokens.
+    /// The limit for the latency between tokens.
     #[serde_as(as = "DurationText")]
     pub token_gap: Duration,
-    /// The limit from a loss until output goes on.
+    /// The limit for the time from the loss of a target until output resumes.
     #[serde_as(as = "DurationText")]
     pub resume: Duration,
-    /// The fraction of tokens, first and later ones, within their limit.
+    /// The required fraction of tokens, first and later ones, within their limit.
     pub timely: f64,
-    /// The fraction of answers that are whole, resumes in time and refusals proven.
+    /// The required fraction of complete responses, of resumes within their limit and of proven
+    /// refusals.
     pub kept: f64,
 }
 
@@ -107,7 +108,7 @@
 }
 
 impl Objectives {
-    /// Returns the fraction of events that must be good.
+    /// Returns the fraction of an objective's events that must be good.
     pub fn fraction(&self, objective: Objective) -> f64 {
         match objective {
             Objective::FirstToken | Objective::TokenGap => self.timely,
--- a/crates/cw_policy/src/slo/series.rs
+++ b/crates/cw_policy/src/slo/series.rs
@@ -1,4 +1,4 @@
-//! Counts over sliding windows, in a bounded number of buckets.
+//! Event counts over sliding windows, in a bounded number of buckets.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,17 @@
 
 use super::Window;
 
-/// Good events among all events.
+/// The number of good events and of all events.
 #[data(Copy, Default, Eq)]
 pub struct Counts {
-    /// Events within the objective.
+    /// The number of events that meet the objective.
     pub good: u64,
-    /// All events.
+    /// The number of all events.
     pub total: u64,
 }
 
 impl Counts {
-    /// Returns the sum of both.
+    /// Returns the sum of both counts.
     #[must_use]
     pub fn plus(self, other: Counts) -> Counts {
         Counts {
@@ -28,13 +28,13 @@
 }
 
 #[derive(Clone, Debug)]
-struct Ring {
+struct WindowBuckets {
     window: Window,
-    /// Bucket numbers, counted from the clock's origin, and what fell into them; oldest first.
+    /// The bucket numbers, counted from the clock's origin, and their counts, oldest first.
     buckets: VecDeque<(u64, Counts)>,
 }
 
-impl Ring {
+impl WindowBuckets {
     fn bucket(&self, now: Time) -> u64 {
         now.0 / self.window.bucket().as_micros() as u64
     }
@@ -42,7 +42,7 @@
     fn add(&mut self, now: Time, counts: Counts) {
         let bucket = self.bucket(now);
         match self.buckets.back_mut() {
-            // A clock that seems to go back adds to the newest bucket.
+            // A time before the newest bucket is counted in the newest bucket.
             Some((last, sum)) if *last >= bucket => *sum = sum.plus(counts),
             _ => self.buckets.push_back((bucket, counts)),
         }
@@ -65,35 +65,35 @@
     }
 }
 
-/// The counts of one objective over every window.
+/// The counts of one objective over each window.
 #[derive(Clone, Debug)]
 pub struct Series {
-    rings: [Ring; 4],
+    windows: [WindowBuckets; 4],
 }
 
 impl Default for Series {
     fn default() -> Self {
-        let rings = Window::ALL.map(|window| Ring {
+        let windows = Window::ALL.map(|window| WindowBuckets {
             window,
             buckets: VecDeque::new(),
         });
-        Self { rings }
+        Self { windows }
     }
 }
 
 impl Series {
-    /// Records events at the present moment.
+    /// Adds events that occur at `now`.
     pub fn record(&mut self, now: Time, counts: Counts) {
-        for ring in &mut self.rings {
-            ring.add(now, counts);
+        for buckets in &mut self.windows {
+            buckets.add(now, counts);
         }
     }
 
-    /// Returns the events of a window that ends now, to the window's bucket.
+    /// Returns the counts of a window that ends at `now`, to the resolution of its buckets.
     pub fn counts(&mut self, now: Time, window: Window) -> Counts {
-        self.rings
+        self.windows
             .iter_mut()
-            .find(|ring| ring.window == window)
-            .map_or(Counts::default(), |ring| ring.sum(now))
+            .find(|buckets| buckets.window == window)
+            .map_or(Counts::default(), |buckets| buckets.sum(now))
     }
 }
--- a/crates/cw_policy/src/slo/slo_recorder.rs
+++ b/crates/cw_policy/src/slo/slo_recorder.rs
@@ -1,4 +1,4 @@
-//! The events of every route and priority.
+//! The event counts of each route and priority.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,29 +14,29 @@
 use super::Series;
 use super::Window;
 
-/// The most classes kept, so that the number of metrics is bounded.
-const CLASSES_MAX: usize = 64;
+/// The largest number of classes, which bounds the number of metrics.
+const MAX_CLASSES: usize = 64;
 
-/// Whose events are counted together.
+/// The requests whose events are counted together.
 #[data(Eq, PartialOrd, Ord)]
 pub struct Class {
-    /// The route.
+    /// The route of the requests.
     pub route: RouteName,
-    /// The priority of its requests.
+    /// The priority of the requests.
     pub priority: PriorityName,
 }
 
-/// The events of one process since its start.
+/// The event counts of one process since its start.
 #[derive(Clone, Debug)]
 pub struct SloRecorder {
-    /// What is promised.
+    /// The limits by which events count as good.
     pub objectives: Objectives,
     started: Time,
     series: BTreeMap<(Class, Objective), Series>,
 }
 
 impl SloRecorder {
-    /// Returns an empty book, begun now.
+    /// Returns a recorder without events that starts at `now`.
     pub fn new(now: Time, objectives: Objectives) -> Self {
         Self {
             objectives,
@@ -45,45 +45,46 @@
         }
     }
 
-    /// Returns how much of a window this process has seen.
+    /// Returns how much of a window lies after the start of this process.
     pub fn covered(&self, now: Time, window: Window) -> Duration {
         now.since(self.started).min(window.length())
     }
 
     // --- Recording ---
 
-    /// Records events of one class; events of a class beyond the bound are not kept.
+    /// Records events of one class. Events of a new class are dropped once the maximum number of
+    /// classes is reached.
     pub fn record(&mut self, now: Time, class: &Class, objective: Objective, counts: Counts) {
         let key = (class.clone(), objective);
-        let room = self.series.len() < CLASSES_MAX * Objective::ALL.len();
-        if room || self.series.contains_key(&key) {
+        let has_room = self.series.len() < MAX_CLASSES * Objective::ALL.len();
+        if has_room || self.series.contains_key(&key) {
             self.series.entry(key).or_default().record(now, counts);
         }
     }
 
-    /// Records how long the first token took.
+    /// Records the time to the first token.
     pub fn first_token(&mut self, now: Time, class: &Class, took: Duration) {
         let good = took <= self.objectives.first_token;
-        self.one(now, class, Objective::FirstToken, good);
+        self.record_one(now, class, Objective::FirstToken, good);
     }
 
-    /// Records how long output stood still after a loss.
+    /// Records how long output was interrupted by the loss of a target.
     pub fn resume(&mut self, now: Time, class: &Class, took: Duration) {
         let good = took <= self.objectives.resume;
-        self.one(now, class, Objective::Resume, good);
+        self.record_one(now, class, Objective::Resume, good);
     }
 
-    /// Records whether an accepted request got its whole answer.
+    /// Records whether an accepted request got its complete response.
     pub fn whole(&mut self, now: Time, class: &Class, good: bool) {
-        self.one(now, class, Objective::Whole, good);
+        self.record_one(now, class, Objective::Whole, good);
     }
 
-    /// Records whether a refusal is proven.
+    /// Records whether a refused request is proven not to have run.
     pub fn refusal(&mut self, now: Time, class: &Class, proven: bool) {
-        self.one(now, class, Objective::Refusal, proven);
+        self.record_one(now, class, Objective::Refusal, proven);
     }
 
-    fn one(&mut self, now: Time, class: &Class, objective: Objective, good: bool) {
+    fn record_one(&mut self, now: Time, class: &Class, objective: Objective, good: bool) {
         let counts = Counts {
             good: good.into(),
             total: 1,
@@ -91,9 +92,9 @@
         self.record(now, class, objective, counts);
     }
 
-    // --- Reading ---
+    // --- Queries ---
 
-    /// Returns the counts of every class and objective over a window that ends now.
+    /// Returns the counts of each class and objective over a window that ends at `now`.
     pub fn counts(
         &mut self,
         now: Time,
--- a/crates/cw_policy/src/slo/window.rs
+++ b/crates/cw_policy/src/slo/window.rs
@@ -1,11 +1,11 @@
-//! The windows over which burn is reported.
+//! The windows over which burn rates are reported.
 
 use std::fmt;
 use std::time::Duration;
 
 use cw_macro::data;
 
-/// A window that ends at the present.
+/// A sliding window that ends at the current time.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Window {
@@ -30,7 +30,7 @@
         Window::ThreeDays,
     ];
 
-    /// Returns how long the window is.
+    /// Returns the length of the window.
     pub const fn length(self) -> Duration {
         match self {
             Window::FiveMinutes => MINUTE.saturating_mul(5),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns how long each of the window's buckets is.
+    /// Returns the length of each of the window's buckets.
     pub const fn bucket(self) -> Duration {
         match self {
             Window::FiveMinutes => Duration::from_secs(10),
--- a/crates/cw_policy/tests/configuration.rs
+++ b/crates/cw_policy/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Acceptance of changes, and what comes into force.
+//! Acceptance of changes, and application of snapshots.
 
 use cw_policy::configuration::AcceptDecision;
 use cw_policy::configuration::Acceptance;
@@ -31,10 +31,10 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Live processes that read schema versions up to this one.
-struct Reads(u32);
+/// Live processes that can read schema versions up to this one.
+struct ReadsUpTo(u32);
 
-impl SchemaSupport for Reads {
+impl SchemaSupport for ReadsUpTo {
     fn unsupported_hosts(&self, _kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
         match schema.0 > self.0 {
             true => vec![name("entry-old")],
@@ -47,17 +47,17 @@
     text.parse().expect("a valid name")
 }
 
-fn operator(alone: bool) -> Operator {
+fn operator(self_approval: bool) -> Operator {
     Operator {
         keys: Vec::new(),
         role: OperatorRole::Accepter,
-        self_approval: alone,
+        self_approval,
     }
 }
 
 fn record(kind: RecordKind, name: &str, schema: u32, body: Value) -> Record {
     let Value::Object(body) = body else {
-        panic!("a body is an object");
+        panic!("the body is not an object");
     };
     Record {
         kind,
@@ -75,19 +75,24 @@
     Proposal::new(name(id), name("alice"), 1, edits, snapshot)
 }
 
-fn decide(snapshot: &Snapshot, proposal: &Proposal, accepter: &str, alone: bool) -> AcceptDecision {
+fn decide(
+    snapshot: &Snapshot,
+    proposal: &Proposal,
+    accepter: &str,
+    self_approval: bool,
+) -> AcceptDecision {
     let accepter: Actor = name(accepter);
     let by = Acceptance {
         accepter: &accepter,
-        operator: &operator(alone),
+        operator: &operator(self_approval),
         at: 2,
-        readers: &Reads(2),
+        readers: &ReadsUpTo(2),
         in_use: &[],
     };
     accept(snapshot, proposal, &by)
 }
 
-/// Accepts edits by a second person.
+/// Returns the snapshot after a second person accepts the edits.
 fn accepted(snapshot: &Snapshot, id: &str, edits: Vec<Edit>) -> Snapshot {
     match decide(snapshot, &propose(snapshot, id, edits), "bob", false) {
         AcceptDecision::Write(next) => *next,
@@ -117,11 +122,11 @@
 }
 
 #[test]
-fn accepted_change_makes_the_next_revision_and_is_audited() {
+fn accepted_change_creates_the_next_revision_and_a_change_record() {
     let next = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
 
     assert_eq!(next.revision, Revision(1));
-    let change = next.changes.last().expect("the audit entry");
+    let change = next.changes.last().expect("a change record");
     assert_eq!(change.proposer, name("alice"));
     assert_eq!(change.accepter, name("bob"));
     assert_eq!(change.touched, [priority("p", 1).key()]);
@@ -189,13 +194,13 @@
 #[case::same_person_who_may("alice", true, true)]
 fn accepter_is_another_person_unless_allowed(
     #[case] accepter: &str,
-    #[case] alone: bool,
+    #[case] self_approval: bool,
     #[case] allowed: bool,
 ) {
     let empty = Snapshot::default();
     let proposal = propose(&empty, "c1", vec![put(priority("p", 1))]);
 
-    let verdict = decide(&empty, &proposal, accepter, alone);
+    let verdict = decide(&empty, &proposal, accepter, self_approval);
 
     assert_eq!(matches!(verdict, AcceptDecision::Write(_)), allowed);
 }
@@ -222,7 +227,7 @@
             ..operator(true)
         },
         at: 2,
-        readers: &Reads(2),
+        readers: &ReadsUpTo(2),
         in_use: &[],
     };
 
@@ -249,7 +254,7 @@
 }
 
 #[test]
-fn schema_that_a_live_process_cannot_read_is_refused_by_name() {
+fn schema_that_a_live_process_cannot_read_is_refused_with_its_host() {
     let empty = Snapshot::default();
     let new = record(RecordKind::Workspace, "w", 3, json!({ "keys": [] }));
     let proposal = propose(&empty, "c1", vec![put(new)]);
@@ -267,11 +272,11 @@
 #[case::no_target("target/t1")]
 #[case::no_priority("priority/normal")]
 fn change_that_breaks_a_route_is_refused(#[case] removed: &str) {
-    let present = with_route();
+    let current = with_route();
     let key: RecordKey = name(removed);
-    let proposal = propose(&present, "c1", vec![Edit::Remove(key)]);
+    let proposal = propose(&current, "c1", vec![Edit::Remove(key)]);
 
-    let verdict = decide(&present, &proposal, "bob", false);
+    let verdict = decide(&current, &proposal, "bob", false);
 
     let AcceptDecision::Refused(Refusal::Breaks { breakages }) = verdict else {
         panic!("expected a refusal, found {verdict:?}");
@@ -285,15 +290,15 @@
 
 #[test]
 fn route_to_a_version_that_nothing_holds_is_refused() {
-    let present = with_route();
+    let current = with_route();
     let route = json!({
         "to": { "model": { "model": "m", "version": "v2" } },
         "priority": "normal",
     });
     let edit = put(record(RecordKind::Route, "r1", 1, route));
-    let proposal = propose(&present, "c1", vec![edit]);
+    let proposal = propose(&current, "c1", vec![edit]);
 
-    let verdict = decide(&present, &proposal, "bob", false);
+    let verdict = decide(&current, &proposal, "bob", false);
 
     let breakages = vec![Breakage::NoVersion {
         route: name("r1"),
@@ -306,72 +311,75 @@
 }
 
 #[test]
-fn delta_makes_the_same_snapshot() {
+fn applied_delta_gives_the_same_snapshot() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
     let two = accepted(&one, "c2", vec![put(priority("q", 1))]);
     let key = priority("p", 1).key();
     let three = accepted(&two, "c3", vec![Edit::Remove(key)]);
 
-    let delta = make_delta(&three, Revision(1)).expect("the changes reach that far");
+    let delta = make_delta(&three, Revision(1)).expect("changes back to revision 1");
 
     assert_eq!(apply_delta(&one, &delta), Ok(three.clone()));
     assert!(apply_delta(&two, &delta).is_err());
 }
 
 #[test]
-fn lower_revision_is_held_with_an_alarm_until_the_service_catches_up() {
+fn lower_revision_raises_an_alarm_until_the_service_catches_up() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
     let two = accepted(&one, "c2", vec![put(priority("q", 1))]);
-    let mut in_force = ActiveConfig::default();
-    in_force.apply(Source::Store, two.clone());
+    let mut active_config = ActiveConfig::default();
+    active_config.apply(Source::Store, two.clone());
 
-    let taking = in_force.apply(Source::Store, one);
+    let outcome = active_config.apply(Source::Store, one);
 
     let alarm = Alarm::Reverted {
         found: Revision(1),
         held: Revision(2),
     };
-    assert_eq!(taking, ApplyOutcome::Rejected(alarm.clone()));
-    assert_eq!(in_force.alarm(), Some(&alarm));
-    assert_eq!(in_force.revision(), Revision(2));
-    assert_eq!(in_force.apply(Source::Store, two), ApplyOutcome::Unchanged);
-    assert_eq!(in_force.alarm(), None);
+    assert_eq!(outcome, ApplyOutcome::Rejected(alarm.clone()));
+    assert_eq!(active_config.alarm(), Some(&alarm));
+    assert_eq!(active_config.revision(), Revision(2));
+    assert_eq!(
+        active_config.apply(Source::Store, two),
+        ApplyOutcome::Unchanged
+    );
+    assert_eq!(active_config.alarm(), None);
 }
 
 #[test]
-fn other_history_is_held_with_an_alarm() {
+fn diverged_history_raises_an_alarm() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
-    let ours = accepted(&one, "ours", vec![put(priority("q", 1))]);
-    let theirs = accepted(&one, "theirs", vec![put(priority("q", 2))]);
-    let theirs = accepted(&theirs, "theirs-2", vec![put(priority("q", 3))]);
-    let mut in_force = ActiveConfig::default();
-    in_force.apply(Source::Store, ours.clone());
+    let local = accepted(&one, "local", vec![put(priority("q", 1))]);
+    let diverged = accepted(&one, "diverged", vec![put(priority("q", 2))]);
+    let diverged = accepted(&diverged, "diverged-2", vec![put(priority("q", 3))]);
+    let mut active_config = ActiveConfig::default();
+    active_config.apply(Source::Store, local.clone());
 
-    let taking = in_force.apply(Source::Store, theirs);
+    let outcome = active_config.apply(Source::Store, diverged);
 
     assert!(matches!(
-        taking,
+        outcome,
         ApplyOutcome::Rejected(Alarm::Diverged { .. })
     ));
-    assert_eq!(**in_force.snapshot(), ours);
+    assert_eq!(**active_config.snapshot(), local);
 }
 
 #[test]
-fn unreadable_record_is_kept_whole_and_its_last_meaning_goes_on() {
+fn unreadable_record_is_stored_and_keeps_its_previous_value() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 7))]);
     let mut two = one.clone();
     two.revision = Revision(2);
     let newer = record(RecordKind::Priority, "p", 9, json!({ "level": "x" }));
     two.records
         .insert(newer.key(), (Revision(2), newer.clone()));
-    let mut in_force = ActiveConfig::default();
-    in_force.apply(Source::Store, one);
+    let mut active_config = ActiveConfig::default();
+    active_config.apply(Source::Store, one);
 
-    let taking = in_force.apply(Source::Store, two);
+    let outcome = active_config.apply(Source::Store, two);
 
-    assert!(matches!(&taking, ApplyOutcome::Applied(errors) if errors.len() == 1));
-    assert_eq!(in_force.config().priorities[&name("p")].rank, 7);
-    assert_eq!(in_force.snapshot().records[&newer.key()].1, newer);
+    assert!(matches!(&outcome, ApplyOutcome::Applied(errors) if errors.len() == 1));
+    assert_eq!(active_config.config().priorities[&name("p")].rank, 7);
+    assert_eq!(active_config.snapshot().records[&newer.key()].1, newer);
 }
 
 #[test]
@@ -423,7 +431,9 @@
     };
     let snapshot = snapshot.trimmed();
 
-    let size = serde_json::to_vec(&snapshot).expect("JSON").len();
+    let size = serde_json::to_vec(&snapshot)
+        .expect("serialized JSON")
+        .len();
 
     println!("snapshot: {size} bytes, {} changes", snapshot.changes.len());
     assert_eq!(snapshot.records.len(), 1080);
@@ -431,7 +441,7 @@
 }
 
 #[test]
-fn two_watchers_a_zone_however_many_entries() {
+fn each_zone_has_two_watchers_among_many_entries() {
     let entries: Vec<_> = (0..100)
         .map(|n| cw_policy::EntryPeer {
             host: name(&format!("entry-{n}")),
--- a/crates/cw_policy/tests/configuration_fuzz.rs
+++ b/crates/cw_policy/tests/configuration_fuzz.rs
@@ -1,5 +1,5 @@
-//! Records, a key-value service that fails, and relays, against a simple oracle: the ordered list
-//! of accepted revisions.
+//! Random changes, failures of the key-value service and transfers between entries, checked against
+//! a simple oracle: the ordered list of accepted revisions.
 
 use std::collections::BTreeMap;
 
@@ -31,61 +31,61 @@
 use proptest::test_runner::RngSeed;
 use serde_json::json;
 
-/// The entries.
-const NODES: usize = 4;
+/// The number of entries.
+const ENTRIES: usize = 4;
 
-/// The records that changes fight over.
+/// The number of records, few so that changes conflict.
 const RECORDS: u8 = 3;
 
-/// The seed, unless the variable below gives another.
+/// The seed, unless the environment variable gives another.
 const SEED: u64 = 6;
 
-/// The variable that gives another seed.
+/// The environment variable that overrides the seed.
 const SEED_VARIABLE: &str = "CYCLAMENWHARF_SEED";
 
-/// What happens next.
+/// One random operation.
 #[derive(Clone, Debug)]
 enum Op {
-    /// A change is proposed and its acceptance begins at an entry.
+    /// Proposes a change and starts its acceptance at an entry.
     Accept { node: usize, record: u8 },
-    /// The same change is accepted again through another entry.
+    /// Starts another acceptance of the same change at an entry.
     AcceptAgain { flow: usize, node: usize },
-    /// One acceptance makes its next step.
-    Step { flow: usize, luck: Luck },
-    /// A proposal is rejected.
+    /// Executes the next step of an acceptance.
+    Step { flow: usize, outcome: CallOutcome },
+    /// Rejects a proposal.
     Reject { flow: usize, node: usize },
-    /// A write whose answer was lost arrives.
-    Arrive { write: usize },
-    /// An entry reads the service.
-    Follow { node: usize },
-    /// An entry asks another one.
-    Ask { node: usize, peer: usize },
-    /// An entry is paused, or wakes up.
-    Pause { node: usize },
-    /// The service goes down, or comes back.
-    Outage,
-    /// A backup of the service is taken.
+    /// Delivers a delayed write.
+    DeliverWrite { write: usize },
+    /// Reads the snapshot of the service at an entry.
+    ReadStore { node: usize },
+    /// Sends the snapshot of a peer to an entry.
+    AskPeer { node: usize, peer: usize },
+    /// Pauses or resumes an entry.
+    TogglePause { node: usize },
+    /// Starts or ends an outage of the service.
+    ToggleOutage,
+    /// Takes a backup of the service.
     Backup,
-    /// The service is restored from the backup.
+    /// Restores the service from the backup.
     Restore,
-    /// An entry writes back what is in force.
-    PutBack { node: usize },
+    /// Writes the snapshot in force at an entry back to the service.
+    WriteBack { node: usize },
 }
 
-/// What becomes of a call.
+/// The outcome of a call to the service.
 #[derive(Clone, Copy, Debug)]
-enum Luck {
-    /// It is answered.
-    Fine,
-    /// It is refused.
+enum CallOutcome {
+    /// The call takes effect and is answered.
+    Answered,
+    /// The call is refused without effect.
     Refused,
-    /// It has its effect, and the answer is lost.
+    /// The call takes effect, and its response is lost.
     Lost,
-    /// The answer is lost, and it may have its effect later.
-    Late,
+    /// The response is lost, and the call may take effect later.
+    Delayed,
 }
 
-/// The key-value service: each value with the number of its last write.
+/// The key-value service, with the number of the last write of each value.
 #[derive(Clone, Debug, Default)]
 struct Store {
     config: (u64, Snapshot),
@@ -115,8 +115,8 @@
     }
 }
 
-/// One call of an operator to accept a change.
-struct Running {
+/// An operator's call to accept a change.
+struct AcceptCall {
     id: ChangeId,
     node: usize,
     flow: AcceptFlow,
@@ -124,15 +124,15 @@
     read: (u64, u64),
 }
 
-/// A write on its way.
-struct Flying {
+/// A write that has not yet arrived at the service.
+struct DelayedWrite {
     expected: u64,
     snapshot: Snapshot,
 }
 
-struct Everyone;
+struct EverySchema;
 
-impl SchemaSupport for Everyone {
+impl SchemaSupport for EverySchema {
     fn unsupported_hosts(&self, _kind: RecordKind, _schema: SchemaVersion) -> Vec<HostId> {
         Vec::new()
     }
@@ -143,10 +143,10 @@
     backup: Store,
     down: bool,
     nodes: Vec<ActiveConfig>,
-    paused: [bool; NODES],
-    flows: Vec<Running>,
-    flying: Vec<Flying>,
-    /// The oracle.
+    paused: [bool; ENTRIES],
+    flows: Vec<AcceptCall>,
+    delayed: Vec<DelayedWrite>,
+    /// The oracle: every accepted snapshot, in the order of revisions.
     accepted: Vec<Snapshot>,
     rejected: Vec<ChangeId>,
 }
@@ -157,10 +157,10 @@
             store: Store::default(),
             backup: Store::default(),
             down: false,
-            nodes: vec![ActiveConfig::default(); NODES],
-            paused: [false; NODES],
+            nodes: vec![ActiveConfig::default(); ENTRIES],
+            paused: [false; ENTRIES],
             flows: Vec::new(),
-            flying: Vec::new(),
+            delayed: Vec::new(),
             accepted: Vec::new(),
             rejected: Vec::new(),
         }
@@ -170,16 +170,16 @@
         match op {
             Op::Accept { node, record } => self.propose(node, record),
             Op::AcceptAgain { flow, node } => self.accept_again(flow, node),
-            Op::Step { flow, luck } => self.step(flow, luck),
+            Op::Step { flow, outcome } => self.step(flow, outcome),
             Op::Reject { flow, node } => self.reject(flow, node),
-            Op::Arrive { write } => self.arrive(write),
-            Op::Follow { node } => self.follow(node),
-            Op::Ask { node, peer } => self.ask(node, peer),
-            Op::Pause { node } => self.paused[node] = !self.paused[node],
-            Op::Outage => self.down = !self.down,
+            Op::DeliverWrite { write } => self.deliver_write(write),
+            Op::ReadStore { node } => self.read_store(node),
+            Op::AskPeer { node, peer } => self.ask_peer(node, peer),
+            Op::TogglePause { node } => self.paused[node] = !self.paused[node],
+            Op::ToggleOutage => self.down = !self.down,
             Op::Backup => self.backup = self.store.clone(),
             Op::Restore => self.restore(),
-            Op::PutBack { node } => self.put_back(node),
+            Op::WriteBack { node } => self.write_back(node),
         }
         self.check();
     }
@@ -210,8 +210,8 @@
     }
 
     fn accept_again(&mut self, flow: usize, node: usize) {
-        if let Some(running) = pick(&self.flows, flow) {
-            let id = running.id.clone();
+        if let Some(call) = pick(&self.flows, flow) {
+            let id = call.id.clone();
             self.start(id, node);
         }
     }
@@ -220,7 +220,7 @@
         if self.paused[node] || !self.nodes[node].is_known() && !self.accepted.is_empty() {
             return;
         }
-        self.flows.push(Running {
+        self.flows.push(AcceptCall {
             id,
             node,
             flow: AcceptFlow::new(),
@@ -229,7 +229,7 @@
         });
     }
 
-    /// The highest revision that entries have told each other of.
+    /// Returns the highest revision in force at any entry.
     fn highest(&self) -> Revision {
         let revisions = self.nodes.iter().map(ActiveConfig::revision);
         revisions.max().unwrap_or_default()
@@ -237,10 +237,10 @@
 
     fn reject(&mut self, flow: usize, node: usize) {
         let away = self.down || self.paused[node];
-        let Some(running) = pick(&self.flows, flow).filter(|_| !away) else {
+        let Some(call) = pick(&self.flows, flow).filter(|_| !away) else {
             return;
         };
-        let Some((at, proposal)) = self.store.proposals.get(&running.id).cloned() else {
+        let Some((at, proposal)) = self.store.proposals.get(&call.id).cloned() else {
             return;
         };
         let carol: Actor = "carol".parse().expect("a valid name");
@@ -251,7 +251,7 @@
         }
     }
 
-    fn step(&mut self, flow: usize, luck: Luck) {
+    fn step(&mut self, flow: usize, outcome: CallOutcome) {
         let live: Vec<_> = (0..self.flows.len())
             .filter(|n| !matches!(self.flows[*n].step, FlowStep::End(_)))
             .filter(|n| !self.paused[self.flows[*n].node])
@@ -259,11 +259,15 @@
         let Some(index) = pick(&live, flow).copied() else {
             return;
         };
-        let luck = if self.down { Luck::Refused } else { luck };
+        let outcome = if self.down {
+            CallOutcome::Refused
+        } else {
+            outcome
+        };
         let event = match self.flows[index].step.clone() {
-            FlowStep::Read => self.read(index, luck),
-            FlowStep::MarkAccepting(marked) => self.mark(index, &marked, luck),
-            FlowStep::WriteSnapshot(next) => self.write(index, &next, luck),
+            FlowStep::Read => self.read(index, outcome),
+            FlowStep::MarkAccepting(marked) => self.mark(index, &marked, outcome),
+            FlowStep::WriteSnapshot(next) => self.write(index, &next, outcome),
             FlowStep::End(_) => return,
         };
         let accepter: Actor = "bob".parse().expect("a valid name");
@@ -275,22 +279,22 @@
                 self_approval: false,
             },
             at: 2,
-            readers: &Everyone,
+            readers: &EverySchema,
             in_use: &[],
         };
-        let running = &mut self.flows[index];
-        running.step = running.flow.on_event(event, &by);
+        let call = &mut self.flows[index];
+        call.step = call.flow.on_event(event, &by);
     }
 
-    fn read(&mut self, index: usize, luck: Luck) -> FlowEvent {
-        if !matches!(luck, Luck::Fine) {
+    fn read(&mut self, index: usize, outcome: CallOutcome) -> FlowEvent {
+        if !matches!(outcome, CallOutcome::Answered) {
             return FlowEvent::Failed(Fault::Unavailable);
         }
         let held = self.highest();
-        let running = &mut self.flows[index];
-        let proposal = self.store.proposals.get(&running.id).cloned();
+        let call = &mut self.flows[index];
+        let proposal = self.store.proposals.get(&call.id).cloned();
         let written = proposal.as_ref().map_or(0, |(at, _)| *at);
-        running.read = (written, self.store.config.0);
+        call.read = (written, self.store.config.0);
         FlowEvent::Read {
             proposal: proposal.map(|(_, proposal)| proposal),
             snapshot: Box::new(self.store.config.1.clone()),
@@ -298,31 +302,33 @@
         }
     }
 
-    fn mark(&mut self, index: usize, marked: &Proposal, luck: Luck) -> FlowEvent {
+    fn mark(&mut self, index: usize, marked: &Proposal, outcome: CallOutcome) -> FlowEvent {
         let expected = self.flows[index].read.0;
-        match luck {
-            Luck::Fine => FlowEvent::Written(self.store.write_proposal(expected, marked)),
-            Luck::Refused => FlowEvent::Failed(Fault::Unavailable),
-            Luck::Lost => {
+        match outcome {
+            CallOutcome::Answered => {
+                FlowEvent::Written(self.store.write_proposal(expected, marked))
+            }
+            CallOutcome::Refused => FlowEvent::Failed(Fault::Unavailable),
+            CallOutcome::Lost => {
                 self.store.write_proposal(expected, marked);
                 FlowEvent::Failed(Fault::Lost)
             }
-            Luck::Late => FlowEvent::Failed(Fault::Lost),
+            CallOutcome::Delayed => FlowEvent::Failed(Fault::Lost),
         }
     }
 
-    fn write(&mut self, index: usize, next: &Snapshot, luck: Luck) -> FlowEvent {
+    fn write(&mut self, index: usize, next: &Snapshot, outcome: CallOutcome) -> FlowEvent {
         let expected = self.flows[index].read.1;
-        match luck {
-            Luck::Fine => FlowEvent::Written(self.commit(expected, next)),
-            Luck::Refused => FlowEvent::Failed(Fault::Unavailable),
-            Luck::Lost => {
+        match outcome {
+            CallOutcome::Answered => FlowEvent::Written(self.commit(expected, next)),
+            CallOutcome::Refused => FlowEvent::Failed(Fault::Unavailable),
+            CallOutcome::Lost => {
                 self.commit(expected, next);
                 FlowEvent::Failed(Fault::Lost)
             }
-            Luck::Late => {
+            CallOutcome::Delayed => {
                 let snapshot = next.clone();
-                self.flying.push(Flying { expected, snapshot });
+                self.delayed.push(DelayedWrite { expected, snapshot });
                 FlowEvent::Failed(Fault::Lost)
             }
         }
@@ -336,26 +342,26 @@
         written
     }
 
-    fn arrive(&mut self, write: usize) {
-        if self.down || self.flying.is_empty() {
+    fn deliver_write(&mut self, write: usize) {
+        if self.down || self.delayed.is_empty() {
             return;
         }
-        let index = write % self.flying.len();
-        let Flying { expected, snapshot } = self.flying.swap_remove(index);
+        let index = write % self.delayed.len();
+        let DelayedWrite { expected, snapshot } = self.delayed.swap_remove(index);
         self.commit(expected, &snapshot);
     }
 
     // ------------------------------------------------------------------------
     // Entries
 
-    fn follow(&mut self, node: usize) {
+    fn read_store(&mut self, node: usize) {
         if !self.down && !self.paused[node] && self.store.config.0 > 0 {
             let snapshot = self.store.config.1.clone();
             self.nodes[node].apply(Source::Store, snapshot);
         }
     }
 
-    fn ask(&mut self, node: usize, peer: usize) {
+    fn ask_peer(&mut self, node: usize, peer: usize) {
         if node != peer && !self.paused[node] && !self.paused[peer] {
             let answer = self.nodes[peer].answer(self.nodes[node].revision());
             self.nodes[node].apply_response(answer);
@@ -365,34 +371,34 @@
     // ------------------------------------------------------------------------
     // The service
 
-    /// Goes back to the backup. What was accepted since must have spread before, since nobody
-    /// else knows of it; and writes of before do not survive the restore.
+    /// Restores the backup, if the newest accepted revision is in force at every entry: otherwise it
+    /// could be lost. Delayed writes from before the restore can no longer take effect.
     fn restore(&mut self) {
         let newest = self.accepted.last().map(|snapshot| snapshot.revision);
-        let spread = self
+        let is_in_force_everywhere = self
             .nodes
             .iter()
             .all(|node| Some(node.revision()) == newest);
-        if !spread || self.backup.config.0 == 0 {
+        if !is_in_force_everywhere || self.backup.config.0 == 0 {
             return;
         }
         let writes = self.store.writes + 1;
         self.store = self.backup.clone();
         self.store.writes = writes;
         self.store.config.0 = writes;
-        self.flying.clear();
-        // A rejection is kept by the service alone, and a restore from before it loses it.
+        self.delayed.clear();
+        // Only the service stores rejections, so restoring a backup from before one loses it.
         let is_kept = |id: &ChangeId| {
             let kept = self.store.proposals.get(id);
             kept.is_some_and(|(_, p)| matches!(p.state, ProposalState::Rejected(_)))
         };
         self.rejected.retain(is_kept);
-        for running in &mut self.flows {
-            running.read.1 = 0;
+        for call in &mut self.flows {
+            call.read.1 = 0;
         }
     }
 
-    fn put_back(&mut self, node: usize) {
+    fn write_back(&mut self, node: usize) {
         let held = self.nodes[node].snapshot().clone();
         let (at, found) = self.store.config.clone();
         if !self.down && !self.paused[node] && held.revision > found.revision {
@@ -405,7 +411,11 @@
 
     fn check(&self) {
         for pair in self.accepted.windows(2) {
-            assert_eq!(pair[1].revision, pair[0].revision.next(), "a fork");
+            assert_eq!(
+                pair[1].revision,
+                pair[0].revision.next(),
+                "the history forked"
+            );
         }
         for node in &self.nodes {
             let revision = node.revision();
@@ -414,13 +424,13 @@
                 assert_eq!(
                     **node.snapshot(),
                     self.accepted[index],
-                    "not what was accepted"
+                    "the snapshot in force is not the accepted one"
                 );
             }
         }
-        for running in &self.flows {
-            if let FlowStep::End(end) = &running.step {
-                self.check_end(&running.id, end);
+        for call in &self.flows {
+            if let FlowStep::End(end) = &call.step {
+                self.check_end(&call.id, end);
             }
         }
         for id in &self.rejected {
@@ -435,34 +445,34 @@
             assert_eq!(change.id, *id);
             assert_eq!(count, 1, "{id} was answered as accepted");
         }
-        let others = self.flows.iter().filter(|flow| flow.id == *id).count();
+        let calls = self.flows.iter().filter(|flow| flow.id == *id).count();
         let no = matches!(
             end,
             FlowEnd::Refused(_) | FlowEnd::Unavailable | FlowEnd::NotFound
         );
-        if no && others == 1 {
+        if no && calls == 1 {
             assert_eq!(count, 0, "{id} was answered as not accepted");
         }
     }
 
-    /// How often the oracle has a change as its newest.
+    /// Returns how many accepted snapshots have the change as their newest.
     fn count(&self, id: &ChangeId) -> usize {
         let newest = |snapshot: &&Snapshot| snapshot.changes.last().is_some_and(|c| c.id == *id);
         self.accepted.iter().filter(newest).count()
     }
 
-    /// Everything works again: all entries must come to the newest accepted revision.
-    fn heal(&mut self) {
+    /// Ends all failures; every entry must then reach the newest accepted revision.
+    fn recover(&mut self) {
         self.down = false;
-        self.paused = [false; NODES];
-        while !self.flying.is_empty() {
-            self.arrive(0);
+        self.paused = [false; ENTRIES];
+        while !self.delayed.is_empty() {
+            self.deliver_write(0);
         }
-        for node in 0..NODES {
-            self.put_back(node);
+        for node in 0..ENTRIES {
+            self.write_back(node);
         }
-        for node in 0..NODES {
-            self.follow(node);
+        for node in 0..ENTRIES {
+            self.read_store(node);
         }
         self.check();
         let newest = self.accepted.last().map(|snapshot| snapshot.revision);
@@ -477,31 +487,31 @@
     items.get(index.checked_rem(items.len())?)
 }
 
-fn luck() -> impl Strategy<Value = Luck> {
+fn call_outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        6 => Just(Luck::Fine),
-        1 => Just(Luck::Refused),
-        2 => Just(Luck::Lost),
-        2 => Just(Luck::Late),
+        6 => Just(CallOutcome::Answered),
+        1 => Just(CallOutcome::Refused),
+        2 => Just(CallOutcome::Lost),
+        2 => Just(CallOutcome::Delayed),
     ]
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let node = || 0..NODES;
+    let node = || 0..ENTRIES;
     let any = || 0..1000_usize;
     prop_oneof![
         6 => (node(), 0..RECORDS).prop_map(|(node, record)| Op::Accept { node, record }),
         2 => (any(), node()).prop_map(|(flow, node)| Op::AcceptAgain { flow, node }),
-        24 => (any(), luck()).prop_map(|(flow, luck)| Op::Step { flow, luck }),
+        24 => (any(), call_outcome()).prop_map(|(flow, outcome)| Op::Step { flow, outcome }),
         1 => (any(), node()).prop_map(|(flow, node)| Op::Reject { flow, node }),
-        2 => any().prop_map(|write| Op::Arrive { write }),
-        8 => node().prop_map(|node| Op::Follow { node }),
-        8 => (node(), node()).prop_map(|(node, peer)| Op::Ask { node, peer }),
-        1 => node().prop_map(|node| Op::Pause { node }),
-        1 => Just(Op::Outage),
+        2 => any().prop_map(|write| Op::DeliverWrite { write }),
+        8 => node().prop_map(|node| Op::ReadStore { node }),
+        8 => (node(), node()).prop_map(|(node, peer)| Op::AskPeer { node, peer }),
+        1 => node().prop_map(|node| Op::TogglePause { node }),
+        1 => Just(Op::ToggleOutage),
         1 => Just(Op::Backup),
         1 => Just(Op::Restore),
-        2 => node().prop_map(|node| Op::PutBack { node }),
+        2 => node().prop_map(|node| Op::WriteBack { node }),
     ]
 }
 
@@ -528,6 +538,6 @@
         for op in ops {
             world.apply(op);
         }
-        world.heal();
+        world.recover();
     }
 }
--- a/crates/cw_policy/tests/membership.rs
+++ b/crates/cw_policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The judgement of targets, and what relays pass on.
+//! Liveness of targets, and the relaying of their reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     report(incarnation, sequence, TargetState::Up)
 }
 
-/// Members among three entries, with the target reported at second 0.
+/// Returns the members of an entry among three, with the target reported at second 0.
 fn members() -> Members {
     let mut members = Members::new(name("e0"), MembershipLimits::default(), at(0));
     let hosts = [(name("h1"), HostStatus::Live)];
@@ -69,8 +69,8 @@
     members
 }
 
-/// Ticks each half second from `from` to `to`, both in seconds, as an unpaused process does.
-fn run(members: &mut Members, from: u64, to: u64) {
+/// Ticks every half second between two times in seconds, as a process without pauses does.
+fn tick_between(members: &mut Members, from: u64, to: u64) {
     for half in from * 2..=to * 2 {
         members.on_tick(at(0) + SECOND / 2 * half as u32);
     }
@@ -85,30 +85,30 @@
     }
 }
 
-fn say(members: &mut Members, now: Time, relays: &[&str]) {
+fn report_silence(members: &mut Members, now: Time, relays: &[&str]) {
     for relay in relays {
         members.on_silence(now, &name(relay), &silence(relay, 1));
     }
 }
 
 #[test]
-fn newer_report_counts_and_older_does_not() {
+fn newer_report_is_applied_and_older_is_not() {
     let mut members = members();
 
     let newer = members.on_report(at(1), Duration::ZERO, up(1, 3));
     let older = members.on_report(at(1), Duration::ZERO, report(1, 2, TargetState::Leaving));
-    let earlier_life = members.on_report(at(1), Duration::ZERO, up(0, 99));
+    let earlier_incarnation = members.on_report(at(1), Duration::ZERO, up(0, 99));
 
     assert_eq!(newer, MergeOutcome::Applied);
     assert_eq!(older, MergeOutcome::Stale);
-    assert_eq!(earlier_life, MergeOutcome::Stale);
+    assert_eq!(earlier_incarnation, MergeOutcome::Stale);
     assert_eq!(members.liveness(at(1), &target()), Liveness::Alive);
 }
 
 #[test]
-fn silence_of_all_relays_is_not_the_death_of_a_target() {
+fn target_without_silence_statements_is_suspect_but_not_gone() {
     let mut members = members();
-    run(&mut members, 0, 600);
+    tick_between(&mut members, 0, 600);
 
     let liveness = members.liveness(at(600), &target());
 
@@ -122,20 +122,20 @@
 #[case::two(&["e1", "e2"], Liveness::Gone)]
 fn gone_needs_two_witnesses(#[case] relays: &[&str], #[case] expected: Liveness) {
     let mut members = members();
-    run(&mut members, 0, 20);
+    tick_between(&mut members, 0, 20);
 
-    say(&mut members, at(20), relays);
+    report_silence(&mut members, at(20), relays);
 
     assert_eq!(members.liveness(at(20), &target()), expected);
 }
 
 #[test]
-fn host_list_is_a_witness_only_of_the_silent() {
+fn absence_from_the_host_list_confirms_only_silent_targets() {
     let mut members = members();
     members.on_hosts(BTreeMap::new(), 3);
 
     let fresh = members.liveness(at(1), &target());
-    run(&mut members, 0, 20);
+    tick_between(&mut members, 0, 20);
     let silent = members.liveness(at(20), &target());
 
     assert_eq!(fresh, Liveness::Alive);
@@ -145,8 +145,8 @@
 #[test]
 fn target_that_reports_again_is_alive_again() {
     let mut members = members();
-    run(&mut members, 0, 20);
-    say(&mut members, at(20), &["e1", "e2"]);
+    tick_between(&mut members, 0, 20);
+    report_silence(&mut members, at(20), &["e1", "e2"]);
 
     members.on_report(at(21), Duration::ZERO, up(1, 2));
 
@@ -154,13 +154,13 @@
 }
 
 #[test]
-fn paused_agent_does_not_displace_the_one_in_its_place() {
+fn resumed_agent_does_not_replace_its_successor() {
     let mut members = members();
     members.on_report(at(5), Duration::ZERO, up(2, 1));
 
-    let woken = members.on_report(at(6), Duration::ZERO, up(1, 500));
+    let resumed = members.on_report(at(6), Duration::ZERO, up(1, 500));
 
-    assert_eq!(woken, MergeOutcome::Stale);
+    assert_eq!(resumed, MergeOutcome::Stale);
     assert_eq!(
         members.report(&target()).expect("a report").incarnation,
         Incarnation(2)
@@ -168,10 +168,10 @@
 }
 
 #[test]
-fn clock_set_back_does_not_shut_a_target_out_for_good() {
+fn earlier_incarnation_is_accepted_once_the_later_one_is_gone() {
     let mut members = members();
     members.on_report(at(0), Duration::ZERO, up(9, 1));
-    run(&mut members, 0, 20);
+    tick_between(&mut members, 0, 20);
     members.on_silence(at(20), &name("e1"), &silence("e1", 9));
     members.on_silence(at(20), &name("e2"), &silence("e2", 9));
 
@@ -182,35 +182,35 @@
 }
 
 #[test]
-fn paused_entry_that_wakes_up_suspects_nobody() {
+fn entry_that_resumes_from_a_pause_suspects_no_target() {
     let mut members = members();
-    run(&mut members, 0, 1);
+    tick_between(&mut members, 0, 1);
 
     members.on_tick(at(300));
-    say(&mut members, at(300), &["e1", "e2"]);
+    report_silence(&mut members, at(300), &["e1", "e2"]);
 
     assert_eq!(members.liveness(at(300), &target()), Liveness::Alive);
 }
 
 #[test]
-fn paused_relay_that_wakes_up_is_no_witness() {
+fn relay_that_resumes_from_a_pause_reports_no_silence() {
     let mut members = members();
     let mut relay = Relay::new(name("e0"), SECOND * 3);
     relay.on_report(at(0), up(1, 1));
-    run(&mut members, 0, 1);
+    tick_between(&mut members, 0, 1);
     members.on_tick(at(300));
 
-    let said = relay.silent(at(300), members.running_since());
+    let silent_targets = relay.silent(at(300), members.running_since());
 
-    assert_eq!(said, []);
+    assert_eq!(silent_targets, []);
 }
 
 #[test]
-fn relay_that_an_agent_left_is_no_witness() {
+fn relay_that_an_agent_left_reports_no_silence() {
     let mut members = members();
     let mut relay = Relay::new(name("e0"), SECOND * 3);
     relay.on_report(at(0), up(1, 1));
-    run(&mut members, 0, 10);
+    tick_between(&mut members, 0, 10);
     members.on_report(at(10), Duration::ZERO, up(1, 20));
 
     relay.round(
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn leaving_is_urgent_and_seen_at_once() {
+fn leaving_is_sent_immediately_and_applied_at_once() {
     let mut members = members();
     let mut relay = Relay::new(name("e0"), SECOND * 3);
     relay.on_report(at(0), up(1, 1));
@@ -270,16 +270,16 @@
 }
 
 #[test]
-fn load_of_an_unknown_target_asks_for_all() {
+fn load_of_an_unknown_target_is_a_missing_report() {
     let mut sender = members();
     let mut relay = Relay::new(name("e0"), SECOND * 3);
-    let grid = grid_of(2, 0);
+    let groups = relay_groups(2, 0);
     relay.on_report(at(0), up(1, 1));
-    relay.round(at(0), &sender, Revision(0), &grid, &|_| true);
+    relay.round(at(0), &sender, Revision(0), &groups, &|_| true);
     relay.on_report(at(5), up(1, 2));
     sender.on_report(at(5), Duration::ZERO, up(1, 2));
     let update = relay
-        .round(at(5), &sender, Revision(0), &grid, &|_| true)
+        .round(at(5), &sender, Revision(0), &groups, &|_| true)
         .group;
     let update: ReportBatch = update.expect("a batch for the other entry");
     let mut fresh = Members::new(name("e9"), MembershipLimits::default(), at(5));
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn age_of_a_report_counts_from_when_it_was_made() {
+fn age_of_a_report_includes_the_age_on_arrival() {
     let mut members = members();
 
     members.on_report(at(100), SECOND * 10, up(1, 2));
@@ -302,7 +302,7 @@
 }
 
 // ----------------------------------------------------------------------------
-// The grid
+// Relay groups
 
 fn entries(count: usize) -> Vec<EntryPeer> {
     let entry = |n| EntryPeer {
@@ -314,14 +314,14 @@
     (0..count).map(entry).collect()
 }
 
-fn grid_of(count: usize, own: usize) -> RelayGroups {
+fn relay_groups(count: usize, own: usize) -> RelayGroups {
     let host: HostId = name(&format!("e{own}"));
     RelayGroups::new(&host, &entries(count))
 }
 
 #[rstest]
-fn news_reaches_every_entry_in_two_steps(#[values(1, 2, 16, 17, 64, 256, 410)] count: usize) {
-    let grids: Vec<_> = (0..count).map(|n| grid_of(count, n)).collect();
+fn update_reaches_every_entry_in_two_steps(#[values(1, 2, 16, 17, 64, 256, 410)] count: usize) {
+    let groups: Vec<_> = (0..count).map(|n| relay_groups(count, n)).collect();
     let index = |peer: &EntryPeer| -> usize {
         let number = peer.host.as_str().trim_start_matches('e');
         number.parse().expect("a number")
@@ -330,26 +330,26 @@
     for start in 0..count {
         let mut reached = vec![false; count];
         reached[start] = true;
-        let near: Vec<_> = grids[start].group_peers.iter().map(index).collect();
-        for via in near.into_iter().chain([start]) {
+        let group: Vec<_> = groups[start].group_peers.iter().map(index).collect();
+        for via in group.into_iter().chain([start]) {
             reached[via] = true;
-            for peer in &grids[via].forward_peers {
+            for peer in &groups[via].forward_peers {
                 reached[index(peer)] = true;
             }
         }
         assert!(
             reached.into_iter().all(|one| one),
-            "from {start} of {count}"
+            "an entry is not reached from {start} of {count}"
         );
     }
 }
 
 #[test]
-fn messages_of_an_entry_grow_as_the_root_of_the_number_of_entries() {
+fn messages_per_entry_grow_as_the_square_root_of_the_number_of_entries() {
     let most = |count: usize| {
         let sent = |n| {
-            let grid = grid_of(count, n);
-            grid.group_peers.len() + grid.forward_peers.len()
+            let groups = relay_groups(count, n);
+            groups.group_peers.len() + groups.forward_peers.len()
         };
         (0..count).map(sent).max().unwrap_or_default()
     };
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn statement_with_a_lower_number_counts_after_a_while() {
+fn lower_sequence_number_is_accepted_once_the_known_state_is_outdated() {
     let state = |sequence, revision| ProcessState {
         host: name("e1"),
         sequence,
@@ -373,23 +373,33 @@
     processes.on_state(at(0), &state(100, 5));
 
     processes.on_state(at(1), &state(50, 4));
-    let soon = processes.live(at(1)).next().expect("it").1.revision;
+    let before_reset = processes
+        .live(at(1))
+        .next()
+        .expect("a live entry")
+        .1
+        .revision;
     processes.on_state(at(60), &state(51, 6));
-    let later = processes.live(at(60)).next().expect("it").1.revision;
+    let after_reset = processes
+        .live(at(60))
+        .next()
+        .expect("a live entry")
+        .1
+        .revision;
 
-    assert_eq!(soon, Revision(5));
-    assert_eq!(later, Revision(6));
+    assert_eq!(before_reset, Revision(5));
+    assert_eq!(after_reset, Revision(6));
 }
 
 #[rstest]
-fn demands_of_all_others_are_heard_once(#[values(2, 17, 64)] count: usize) {
+fn demand_of_every_other_entry_is_counted_once(#[values(2, 17, 64)] count: usize) {
     let peers = entries(count);
     let members = members();
     let mut relays: Vec<_> = peers
         .iter()
         .map(|peer| Relay::new(peer.host.clone(), SECOND * 3))
         .collect();
-    let grids: Vec<_> = (0..count).map(|n| grid_of(count, n)).collect();
+    let groups: Vec<_> = (0..count).map(|n| relay_groups(count, n)).collect();
     let index: BTreeMap<HostId, usize> = peers
         .iter()
         .enumerate()
@@ -399,33 +409,33 @@
         relay.on_demand(at(0), demand(&peer.host));
     }
 
-    let mut heard = vec![(0, 0.0); count];
+    let mut received = vec![(0, 0.0); count];
     for round in 0..2 {
         for from in 0..count {
-            let sendings =
-                relays[from].round(at(round), &members, Revision(0), &grids[from], &|_| true);
-            let near = sendings
+            let batches =
+                relays[from].round(at(round), &members, Revision(0), &groups[from], &|_| true);
+            let group = batches
                 .group
-                .map(|batch| (&grids[from].group_peers, batch));
-            let far = sendings
+                .map(|batch| (&groups[from].group_peers, batch));
+            let forwarded = batches
                 .forwarded
-                .map(|batch| (&grids[from].forward_peers, batch));
-            for (peers, batch) in near.into_iter().chain(far) {
+                .map(|batch| (&groups[from].forward_peers, batch));
+            for (peers, batch) in group.into_iter().chain(forwarded) {
                 for peer in peers {
                     let to = index[&peer.host];
                     relays[to].on_batch(at(round), &batch);
                     let Some((_, demand)) = batch.demands.first().filter(|_| round == 1) else {
                         continue;
                     };
-                    heard[to].0 += demand.entries;
-                    heard[to].1 += demand.parts[&name("w")];
+                    received[to].0 += demand.entries;
+                    received[to].1 += demand.parts[&name("w")];
                 }
             }
         }
     }
 
     let others = count as u32 - 1;
-    for (entries, part) in heard {
+    for (entries, part) in received {
         assert_eq!(entries, others);
         assert!((part - f64::from(others) * 0.25).abs() < 1e-9, "{part}");
     }
@@ -441,12 +451,12 @@
 }
 
 #[test]
-fn loads_come_from_the_first_relay_and_from_the_others_only_in_its_absence() {
+fn loads_come_from_another_relay_only_in_the_absence_of_the_first() {
     let members = members();
-    let grid = grid_of(2, 0);
+    let groups = relay_groups(2, 0);
     let mut other = Relay::new(name("e0"), SECOND * 3);
     other.on_report(at(0), up(1, 1));
-    other.round(at(0), &members, Revision(0), &grid, &|_| false);
+    other.round(at(0), &members, Revision(0), &groups, &|_| false);
     let mut sent = Vec::new();
 
     for second in 1..30 {
@@ -456,8 +466,8 @@
             batch.reports.push((Duration::ZERO, up(1, second + 1)));
             other.on_batch(at(second), &batch);
         }
-        let sendings = other.round(at(second), &members, Revision(0), &grid, &|_| false);
-        let batch = sendings.group.expect("a batch for the other entry");
+        let batches = other.round(at(second), &members, Revision(0), &groups, &|_| false);
+        let batch = batches.group.expect("a batch for the other entry");
         sent.extend(batch.loads.iter().map(|_| second));
     }
 
