--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Who the planner is, and what it orders.
+//! The planner's lease, and the orders of the planner.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,7 +32,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How long the weight store takes for one load.
+/// The time that the weight store takes for one load.
 const LOAD_TIME: Duration = Duration::from_secs(4);
 
 fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
@@ -48,8 +48,8 @@
 
 const TICK: LeaseEvent = LeaseEvent::Tick { candidate: true };
 
-/// A lease that was asked for and claimed at second 0.
-fn held() -> Lease {
+/// Returns a lease that was requested and claimed at second 0.
+fn held_lease() -> Lease {
     let mut lease = Lease::new(at(0));
     assert!(matches!(
         lease.on_event(at(0), TICK),
@@ -70,14 +70,14 @@
 
 #[test]
 fn claimed_lease_gives_the_fencing_number() {
-    let lease = held();
+    let lease = held_lease();
 
     assert_eq!(lease.fencing(at(1)), Some(FencingNumber(41)));
 }
 
 #[test]
-fn holder_stops_by_its_own_clock_before_the_service_gives_the_lease_away() {
-    let mut lease = held();
+fn holder_stops_by_its_own_clock_before_the_lease_can_expire() {
+    let mut lease = held_lease();
 
     let paused = lease.fencing(at(5));
     lease.on_event(at(5), TICK);
@@ -88,12 +88,16 @@
     lease.on_event(at(5), late);
 
     assert_eq!(paused, None);
-    assert_eq!(lease.fencing(at(5)), None, "a late answer revives nothing");
+    assert_eq!(
+        lease.fencing(at(5)),
+        None,
+        "a late renewal does not restore the lease"
+    );
 }
 
 #[test]
-fn renewal_counts_from_when_it_was_asked() {
-    let mut lease = held();
+fn renewal_counts_from_the_time_of_the_request() {
+    let mut lease = held_lease();
     assert_eq!(lease.on_event(at(2), TICK), LeaseStep::Renew { lease: 7 });
     let renewed = LeaseEvent::Renewed {
         asked: at(2),
@@ -107,7 +111,7 @@
 }
 
 #[test]
-fn lost_answer_of_a_claim_is_settled_by_claiming_again() {
+fn failed_claim_is_repeated() {
     let mut lease = Lease::new(at(0));
     lease.on_event(at(0), TICK);
     let granted = LeaseEvent::Granted {
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn loser_gives_its_lease_back_and_waits() {
+fn entry_revokes_its_lease_when_another_holds_the_key() {
     let mut lease = Lease::new(at(0));
     lease.on_event(at(0), TICK);
     let granted = LeaseEvent::Granted {
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn grant_that_comes_after_a_pause_is_given_back() {
+fn grant_received_after_its_expiry_is_revoked() {
     let mut lease = Lease::new(at(0));
     lease.on_event(at(0), TICK);
     let granted = LeaseEvent::Granted {
@@ -155,8 +159,8 @@
 // ----------------------------------------------------------------------------
 // Orders
 
-/// A deployment of engines, each of which does what it is ordered at once.
-struct World {
+/// A deployment of engines that execute every order at once.
+struct Deployment {
     view: View,
     weights: BTreeMap<String, WeightsInfo>,
     pins: BTreeMap<TargetId, Pins>,
@@ -167,19 +171,19 @@
     name("m")
 }
 
-fn version(name_: &str, targets: u32) -> ModelVersion {
+fn version(label: &str, targets: u32) -> ModelVersion {
     ModelVersion {
         model: model(),
-        version: name(name_),
-        weights: format!("weights-{name_}"),
+        version: name(label),
+        weights: format!("weights-{label}"),
         adapters: BTreeSet::new(),
         targets,
         keep: SECOND * 30,
     }
 }
 
-impl World {
-    /// `count` engines that hold v1, and a planner with fencing number 5.
+impl Deployment {
+    /// Returns `count` engines that hold v1, and a planner with fencing number 5.
     fn new(count: usize) -> Self {
         let mut planner = Planner::default();
         planner.on_lease(Some(FencingNumber(5)));
@@ -188,7 +192,7 @@
             rate: ByteSize::mib(100),
         };
         let weights = ["v1", "v2"].map(|v| (format!("weights-{v}"), weight));
-        let mut world = Self {
+        let mut deployment = Self {
             view: View::default(),
             weights: weights.into(),
             pins: BTreeMap::new(),
@@ -196,13 +200,13 @@
         };
         for n in 0..count {
             let id: TargetId = name(&format!("t{n}"));
-            world.view.targets.insert(id.clone(), engine(n));
-            world.pins.insert(id, Pins::new());
+            deployment.view.targets.insert(id.clone(), engine(n));
+            deployment.pins.insert(id, Pins::new());
         }
-        world
+        deployment
     }
 
-    fn want(&mut self, versions: &[ModelVersion]) {
+    fn require(&mut self, versions: &[ModelVersion]) {
         let named = |v: &ModelVersion| (v.version.to_string(), v.clone());
         let config = Config {
             versions: versions.iter().map(named).collect(),
@@ -220,12 +224,12 @@
         self.planner.plan(now, input)
     }
 
-    fn seen(&mut self, id: &TargetId) -> &mut TargetView {
+    fn target_view(&mut self, id: &TargetId) -> &mut TargetView {
         self.view.targets.get_mut(id).expect("a known target")
     }
 
-    fn obey(&mut self, now: Time, planned: &PlannedOrder) {
-        let seen = self.seen(&planned.target);
+    fn execute(&mut self, now: Time, planned: &PlannedOrder) {
+        let seen = self.target_view(&planned.target);
         let versions = seen.versions.entry(model()).or_default();
         match &planned.order.kind {
             OrderKind::Load { version, .. } => drop(versions.insert(version.clone())),
@@ -269,30 +273,30 @@
     }
 }
 
-fn pin(world: &mut World, id: &str, version: &str) {
+fn pin(deployment: &mut Deployment, id: &str, version: &str) {
     let pins = [(model(), [(name(version), 1)].into())].into();
-    world.pins.insert(name(id), pins);
+    deployment.pins.insert(name(id), pins);
 }
 
 #[test]
 fn without_the_lease_there_are_no_orders() {
-    let mut world = World::new(2);
-    world.want(&[version("v2", 2)]);
-    world.planner.on_lease(None);
+    let mut deployment = Deployment::new(2);
+    deployment.require(&[version("v2", 2)]);
+    deployment.planner.on_lease(None);
 
-    assert_eq!(world.plan(at(0)), []);
+    assert_eq!(deployment.plan(at(0)), []);
 }
 
 #[test]
-fn loads_are_paced_by_the_weight_store() {
-    let mut world = World::new(4);
-    world.want(&[version("v1", 4), version("v2", 4)]);
+fn loads_start_no_faster_than_the_weight_store_serves_them() {
+    let mut deployment = Deployment::new(4);
+    deployment.require(&[version("v1", 4), version("v2", 4)]);
 
     let mut starts = Vec::new();
     for second in 0..20 {
-        for planned in world.plan(at(second)) {
+        for planned in deployment.plan(at(second)) {
             starts.push(second);
-            world.obey(at(second), &planned);
+            deployment.execute(at(second), &planned);
         }
     }
 
@@ -304,148 +308,150 @@
 
 #[test]
 fn unknown_weights_are_not_loaded() {
-    let mut world = World::new(2);
-    world.want(&[version("v2", 2)]);
-    world.weights.clear();
+    let mut deployment = Deployment::new(2);
+    deployment.require(&[version("v2", 2)]);
+    deployment.weights.clear();
 
-    assert_eq!(world.plan(at(0)), []);
+    assert_eq!(deployment.plan(at(0)), []);
 }
 
 #[test]
-fn old_version_stays_everywhere_until_nothing_is_pinned_and_then_for_its_time() {
-    let mut world = World::new(3);
-    world.want(&[version("v2", 3)]);
-    pin(&mut world, "t1", "v1");
+fn old_version_stays_everywhere_until_unpinned_for_its_retention_time() {
+    let mut deployment = Deployment::new(3);
+    deployment.require(&[version("v2", 3)]);
+    pin(&mut deployment, "t1", "v1");
     let mut second = 0;
-    while world.holders("v2") < 3 {
-        for planned in world.plan(at(second)) {
-            world.obey(at(second), &planned);
+    while deployment.holders("v2") < 3 {
+        for planned in deployment.plan(at(second)) {
+            deployment.execute(at(second), &planned);
         }
         second += 1;
     }
 
     for later in second..second + 300 {
-        assert_eq!(world.plan(at(later)), [], "a generation is pinned");
+        assert_eq!(deployment.plan(at(later)), [], "a generation is pinned");
     }
     let unpinned = second + 300;
-    world.pins.insert(name("t1"), Pins::new());
+    deployment.pins.insert(name("t1"), Pins::new());
     let mut unloads = Vec::new();
     for later in unpinned..unpinned + 60 {
-        for planned in world.plan(at(later)) {
+        for planned in deployment.plan(at(later)) {
             unloads.push(later);
-            world.obey(at(later), &planned);
+            deployment.execute(at(later), &planned);
         }
     }
 
-    assert_eq!(world.holders("v1"), 0);
+    assert_eq!(deployment.holders("v1"), 0);
     assert!(unloads.iter().all(|at| *at >= unpinned + 30), "{unloads:?}");
 }
 
 #[test]
 fn target_that_has_not_reported_its_pins_keeps_the_old_version() {
-    let mut world = World::new(2);
-    world.want(&[version("v2", 2)]);
-    world.pins.remove(&name("t0"));
+    let mut deployment = Deployment::new(2);
+    deployment.require(&[version("v2", 2)]);
+    deployment.pins.remove(&name("t0"));
     for id in ["t0", "t1"] {
-        let seen = world.seen(&name(id));
+        let seen = deployment.target_view(&name(id));
         seen.versions = [(model(), [name("v1"), name("v2")].into())].into();
     }
 
     for second in 0..100 {
-        assert_eq!(world.plan(at(second)), []);
+        assert_eq!(deployment.plan(at(second)), []);
     }
 }
 
 #[test]
-fn lost_answer_repeats_the_order_under_its_number() {
-    let mut world = World::new(1);
-    world.want(&[version("v2", 1)]);
-    let first = world.plan(at(0));
+fn lost_response_repeats_the_order_with_its_sequence_number() {
+    let mut deployment = Deployment::new(1);
+    deployment.require(&[version("v2", 1)]);
+    let first = deployment.plan(at(0));
     let (target, sequence) = (first[0].target.clone(), first[0].order.sequence);
 
-    world
+    deployment
         .planner
         .on_outcome(at(1), &target, sequence, OrderOutcome::Lost);
-    let again = world.plan(at(3));
+    let again = deployment.plan(at(3));
 
     assert_eq!(again, first);
 }
 
 #[test]
-fn begun_order_is_not_repeated_and_late_answers_change_nothing() {
-    let mut world = World::new(1);
-    world.want(&[version("v2", 1)]);
-    let first = world.plan(at(0)).remove(0);
+fn begun_order_is_not_repeated_and_unrelated_responses_are_ignored() {
+    let mut deployment = Deployment::new(1);
+    deployment.require(&[version("v2", 1)]);
+    let first = deployment.plan(at(0)).remove(0);
     let (target, sequence) = (first.target.clone(), first.order.sequence);
     let begun = OrderOutcome::Answer(OrderResponse::Begun);
     let failed = OrderOutcome::Answer(OrderResponse::Failed {
         message: "late".to_owned(),
     });
 
-    world.planner.on_outcome(at(1), &target, sequence, begun);
-    world
+    deployment
+        .planner
+        .on_outcome(at(1), &target, sequence, begun);
+    deployment
         .planner
         .on_outcome(at(1), &target, sequence + 9, failed);
 
-    assert_eq!(world.plan(at(4)), []);
-    assert_eq!(world.planner.in_progress(), 1);
+    assert_eq!(deployment.plan(at(4)), []);
+    assert_eq!(deployment.planner.in_progress(), 1);
 }
 
 #[test]
-fn planner_that_meets_a_later_one_stops() {
-    let mut world = World::new(2);
-    world.want(&[version("v2", 2)]);
-    let first = world.plan(at(0)).remove(0);
+fn planner_fenced_by_a_later_one_stops() {
+    let mut deployment = Deployment::new(2);
+    deployment.require(&[version("v2", 2)]);
+    let first = deployment.plan(at(0)).remove(0);
     let fenced = OrderOutcome::Answer(OrderResponse::Fenced {
         highest: FencingNumber(6),
     });
 
     let sequence = first.order.sequence;
-    world
+    deployment
         .planner
         .on_outcome(at(1), &first.target, sequence, fenced);
 
-    assert!(world.planner.is_deposed());
-    assert_eq!(world.plan(at(30)), []);
+    assert!(deployment.planner.is_deposed());
+    assert_eq!(deployment.plan(at(30)), []);
 }
 
 #[test]
-fn next_holder_carries_a_higher_number_and_counts_anew() {
-    let mut world = World::new(2);
-    world.want(&[version("v2", 2)]);
-    world.plan(at(0));
+fn new_fencing_number_restarts_the_sequence() {
+    let mut deployment = Deployment::new(2);
+    deployment.require(&[version("v2", 2)]);
+    deployment.plan(at(0));
 
-    world.planner.on_lease(Some(FencingNumber(9)));
-    let orders = world.plan(at(1));
+    deployment.planner.on_lease(Some(FencingNumber(9)));
+    let orders = deployment.plan(at(1));
 
     assert_eq!(orders[0].order.fencing, FencingNumber(9));
     assert_eq!(orders[0].order.sequence, 1);
 }
 
 #[test]
-fn leaving_target_is_ordered_nothing() {
-    let mut world = World::new(1);
-    world.want(&[version("v2", 1)]);
-    world.seen(&name("t0")).liveness = Liveness::Leaving;
+fn leaving_target_gets_no_orders() {
+    let mut deployment = Deployment::new(1);
+    deployment.require(&[version("v2", 1)]);
+    deployment.target_view(&name("t0")).liveness = Liveness::Leaving;
 
-    assert_eq!(world.plan(at(0)), []);
+    assert_eq!(deployment.plan(at(0)), []);
 }
 
 #[test]
 fn version_change_keeps_the_old_capacity_at_every_moment() {
-    let mut world = World::new(36);
-    world.want(&[version("v2", 36)]);
+    let mut deployment = Deployment::new(36);
+    deployment.require(&[version("v2", 36)]);
 
     let mut second = 0;
-    while world.holders("v1") > 0 {
-        assert!(second < 3600, "the change does not end");
-        for planned in world.plan(at(second)) {
+    while deployment.holders("v1") > 0 {
+        assert!(second < 3600, "the version change does not finish");
+        for planned in deployment.plan(at(second)) {
             let unload = matches!(planned.order.kind, OrderKind::Unload { .. });
-            assert!(!unload || world.holders("v2") == 36);
-            world.obey(at(second), &planned);
+            assert!(!unload || deployment.holders("v2") == 36);
+            deployment.execute(at(second), &planned);
         }
         second += 1;
     }
 
-    assert_eq!(world.holders("v2"), 36);
+    assert_eq!(deployment.holders("v2"), 36);
 }
--- a/crates/cw_policy/tests/slo.rs
+++ b/crates/cw_policy/tests/slo.rs
@@ -1,4 +1,4 @@
-//! Windows slide, budgets burn, and a class too many is not kept.
+//! Sliding windows, burn rates, and the limit on classes.
 
 use std::time::Duration;
 
@@ -22,8 +22,9 @@
     }
 }
 
-fn total(book: &mut SloRecorder, now: Time, window: Window) -> Counts {
-    book.counts(now, window)
+fn total(recorder: &mut SloRecorder, now: Time, window: Window) -> Counts {
+    recorder
+        .counts(now, window)
         .map(|(_, _, counts)| counts)
         .fold(Counts::default(), Counts::plus)
 }
@@ -39,53 +40,53 @@
 }
 
 #[rstest]
-fn an_event_leaves_each_window_when_it_is_too_old() {
+fn event_leaves_each_window_when_it_is_too_old() {
     let start = Time(0);
-    let mut book = SloRecorder::new(start, Objectives::default());
-    book.first_token(start, &class("chat"), Duration::from_secs(9));
+    let mut recorder = SloRecorder::new(start, Objectives::default());
+    recorder.first_token(start, &class("chat"), Duration::from_secs(9));
 
     let after_4m = start + MINUTE * 4;
     let after_6m = start + MINUTE * 6;
     let after_2h = start + MINUTE * 120;
 
-    assert_eq!(total(&mut book, after_4m, Window::FiveMinutes).total, 1);
-    assert_eq!(total(&mut book, after_6m, Window::FiveMinutes).total, 0);
-    assert_eq!(total(&mut book, after_6m, Window::Hour).total, 1);
-    assert_eq!(total(&mut book, after_2h, Window::Hour).total, 0);
-    assert_eq!(total(&mut book, after_2h, Window::ThreeDays).total, 1);
+    assert_eq!(total(&mut recorder, after_4m, Window::FiveMinutes).total, 1);
+    assert_eq!(total(&mut recorder, after_6m, Window::FiveMinutes).total, 0);
+    assert_eq!(total(&mut recorder, after_6m, Window::Hour).total, 1);
+    assert_eq!(total(&mut recorder, after_2h, Window::Hour).total, 0);
+    assert_eq!(total(&mut recorder, after_2h, Window::ThreeDays).total, 1);
 }
 
 #[rstest]
-fn a_young_process_says_how_little_it_has_seen() {
+fn covered_time_is_bounded_by_the_process_start() {
     let start = Time(5_000_000);
-    let book = SloRecorder::new(start, Objectives::default());
+    let recorder = SloRecorder::new(start, Objectives::default());
 
     let now = start + MINUTE * 10;
 
-    assert_eq!(book.covered(now, Window::FiveMinutes), MINUTE * 5);
-    assert_eq!(book.covered(now, Window::ThreeDays), MINUTE * 10);
+    assert_eq!(recorder.covered(now, Window::FiveMinutes), MINUTE * 5);
+    assert_eq!(recorder.covered(now, Window::ThreeDays), MINUTE * 10);
 }
 
 #[rstest]
 #[case(Duration::from_millis(1500), 1)]
 #[case(Duration::from_millis(1501), 0)]
-fn the_limit_itself_is_still_good(#[case] took: Duration, #[case] good: u64) {
-    let mut book = SloRecorder::new(Time(0), Objectives::default());
+fn event_at_the_limit_is_good(#[case] took: Duration, #[case] good: u64) {
+    let mut recorder = SloRecorder::new(Time(0), Objectives::default());
 
-    book.first_token(Time(0), &class("chat"), took);
+    recorder.first_token(Time(0), &class("chat"), took);
 
-    assert_eq!(total(&mut book, Time(0), Window::Hour).good, good);
+    assert_eq!(total(&mut recorder, Time(0), Window::Hour).good, good);
 }
 
 #[rstest]
 fn the_number_of_classes_is_bounded() {
-    let mut book = SloRecorder::new(Time(0), Objectives::default());
+    let mut recorder = SloRecorder::new(Time(0), Objectives::default());
 
     for number in 0..1000 {
-        book.whole(Time(0), &class(&format!("route-{number}")), true);
+        recorder.whole(Time(0), &class(&format!("route-{number}")), true);
     }
 
-    assert!(book.counts(Time(0), Window::Hour).count() <= 64 * 5);
+    assert!(recorder.counts(Time(0), Window::Hour).count() <= 64 * 5);
 }
 
 #[rstest]
@@ -94,12 +95,12 @@
 #[case([0, 90, 0, 0], Condition::Ok)]
 #[case([0, 40, 40, 0], Condition::Page)]
 #[case([0, 0, 6, 6], Condition::Ticket)]
-fn a_burn_pages_only_while_it_goes_on(#[case] bad: [u64; 4], #[case] expected: Condition) {
+fn burn_pages_only_while_it_continues(#[case] bad: [u64; 4], #[case] expected: Condition) {
     assert_eq!(burn(bad, 100).condition(), expected);
 }
 
 #[rstest]
-fn nothing_counted_is_said_so() {
+fn no_events_give_no_data() {
     let burn = burn([0; 4], 0);
 
     assert_eq!(burn.condition(), Condition::NoData);
@@ -108,7 +109,7 @@
 }
 
 #[rstest]
-fn objectives_are_read_by_name() {
+fn objectives_are_parsed_from_their_names() {
     for objective in Objective::ALL {
         assert_eq!(objective.to_string().parse(), Ok(objective));
     }
