--- /dev/null
+++ b/crates/cw_wire/src/outstanding_work.rs
@@ -0,0 +1,41 @@
+//! The work that a forwarding entry has at the targets, as announced to the other entries.
+
+use cw_macro::data;
+use cw_types::HostId;
+use cw_types::Incarnation;
+
+use crate::CachedPrompt;
+use crate::DirectoryUpdate;
+use crate::TargetHash;
+
+/// The work that one entry has at one target.
+#[data(Copy, Default, Eq)]
+pub struct TargetShare {
+    /// Requests in progress.
+    pub runs: u32,
+    /// Prompt tokens of the requests whose answer has not started.
+    pub unread: u64,
+    /// Copies of the entry's runs that the target holds.
+    pub copies: u32,
+    /// Cache memory that the runs and copies occupy, in tokens.
+    pub tokens: u64,
+}
+
+/// The work that one entry has at all targets. Each message replaces all earlier ones.
+#[data(Eq)]
+pub struct OutstandingWork {
+    /// The host of the entry.
+    pub host: HostId,
+    /// The incarnation of the entry.
+    pub incarnation: Incarnation,
+    /// The sequence number of the message within the incarnation.
+    pub sequence: u64,
+    /// The work at each target where there is any.
+    pub shares: Vec<(TargetHash, TargetShare)>,
+    /// Targets that closed the connection, timed out or were unreachable since the last message.
+    pub lost: Vec<TargetHash>,
+    /// Prompts that the entry has sent since the last message.
+    pub prompts: Vec<CachedPrompt>,
+    /// The directory changes, if the entry watches the directory.
+    pub directory: Option<DirectoryUpdate>,
+}
