--- a/crates/cw_policy/src/configuration/active_config.rs
+++ b/crates/cw_policy/src/configuration/active_config.rs
@@ -112,8 +112,8 @@
     }
 
     /// Applies a peer's response.
-    pub fn apply_response(&mut self, answer: ConfigResponse) -> ApplyOutcome {
-        match answer {
+    pub fn apply_response(&mut self, response: ConfigResponse) -> ApplyOutcome {
+        match response {
             ConfigResponse::Current(revision) if revision < self.revision() => ApplyOutcome::Stale,
             ConfigResponse::Current(_) => ApplyOutcome::Unchanged,
             ConfigResponse::Whole(snapshot) => self.apply(Source::Peer, snapshot),
@@ -126,7 +126,7 @@
     }
 
     /// Returns the response to a peer that has revision `have`.
-    pub fn answer(&self, have: Revision) -> ConfigResponse {
+    pub fn response_to(&self, have: Revision) -> ConfigResponse {
         if !self.known || have >= self.revision() {
             return ConfigResponse::Current(self.revision());
         }
--- a/crates/cw_policy/src/configuration/dry_run.rs
+++ b/crates/cw_policy/src/configuration/dry_run.rs
@@ -34,7 +34,7 @@
         /// The route.
         route: RouteName,
     },
-    /// A route's model version would have neither a record that asks for targets nor a target that
+    /// A route's model version would have neither a record that requires targets nor a target that
     /// holds it.
     NoVersion {
         /// The route.
--- a/crates/cw_policy/src/planner/lease.rs
+++ b/crates/cw_policy/src/planner/lease.rs
@@ -45,7 +45,7 @@
     /// The key-value service granted a lease.
     Granted {
         /// When the lease was requested.
-        asked: Time,
+        requested_at: Time,
         /// The lease's id.
         lease: i64,
     },
@@ -59,7 +59,7 @@
     /// The lease was renewed.
     Renewed {
         /// When the renewal was requested.
-        asked: Time,
+        requested_at: Time,
         /// The remaining time to live from then on.
         ttl: Duration,
     },
@@ -144,10 +144,13 @@
     pub fn on_event(&mut self, now: Time, event: LeaseEvent) -> LeaseStep {
         match event {
             LeaseEvent::Tick { candidate } => self.on_tick(now, candidate),
-            LeaseEvent::Granted { asked, lease } => self.on_granted(now, asked, lease),
+            LeaseEvent::Granted {
+                requested_at,
+                lease,
+            } => self.on_granted(now, requested_at, lease),
             LeaseEvent::Claimed { created } => self.on_claimed(now, created),
             LeaseEvent::HeldElsewhere => self.on_taken(now),
-            LeaseEvent::Renewed { asked, ttl } => self.on_renewed(asked, ttl),
+            LeaseEvent::Renewed { requested_at, ttl } => self.on_renewed(requested_at, ttl),
             LeaseEvent::Expired => self.become_idle(now),
             LeaseEvent::Failed => self.on_failed(now),
         }
@@ -180,8 +183,8 @@
         }
     }
 
-    fn on_granted(&mut self, now: Time, asked: Time, lease: i64) -> LeaseStep {
-        let until = expiry(asked, LEASE_TTL);
+    fn on_granted(&mut self, now: Time, requested_at: Time, lease: i64) -> LeaseStep {
+        let until = expiry(requested_at, LEASE_TTL);
         if now >= until || !matches!(self.stage, Stage::Requesting { .. }) {
             return LeaseStep::Revoke { lease };
         }
@@ -210,9 +213,9 @@
         }
     }
 
-    fn on_renewed(&mut self, asked: Time, ttl: Duration) -> LeaseStep {
+    fn on_renewed(&mut self, requested_at: Time, ttl: Duration) -> LeaseStep {
         if let Stage::Holding { until, .. } = &mut self.stage {
-            *until = (*until).max(expiry(asked, ttl));
+            *until = (*until).max(expiry(requested_at, ttl));
         }
         LeaseStep::Wait
     }
@@ -235,6 +238,6 @@
     }
 }
 
-fn expiry(asked: Time, ttl: Duration) -> Time {
-    asked + ttl.saturating_sub(EXPIRY_MARGIN)
+fn expiry(requested_at: Time, ttl: Duration) -> Time {
+    requested_at + ttl.saturating_sub(EXPIRY_MARGIN)
 }
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The agent responded.
-    Answer(OrderResponse),
+    Response(OrderResponse),
     /// No response arrived: the agent may or may not have received the order.
     Lost,
 }
@@ -176,11 +176,11 @@
         }
         match outcome {
             OrderOutcome::Lost => {}
-            OrderOutcome::Answer(OrderResponse::Done | OrderResponse::Begun) => {
+            OrderOutcome::Response(OrderResponse::Done | OrderResponse::Begun) => {
                 sent.responded = true
             }
-            OrderOutcome::Answer(OrderResponse::Fenced { highest }) => self.on_fenced(highest),
-            OrderOutcome::Answer(OrderResponse::Pinned { .. } | OrderResponse::Failed { .. }) => {
+            OrderOutcome::Response(OrderResponse::Fenced { highest }) => self.on_fenced(highest),
+            OrderOutcome::Response(OrderResponse::Pinned { .. } | OrderResponse::Failed { .. }) => {
                 self.pending.remove(target);
                 self.backoff.insert(target.clone(), now + BACKOFF);
             }
--- a/crates/cw_policy/tests/configuration_fuzz.rs
+++ b/crates/cw_policy/tests/configuration_fuzz.rs
@@ -363,8 +363,8 @@
 
     fn ask_peer(&mut self, node: usize, peer: usize) {
         if node != peer && !self.paused[node] && !self.paused[peer] {
-            let answer = self.nodes[peer].answer(self.nodes[node].revision());
-            self.nodes[node].apply_response(answer);
+            let response = self.nodes[peer].response_to(self.nodes[node].revision());
+            self.nodes[node].apply_response(response);
         }
     }
 
--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -56,7 +56,7 @@
         LeaseStep::Grant { .. }
     ));
     let granted = LeaseEvent::Granted {
-        asked: at(0),
+        requested_at: at(0),
         lease: 7,
     };
     assert_eq!(
@@ -82,7 +82,7 @@
     let paused = lease.fencing(at(5));
     lease.on_event(at(5), TICK);
     let late = LeaseEvent::Renewed {
-        asked: at(4),
+        requested_at: at(4),
         ttl: SECOND * 6,
     };
     lease.on_event(at(5), late);
@@ -100,7 +100,7 @@
     let mut lease = held_lease();
     assert_eq!(lease.on_event(at(2), TICK), LeaseStep::Renew { lease: 7 });
     let renewed = LeaseEvent::Renewed {
-        asked: at(2),
+        requested_at: at(2),
         ttl: SECOND * 6,
     };
 
@@ -115,7 +115,7 @@
     let mut lease = Lease::new(at(0));
     lease.on_event(at(0), TICK);
     let granted = LeaseEvent::Granted {
-        asked: at(0),
+        requested_at: at(0),
         lease: 7,
     };
     lease.on_event(at(0), granted);
@@ -131,7 +131,7 @@
     let mut lease = Lease::new(at(0));
     lease.on_event(at(0), TICK);
     let granted = LeaseEvent::Granted {
-        asked: at(0),
+        requested_at: at(0),
         lease: 7,
     };
     lease.on_event(at(0), granted);
@@ -147,7 +147,7 @@
     let mut lease = Lease::new(at(0));
     lease.on_event(at(0), TICK);
     let granted = LeaseEvent::Granted {
-        asked: at(0),
+        requested_at: at(0),
         lease: 7,
     };
 
@@ -236,7 +236,7 @@
             OrderKind::Unload { version, .. } => drop(versions.remove(version)),
             OrderKind::LoadAdapter { .. } | OrderKind::Role { .. } => {}
         }
-        let done = OrderOutcome::Answer(OrderResponse::Done);
+        let done = OrderOutcome::Response(OrderResponse::Done);
         let sequence = planned.order.sequence;
         self.planner
             .on_outcome(now, &planned.target, sequence, done);
@@ -381,8 +381,8 @@
     deployment.require(&[version("v2", 1)]);
     let first = deployment.plan(at(0)).remove(0);
     let (target, sequence) = (first.target.clone(), first.order.sequence);
-    let begun = OrderOutcome::Answer(OrderResponse::Begun);
-    let failed = OrderOutcome::Answer(OrderResponse::Failed {
+    let begun = OrderOutcome::Response(OrderResponse::Begun);
+    let failed = OrderOutcome::Response(OrderResponse::Failed {
         message: "late".to_owned(),
     });
 
@@ -402,7 +402,7 @@
     let mut deployment = Deployment::new(2);
     deployment.require(&[version("v2", 2)]);
     let first = deployment.plan(at(0)).remove(0);
-    let fenced = OrderOutcome::Answer(OrderResponse::Fenced {
+    let fenced = OrderOutcome::Response(OrderResponse::Fenced {
         highest: FencingNumber(6),
     });
 
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -135,7 +135,7 @@
                 self.behind.insert(host);
             }
             Event::ConfigAsked { have, answer } => {
-                let _ = answer.send(self.in_force.answer(have));
+                let _ = answer.send(self.in_force.response_to(have));
             }
             Event::StateAsked { answer } => {
                 let _ = answer.send(self.whole(now));
--- a/crates/cyclamenwharf/src/control/lease_calls.rs
+++ b/crates/cyclamenwharf/src/control/lease_calls.rs
@@ -63,7 +63,7 @@
         });
     }
 
-    async fn grant(&self, asked: Time, ttl: Duration) -> LeaseEvent {
+    async fn grant(&self, requested_at: Time, ttl: Duration) -> LeaseEvent {
         match self.key_value.get(PLANNER_KEY).await {
             Ok(None) => {}
             Ok(Some(_)) => return LeaseEvent::HeldElsewhere,
@@ -71,7 +71,7 @@
         }
         match self.key_value.grant(ttl).await {
             Ok(lease) => LeaseEvent::Granted {
-                asked,
+                requested_at,
                 lease: lease.0,
             },
             Err(_) => LeaseEvent::Failed,
@@ -97,9 +97,9 @@
         }
     }
 
-    async fn renew(&self, asked: Time, lease: LeaseId) -> LeaseEvent {
+    async fn renew(&self, requested_at: Time, lease: LeaseId) -> LeaseEvent {
         match self.key_value.keep_alive(lease).await {
-            Ok(ttl) => LeaseEvent::Renewed { asked, ttl },
+            Ok(ttl) => LeaseEvent::Renewed { requested_at, ttl },
             Err(StoreError::Lapsed) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -165,7 +165,7 @@
             let PlannedOrder { target, order } = planned;
             let call = client.call::<_, OrderResponse>(agent, path::ORDERS, &order, ORDER_LIMIT);
             let outcome = match call.await {
-                Ok(answer) => OrderOutcome::Answer(answer),
+                Ok(answer) => OrderOutcome::Response(answer),
                 Err(error) => {
                     warn!(target_id = target.as_str(); "an order has no answer: {error}");
                     OrderOutcome::Lost
