--- a/crates/cw_policy/src/admission/admission_control.rs
+++ b/crates/cw_policy/src/admission/admission_control.rs
@@ -26,32 +26,32 @@
 #[derive(Clone, Debug)]
 pub struct AdmissionLimits {
     /// The most attempts that run at once.
-    pub running: u32,
+    pub max_running: u32,
     /// The most attempts that wait.
-    pub waiting: u32,
+    pub max_waiting: u32,
     /// The most bytes of attempts that wait.
-    pub bytes: ByteSize,
+    pub queue_bytes: ByteSize,
     /// Slots that only resumed attempts may take.
-    pub reserve: u32,
+    pub reserved_slots: u32,
     /// The time between tokens to keep within.
-    pub step: Duration,
+    pub step_limit: Duration,
 }
 
 impl Default for AdmissionLimits {
     fn default() -> Self {
         Self {
-            running: 64,
-            waiting: 32,
-            bytes: ByteSize::mib(16),
-            reserve: 4,
-            step: Duration::from_millis(78),
+            max_running: 64,
+            max_waiting: 32,
+            queue_bytes: ByteSize::mib(16),
+            reserved_slots: 4,
+            step_limit: Duration::from_millis(78),
         }
     }
 }
 
 /// What becomes of a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum AdmissionOutcome {
     /// It starts now.
     Start,
     /// It waits for its turn; a ticket of a lower class may have lost its place to it.
@@ -83,9 +83,9 @@
 impl AdmissionControl {
     /// Returns admission with nothing running.
     pub fn new(limits: AdmissionLimits) -> Self {
-        let floor = limits.reserve + 1;
-        let limit = AdaptiveLimit::new(limits.step, floor, limits.running);
-        let limit = limit.with_reserve(limits.reserve);
+        let floor = limits.reserved_slots + 1;
+        let limit = AdaptiveLimit::new(limits.step_limit, floor, limits.max_running);
+        let limit = limit.with_reserve(limits.reserved_slots);
         Self {
             limits,
             limit,
@@ -105,32 +105,32 @@
     }
 
     /// Decides about a new ticket.
-    pub fn offer(&mut self, now: Time, ticket: Ticket) -> Offer {
+    pub fn submit(&mut self, now: Time, ticket: Ticket) -> AdmissionOutcome {
         if self.queue.is_empty() && self.has_room(&ticket) {
             self.run(&ticket);
-            return Offer::Start;
+            return AdmissionOutcome::Start;
         }
         let bytes = self.queue.bytes() + ticket.bytes;
-        if ticket.deadline <= now || bytes > self.limits.bytes.0 {
+        if ticket.deadline <= now || bytes > self.limits.queue_bytes.0 {
             return self.refuse();
         }
-        if self.queue.len() < self.limits.waiting as usize {
+        if self.queue.len() < self.limits.max_waiting as usize {
             self.queue.push(ticket);
-            return Offer::Wait { displaced: None };
+            return AdmissionOutcome::Wait { displaced: None };
         }
         let Some(last) = self.queue.displaced_by(&ticket) else {
             return self.refuse();
         };
         self.queue.remove(last);
         self.queue.push(ticket);
-        Offer::Wait {
+        AdmissionOutcome::Wait {
             displaced: Some(last),
         }
     }
 
     /// Takes the next ticket that may start, if there is one.
     pub fn admit_next(&mut self) -> Option<AttemptId> {
-        let reserved = self.free() <= self.limits.reserve;
+        let reserved = self.free() <= self.limits.reserved_slots;
         let ticket = self.queue.peek(reserved)?;
         if !self.has_room(ticket) {
             return None;
@@ -202,7 +202,7 @@
     fn has_room(&self, ticket: &Ticket) -> bool {
         let kept = match ticket.resumed {
             true => 0,
-            false => self.limits.reserve,
+            false => self.limits.reserved_slots,
         };
         !self.paused && self.free() > kept && self.fits(ticket.tokens)
     }
@@ -219,8 +219,8 @@
         self.held += ticket.tokens;
     }
 
-    fn refuse(&self) -> Offer {
-        Offer::Busy {
+    fn refuse(&self) -> AdmissionOutcome {
+        AdmissionOutcome::Busy {
             retry: self.retry(),
         }
     }
--- a/crates/cw_policy/src/admission/mod.rs
+++ b/crates/cw_policy/src/admission/mod.rs
@@ -7,6 +7,6 @@
 pub use adaptive_limit::AdaptiveLimit;
 pub use admission_control::AdmissionControl;
 pub use admission_control::AdmissionLimits;
-pub use admission_control::Offer;
+pub use admission_control::AdmissionOutcome;
 pub use fair_queue::FairQueue;
 pub use fair_queue::Ticket;
--- a/crates/cw_policy/src/attempt/attempt_limits.rs
+++ b/crates/cw_policy/src/attempt/attempt_limits.rs
@@ -12,7 +12,7 @@
     /// Bounds on admission.
     pub admission: AdmissionLimits,
     /// The most output kept for all attempts together.
-    pub kept: ByteSize,
+    pub output_bytes: ByteSize,
     /// How long an ended attempt's output is kept, and how long an idempotent one runs unread.
     pub retention: Duration,
     /// How long an ended attempt is remembered, and the oldest stamp that is taken.
@@ -23,7 +23,7 @@
     fn default() -> Self {
         Self {
             admission: AdmissionLimits::default(),
-            kept: ByteSize::mib(16),
+            output_bytes: ByteSize::mib(16),
             retention: Duration::from_secs(60),
             tombstone: Duration::from_secs(600),
         }
@@ -33,6 +33,6 @@
 impl AttemptLimits {
     /// Returns the most bytes of output that one running attempt may keep.
     pub fn share(&self) -> usize {
-        self.kept.as_usize() / self.admission.running.max(1) as usize
+        self.output_bytes.as_usize() / self.admission.max_running.max(1) as usize
     }
 }
--- a/crates/cw_policy/src/attempt/attempt_state.rs
+++ b/crates/cw_policy/src/attempt/attempt_state.rs
@@ -19,7 +19,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// Its output is whole.
     Done(Finish),
     /// It failed after it may have reached its target.
@@ -41,7 +41,7 @@
     /// Its target has it, or may have it.
     Running,
     /// It has ended, at this moment.
-    Ended(End, Time),
+    Ended(AttemptEnd, Time),
 }
 
 /// What is known of one attempt.
@@ -109,7 +109,7 @@
             idempotent: true,
             fingerprint: Fingerprint::default(),
             pin: None,
-            stage: Stage::Ended(End::NotRun(reason), now),
+            stage: Stage::Ended(AttemptEnd::NotRun(reason), now),
             accepted: None,
             output: Output::new(0),
             sent: 0,
@@ -129,8 +129,8 @@
     /// Returns whether it has output, or will have.
     pub(super) fn has_output(&self) -> bool {
         match self.stage {
-            Stage::Ended(End::NotRun(_), _) => false,
-            Stage::Ended(End::Failed { failure, .. }, _) => failure != Failure::Cancelled,
+            Stage::Ended(AttemptEnd::NotRun(_), _) => false,
+            Stage::Ended(AttemptEnd::Failed { failure, .. }, _) => failure != Failure::Cancelled,
             _ => true,
         }
     }
@@ -138,9 +138,9 @@
     /// Returns how much of it was run if it is cut off now.
     pub(super) fn ran(&self) -> Ran {
         match (&self.stage, &self.pin) {
-            (Stage::Waiting(_) | Stage::Ended(End::NotRun(_), _), _) => Ran::No,
-            (Stage::Ended(End::Failed { ran, .. }, _), _) => *ran,
-            (Stage::Ended(End::Done(_), _), _) => Ran::Partly,
+            (Stage::Waiting(_) | Stage::Ended(AttemptEnd::NotRun(_), _), _) => Ran::No,
+            (Stage::Ended(AttemptEnd::Failed { ran, .. }, _), _) => *ran,
+            (Stage::Ended(AttemptEnd::Done(_), _), _) => Ran::Partly,
             (Stage::Running, Some(_)) => Ran::Partly,
             (Stage::Running, None) => Ran::Unknown,
         }
--- a/crates/cw_policy/src/attempt/attempt_step.rs
+++ b/crates/cw_policy/src/attempt/attempt_step.rs
@@ -13,7 +13,7 @@
     Start(Box<Dispatch>),
     /// Take the attempt back from the target.
     Abort(AttemptId),
-    /// Read on from the target, after [`Flow::Hold`].
+    /// Read on from the target, after [`FlowControl::Pause`].
     Resume(AttemptId),
     /// Let the readers of the attempt look again.
     Wake(AttemptId),
@@ -30,11 +30,11 @@
 
 /// Whether to read on from the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flow {
+pub enum FlowControl {
     /// Read on.
-    Go,
+    Continue,
     /// Wait for [`AttemptStep::Resume`].
-    Hold,
+    Pause,
     /// Stop: the attempt has ended.
     Stop,
 }
--- a/crates/cw_policy/src/attempt/crash_log.rs
+++ b/crates/cw_policy/src/attempt/crash_log.rs
@@ -39,7 +39,7 @@
     }
 
     /// An attempt's connection to the engine broke.
-    pub fn on_break(&mut self, now: Time, id: AttemptId) {
+    pub fn on_disconnect(&mut self, now: Time, id: AttemptId) {
         if let Some(fingerprint) = self.running.remove(&id) {
             self.broken.push_back((now, fingerprint));
         }
--- a/crates/cw_policy/src/attempt/table/mod.rs
+++ b/crates/cw_policy/src/attempt/table/mod.rs
@@ -22,13 +22,13 @@
 use cw_wire::Stamp;
 use cw_wire::Work;
 
+use super::AttemptEnd;
 use super::AttemptLimits;
 use super::AttemptStep;
 use super::CrashLog;
-use super::End;
 use super::ReadStep;
 use super::Reader;
-use super::TargetGate;
+use super::TargetReadiness;
 use super::attempt_state::AttemptState;
 use super::attempt_state::Stage;
 use crate::AdmissionControl;
@@ -54,7 +54,7 @@
     kept: usize,
     readers: u32,
     admission: AdmissionControl,
-    gate: TargetGate,
+    readiness: TargetReadiness,
     crashes: CrashLog,
     /// When a connection broke, until the target is known to live or not.
     broken: Option<Time>,
@@ -73,7 +73,7 @@
             retained: VecDeque::new(),
             kept: 0,
             readers: 0,
-            gate: TargetGate::default(),
+            readiness: TargetReadiness::default(),
             crashes: CrashLog::default(),
             broken: None,
         }
@@ -92,8 +92,8 @@
     }
 
     /// Returns whether the target takes new work.
-    pub fn gate(&self) -> &TargetGate {
-        &self.gate
+    pub fn readiness(&self) -> &TargetReadiness {
+        &self.readiness
     }
 
     /// Returns the crashes to report.
@@ -112,7 +112,7 @@
     }
 
     /// Returns how many bytes of output are kept.
-    pub fn kept(&self) -> usize {
+    pub fn output_bytes(&self) -> usize {
         self.kept
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// A reader's stream is gone.
-    pub fn on_leave(&mut self, now: Time, reader: &Reader) {
+    pub fn on_detach(&mut self, now: Time, reader: &Reader) {
         self.readers = self.readers.saturating_sub(1);
         if let Some(attempt) = self.attempts.get_mut(&reader.id) {
             attempt.readers = attempt.readers.saturating_sub(1);
@@ -189,12 +189,12 @@
         ReadStep::Frame(self.end_frame(now, end, next))
     }
 
-    fn end_frame(&self, now: Time, end: End, next: u64) -> Frame {
+    fn end_frame(&self, now: Time, end: AttemptEnd, next: u64) -> Frame {
         let next = TokenIndex(next);
         match end {
-            End::Done(finish) => Frame::Done { finish, next },
-            End::Failed { failure, ran } => Frame::Failed { failure, ran, next },
-            End::NotRun(reason) => self.not_run(now, reason),
+            AttemptEnd::Done(finish) => Frame::Done { finish, next },
+            AttemptEnd::Failed { failure, ran } => Frame::Failed { failure, ran, next },
+            AttemptEnd::NotRun(reason) => self.not_run(now, reason),
         }
     }
 
@@ -237,7 +237,7 @@
     // ---- Ends
 
     /// Ends an attempt unless it has ended before, and starts what waits for its place.
-    fn end(&mut self, now: Time, id: AttemptId, end: End, steps: &mut Vec<AttemptStep>) {
+    fn end(&mut self, now: Time, id: AttemptId, end: AttemptEnd, steps: &mut Vec<AttemptStep>) {
         if !self.live.remove(&id) {
             return;
         }
--- a/crates/cw_policy/src/attempt/table/peer_events.rs
+++ b/crates/cw_policy/src/attempt/table/peer_events.rs
@@ -14,15 +14,15 @@
 use cw_wire::Frame;
 use cw_wire::Reason;
 
+use super::AttemptEnd;
 use super::AttemptState;
 use super::AttemptStep;
 use super::AttemptTable;
-use super::End;
 use super::Reader;
 use super::Stage;
 use super::ticket;
+use crate::AdmissionOutcome;
 use crate::AttemptAnswer;
-use crate::Offer;
 
 impl AttemptTable {
     /// Runs an attempt, or attaches to it if it is known.
@@ -52,19 +52,19 @@
             // Another run's output must not be joined to what the entry has.
             return (self.forget(now, id, Reason::Unknown), steps);
         }
-        if let Some(reason) = self.gate.refusal(&dispatch.work) {
+        if let Some(reason) = self.readiness.refusal(&dispatch.work) {
             return (self.forget(now, id, reason), steps);
         }
-        match self.admission.offer(now, ticket(now, &dispatch)) {
-            Offer::Busy { .. } => return (self.forget(now, id, Reason::Busy), steps),
-            Offer::Start => {
+        match self.admission.submit(now, ticket(now, &dispatch)) {
+            AdmissionOutcome::Busy { .. } => return (self.forget(now, id, Reason::Busy), steps),
+            AdmissionOutcome::Start => {
                 self.insert(now, dispatch);
                 self.start(now, id, &mut steps);
             }
-            Offer::Wait { displaced } => {
+            AdmissionOutcome::Wait { displaced } => {
                 self.insert(now, dispatch);
                 if let Some(other) = displaced {
-                    self.end(now, other, End::NotRun(Reason::Busy), &mut steps);
+                    self.end(now, other, AttemptEnd::NotRun(Reason::Busy), &mut steps);
                 }
                 // A resumed attempt may take a slot that those before it may not.
                 self.start_waiting(now, &mut steps);
@@ -120,8 +120,8 @@
         attempt.delivered = true;
         let failure = Failure::Cancelled;
         let end = match attempt.stage {
-            Stage::Waiting(_) => End::NotRun(Reason::Cancelled),
-            _ => End::Failed { failure, ran },
+            Stage::Waiting(_) => AttemptEnd::NotRun(Reason::Cancelled),
+            _ => AttemptEnd::Failed { failure, ran },
         };
         if attempt.stage == Stage::Running {
             steps.push(AttemptStep::Abort(id));
--- a/crates/cw_policy/src/attempt/table/target_events.rs
+++ b/crates/cw_policy/src/attempt/table/target_events.rs
@@ -14,12 +14,12 @@
 use cw_wire::Pins;
 use cw_wire::Reason;
 
+use super::AttemptEnd;
 use super::AttemptStep;
 use super::AttemptTable;
-use super::End;
 use super::Stage;
 use crate::Chunk;
-use crate::Flow;
+use crate::FlowControl;
 
 impl AttemptTable {
     /// The target has the attempt, with so many prompt tokens cached.
@@ -46,10 +46,10 @@
         now: Time,
         id: AttemptId,
         chunk: Chunk,
-    ) -> (Flow, Vec<AttemptStep>) {
+    ) -> (FlowControl, Vec<AttemptStep>) {
         let share = self.limits.share();
         let Some(attempt) = self.running(id) else {
-            return (Flow::Stop, Vec::new());
+            return (FlowControl::Stop, Vec::new());
         };
         attempt.active = now;
         attempt.accepted.get_or_insert_default();
@@ -67,16 +67,16 @@
         self.make_room(now, id, &mut steps);
         self.evict();
         let held = self.running(id).is_some_and(|attempt| attempt.held);
-        // The caller is told by `Flow`, not by a step, that it may read on.
+        // The caller is told by `FlowControl`, not by a step, that it may read on.
         steps.retain(|step| !matches!(step, AttemptStep::Resume(_)));
         match held {
-            true => (Flow::Hold, steps),
-            false => (Flow::Go, steps),
+            true => (FlowControl::Pause, steps),
+            false => (FlowControl::Continue, steps),
         }
     }
 
     /// The target finished the attempt, or refused it; a refusal needs proof that it was not run.
-    pub fn on_end(&mut self, now: Time, id: AttemptId, end: End) -> Vec<AttemptStep> {
+    pub fn on_end(&mut self, now: Time, id: AttemptId, end: AttemptEnd) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         if self.running(id).is_some() {
             self.end(now, id, end, &mut steps);
@@ -85,16 +85,16 @@
     }
 
     /// The attempt's connection to the target broke.
-    pub fn on_break(&mut self, now: Time, id: AttemptId) -> Vec<AttemptStep> {
+    pub fn on_disconnect(&mut self, now: Time, id: AttemptId) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         if let Some(attempt) = self.running(id) {
             let failure = Failure::TargetLost;
             let ran = attempt.ran();
-            self.crashes.on_break(now, id);
+            self.crashes.on_disconnect(now, id);
             // What starts at a target that has died would be taken for a cause of its death.
             self.broken = Some(now);
             self.admission.set_paused(true);
-            self.end(now, id, End::Failed { failure, ran }, &mut steps);
+            self.end(now, id, AttemptEnd::Failed { failure, ran }, &mut steps);
         }
         steps
     }
@@ -108,7 +108,7 @@
         versions: BTreeMap<ModelName, BTreeSet<VersionName>>,
     ) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
-        self.gate.set_up(versions);
+        self.readiness.set_up(versions);
         self.crashes.on_alive(now, asked);
         if self.broken.is_none_or(|broken| broken <= asked) {
             self.resume_starts();
@@ -121,20 +121,20 @@
     /// The target died: it refuses connections, or it is another life of it that answers.
     pub fn on_crash(&mut self, now: Time) {
         // An order that it had begun has died with it.
-        self.gate.clear_unloading();
+        self.readiness.clear_unloading();
         self.crashes.on_crash(now);
     }
 
     /// The target does not answer.
     pub fn on_down(&mut self, now: Time) -> Vec<AttemptStep> {
-        self.gate.set_down();
+        self.readiness.set_down();
         self.resume_starts();
         self.refuse_waiting(now, Reason::TargetDown)
     }
 
     /// The target is leaving, or no longer.
     pub fn on_leaving(&mut self, now: Time, leaving: bool) -> Vec<AttemptStep> {
-        self.gate.set_leaving(leaving);
+        self.readiness.set_leaving(leaving);
         match leaving {
             true => self.refuse_waiting(now, Reason::Leaving),
             false => Vec::new(),
@@ -143,7 +143,7 @@
 
     /// A version is about to be unloaded, or is kept after all.
     pub fn on_unloading(&mut self, model: &ModelName, version: &VersionName, unloading: bool) {
-        self.gate.set_unloading(model, version, unloading);
+        self.readiness.set_unloading(model, version, unloading);
     }
 
     /// Returns how many live attempts are pinned to a version.
@@ -192,7 +192,7 @@
             self.admission.release(now, id);
         }
         for id in ids {
-            self.end(now, id, End::NotRun(reason), &mut steps);
+            self.end(now, id, AttemptEnd::NotRun(reason), &mut steps);
         }
         steps
     }
--- a/crates/cw_policy/src/attempt/table/time_events.rs
+++ b/crates/cw_policy/src/attempt/table/time_events.rs
@@ -4,16 +4,16 @@
 use cw_types::Time;
 use cw_wire::Reason;
 
+use super::AttemptEnd;
 use super::AttemptStep;
 use super::AttemptTable;
-use super::End;
 
 impl AttemptTable {
     /// Time has passed.
     pub fn on_tick(&mut self, now: Time) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         for id in self.admission.expired(now) {
-            self.end(now, id, End::NotRun(Reason::Expired), &mut steps);
+            self.end(now, id, AttemptEnd::NotRun(Reason::Expired), &mut steps);
         }
         for id in self.abandoned(now) {
             self.cancel_live(now, id, &mut steps);
@@ -57,7 +57,7 @@
 
     /// Forgets ended attempts' output, delivered and oldest first, until the rest fits.
     pub(super) fn evict(&mut self) {
-        while self.kept > self.limits.kept.as_usize() {
+        while self.kept > self.limits.output_bytes.as_usize() {
             let delivered = |&(_, id): &(Time, AttemptId)| {
                 self.attempts
                     .get(&id)
--- a/crates/cw_policy/src/attempt/target_gate.rs
+++ b/crates/cw_policy/src/attempt/target_readiness.rs
@@ -14,14 +14,14 @@
 
 /// Whether a target takes new work, and for which versions.
 #[derive(Clone, Debug, Default)]
-pub struct TargetGate {
+pub struct TargetReadiness {
     up: bool,
     leaving: bool,
     versions: Versions,
     unloading: BTreeSet<(ModelName, VersionName)>,
 }
 
-impl TargetGate {
+impl TargetReadiness {
     /// The target answers.
     pub fn set_up(&mut self, versions: Versions) {
         self.up = true;
--- a/crates/cw_policy/src/budget/budgets.rs
+++ b/crates/cw_policy/src/budget/budgets.rs
@@ -9,7 +9,7 @@
 
 /// A send beyond a request's first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Extra {
+pub enum ExtraSend {
     /// The same work again after a failure before it ran.
     Retry,
     /// Another target, after one refused.
@@ -49,11 +49,11 @@
 }
 
 impl BudgetSettings {
-    fn ratio(&self, extra: Extra) -> f64 {
+    fn ratio(&self, extra: ExtraSend) -> f64 {
         match extra {
-            Extra::Retry => self.retry,
-            Extra::Redirect => self.redirect,
-            Extra::Hedge => self.hedge,
+            ExtraSend::Retry => self.retry,
+            ExtraSend::Redirect => self.redirect,
+            ExtraSend::Hedge => self.hedge,
         }
     }
 }
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     settings: BudgetSettings,
-    routes: BTreeMap<RouteName, BTreeMap<Extra, Bucket>>,
+    routes: BTreeMap<RouteName, BTreeMap<ExtraSend, Bucket>>,
     targets: BTreeMap<TargetId, Bucket>,
 }
 
@@ -80,9 +80,9 @@
     }
 
     /// Records the first try of a request.
-    pub fn first(&mut self, route: &RouteName, target: &TargetId) {
+    pub fn record_first(&mut self, route: &RouteName, target: &TargetId) {
         let settings = self.settings;
-        for extra in [Extra::Retry, Extra::Redirect, Extra::Hedge] {
+        for extra in [ExtraSend::Retry, ExtraSend::Redirect, ExtraSend::Hedge] {
             self.bucket(route, extra)
                 .fill(settings.ratio(extra), settings.burst);
         }
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether a further send is allowed, and spends it if so.
-    pub fn spend(&mut self, extra: Extra, route: &RouteName, target: &TargetId) -> bool {
+    pub fn try_spend(&mut self, extra: ExtraSend, route: &RouteName, target: &TargetId) -> bool {
         let allowed = self.bucket(route, extra).has() && self.target(target).has();
         if allowed {
             self.bucket(route, extra).spend();
@@ -109,7 +109,7 @@
         self.targets.retain(|id, _| target(id));
     }
 
-    fn bucket(&mut self, route: &RouteName, extra: Extra) -> &mut Bucket {
+    fn bucket(&mut self, route: &RouteName, extra: ExtraSend) -> &mut Bucket {
         let most = self.settings.burst;
         self.routes
             .entry(route.clone())
--- a/crates/cw_policy/src/budget/mod.rs
+++ b/crates/cw_policy/src/budget/mod.rs
@@ -11,6 +11,6 @@
 pub use backoff::Backoff;
 pub use budgets::BudgetSettings;
 pub use budgets::Budgets;
-pub use budgets::Extra;
+pub use budgets::ExtraSend;
 pub use service_budgets::ServiceBudgets;
 pub use service_budgets::SharedBudget;
--- a/crates/cw_policy/src/budget/service_budgets.rs
+++ b/crates/cw_policy/src/budget/service_budgets.rs
@@ -57,17 +57,17 @@
     }
 
     /// Sets how many entries share the budgets.
-    pub fn share(&mut self, entries: u32) {
+    pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
     /// Records the first send of a request.
-    pub fn first(&mut self, now: Time, service: &ServiceName) {
+    pub fn record_first(&mut self, now: Time, service: &ServiceName) {
         self.span(now, service).firsts += 1;
     }
 
     /// Returns whether a further send is allowed, and counts it if so.
-    pub fn spend(&mut self, now: Time, service: &ServiceName) -> bool {
+    pub fn try_spend(&mut self, now: Time, service: &ServiceName) -> bool {
         let budget = self.budget;
         let slack = budget.slack / f64::from(self.entries);
         self.span(now, service);
--- a/crates/cw_policy/src/quota/mod.rs
+++ b/crates/cw_policy/src/quota/mod.rs
@@ -9,6 +9,6 @@
 mod settings;
 mod usage;
 
-pub use quotas::QuotaStep;
+pub use quotas::QuotaDecision;
 pub use quotas::Quotas;
 pub use settings::QuotaSettings;
--- a/crates/cw_policy/src/quota/quotas.rs
+++ b/crates/cw_policy/src/quota/quotas.rs
@@ -24,7 +24,7 @@
 
 /// Whether a request is within its workspace's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuotaStep {
+pub enum QuotaDecision {
     /// It is, and counts until it ends.
     Admit,
     /// It is not.
@@ -90,7 +90,7 @@
         quota: &Quota,
         tokens: u64,
         rng: &mut impl Rng,
-    ) -> QuotaStep {
+    ) -> QuotaDecision {
         let share = self.share(now, workspace);
         let usage = self.usage(now, workspace, quota);
         let amount = tokens as f64;
@@ -108,18 +108,18 @@
         usage.requests.spend(1.0);
         usage.tokens.spend(amount);
         usage.concurrent += 1;
-        QuotaStep::Admit
+        QuotaDecision::Admit
     }
 
     /// Records that a request produced `tokens`.
-    pub fn produced(&mut self, now: Time, workspace: &WorkspaceId, tokens: u64) {
+    pub fn record_output(&mut self, now: Time, workspace: &WorkspaceId, tokens: u64) {
         if let Some(usage) = self.usages.get_mut(workspace) {
             usage.produce(now, tokens as f64);
         }
     }
 
     /// Records that an admitted request ended.
-    pub fn ended(&mut self, workspace: &WorkspaceId) {
+    pub fn record_end(&mut self, workspace: &WorkspaceId) {
         if let Some(usage) = self.usages.get_mut(workspace) {
             usage.concurrent = usage.concurrent.saturating_sub(1);
         }
@@ -199,8 +199,8 @@
 }
 
 /// Refuses with a jitter as long as the wait itself.
-fn refuse(wait: Duration, rng: &mut impl Rng) -> QuotaStep {
+fn refuse(wait: Duration, rng: &mut impl Rng) -> QuotaDecision {
     let wait = wait.clamp(RETRY_MIN, RETRY_MAX);
     let retry = RETRY_MIN + wait.mul_f64(rng.random::<f64>());
-    QuotaStep::Refuse { retry }
+    QuotaDecision::Refuse { retry }
 }
--- a/crates/cw_policy/tests/admission.rs
+++ b/crates/cw_policy/tests/admission.rs
@@ -6,8 +6,8 @@
 use cw_policy::AdaptiveLimit;
 use cw_policy::AdmissionControl;
 use cw_policy::AdmissionLimits;
+use cw_policy::AdmissionOutcome;
 use cw_policy::FairQueue;
-use cw_policy::Offer;
 use cw_policy::Ticket;
 use cw_types::AttemptId;
 use cw_types::AttemptNo;
@@ -23,11 +23,11 @@
 
 fn limits() -> AdmissionLimits {
     AdmissionLimits {
-        running: 8,
-        waiting: 4,
-        bytes: ByteSize(10_000),
-        reserve: 2,
-        step: TARGET,
+        max_running: 8,
+        max_waiting: 4,
+        queue_bytes: ByteSize(10_000),
+        reserved_slots: 2,
+        step_limit: TARGET,
     }
 }
 
@@ -63,7 +63,10 @@
 fn full() -> AdmissionControl {
     let mut control = AdmissionControl::new(limits());
     for number in 0..6 {
-        assert_eq!(control.offer(Time(0), ticket(number)), Offer::Start);
+        assert_eq!(
+            control.submit(Time(0), ticket(number)),
+            AdmissionOutcome::Start
+        );
     }
     control
 }
@@ -76,12 +79,12 @@
         ..ticket(11)
     };
 
-    let ordinary = control.offer(Time(0), ticket(10));
-    let waiting = control.offer(Time(0), resumed);
+    let ordinary = control.submit(Time(0), ticket(10));
+    let waiting = control.submit(Time(0), resumed);
     let admitted = control.admit_next();
 
-    assert_eq!(ordinary, Offer::Wait { displaced: None });
-    assert_eq!(waiting, Offer::Wait { displaced: None });
+    assert_eq!(ordinary, AdmissionOutcome::Wait { displaced: None });
+    assert_eq!(waiting, AdmissionOutcome::Wait { displaced: None });
     assert_eq!(admitted, Some(id(11)));
     assert_eq!(control.admit_next(), None);
 }
@@ -90,12 +93,12 @@
 fn a_full_queue_refuses_at_once_with_a_hint() {
     let mut control = full();
     for number in 10..14 {
-        control.offer(Time(0), ticket(number));
+        control.submit(Time(0), ticket(number));
     }
 
-    let offer = control.offer(Time(0), ticket(20));
+    let offer = control.submit(Time(0), ticket(20));
 
-    let Offer::Busy { retry } = offer else {
+    let AdmissionOutcome::Busy { retry } = offer else {
         panic!("expected a refusal, found {offer:?}");
     };
     assert!(retry > Duration::ZERO);
@@ -110,31 +113,31 @@
         ..ticket(number)
     };
 
-    let first = control.offer(Time(0), large(10));
-    let second = control.offer(Time(0), large(11));
+    let first = control.submit(Time(0), large(10));
+    let second = control.submit(Time(0), large(11));
     control.release(Time(0), id(10));
-    let third = control.offer(Time(0), large(12));
+    let third = control.submit(Time(0), large(12));
 
-    assert_eq!(first, Offer::Wait { displaced: None });
-    assert!(matches!(second, Offer::Busy { .. }));
-    assert_eq!(third, Offer::Wait { displaced: None });
+    assert_eq!(first, AdmissionOutcome::Wait { displaced: None });
+    assert!(matches!(second, AdmissionOutcome::Busy { .. }));
+    assert_eq!(third, AdmissionOutcome::Wait { displaced: None });
 }
 
 #[rstest]
 fn a_higher_rank_displaces_the_newest_of_the_lowest() {
     let mut control = full();
     for number in 10..14 {
-        control.offer(Time(0), ticket(number));
+        control.submit(Time(0), ticket(number));
     }
     let urgent = Ticket {
         rank: 2,
         ..ticket(20)
     };
 
-    let offer = control.offer(Time(0), urgent);
+    let offer = control.submit(Time(0), urgent);
 
     let displaced = Some(id(13));
-    assert_eq!(offer, Offer::Wait { displaced });
+    assert_eq!(offer, AdmissionOutcome::Wait { displaced });
 }
 
 #[rstest]
@@ -146,9 +149,9 @@
         ..ticket(10)
     };
 
-    let offer = control.offer(now, hasty);
+    let offer = control.submit(now, hasty);
 
-    assert!(matches!(offer, Offer::Busy { .. }));
+    assert!(matches!(offer, AdmissionOutcome::Busy { .. }));
 }
 
 #[rstest]
@@ -163,13 +166,13 @@
         ..ticket(number)
     };
 
-    let alone = control.offer(Time(0), large(1));
-    let beside = control.offer(Time(0), ticket(2));
+    let alone = control.submit(Time(0), large(1));
+    let beside = control.submit(Time(0), ticket(2));
     control.release(Time(0), id(1));
     let after = control.admit_next();
 
-    assert_eq!(alone, Offer::Start);
-    assert_eq!(beside, Offer::Wait { displaced: None });
+    assert_eq!(alone, AdmissionOutcome::Start);
+    assert_eq!(beside, AdmissionOutcome::Wait { displaced: None });
     assert_eq!(after, Some(id(2)));
 }
 
@@ -180,12 +183,12 @@
         capacity: TokenCount(1000),
         ..Load::default()
     });
-    control.offer(Time(0), ticket(1));
+    control.submit(Time(0), ticket(1));
 
     control.grow(id(1), 800);
-    let offer = control.offer(Time(0), ticket(2));
+    let offer = control.submit(Time(0), ticket(2));
 
-    assert_eq!(offer, Offer::Wait { displaced: None });
+    assert_eq!(offer, AdmissionOutcome::Wait { displaced: None });
 }
 
 // ---- The limit
--- a/crates/cw_policy/tests/attempt/cases.rs
+++ b/crates/cw_policy/tests/attempt/cases.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use cw_policy::AttemptAnswer;
+use cw_policy::AttemptEnd;
 use cw_policy::AttemptStep;
 use cw_policy::AttemptTable;
-use cw_policy::End;
-use cw_policy::Flow;
+use cw_policy::FlowControl;
 use cw_policy::ReadStep;
 use cw_policy::Reader;
 use cw_types::AttemptId;
@@ -79,8 +79,8 @@
     table
 }
 
-fn produce(table: &mut AttemptTable, id: AttemptId, count: u64) -> Flow {
-    (0..count).fold(Flow::Go, |_, index| {
+fn produce(table: &mut AttemptTable, id: AttemptId, count: u64) -> FlowControl {
+    (0..count).fold(FlowControl::Continue, |_, index| {
         table.on_output(at(0), id, chunk(id, index)).0
     })
 }
@@ -109,7 +109,7 @@
         ..ordinary(3)
     };
     let refused = ask(&mut table, at(0), hasty.clone());
-    table.on_end(at(1), attempt(1, 1), End::Done(Finish::Stop));
+    table.on_end(at(1), attempt(1, 1), AttemptEnd::Done(Finish::Stop));
 
     let repeated = Dispatch {
         repeat: true,
@@ -229,8 +229,8 @@
     let mut table = table(at(0), LIFE);
     let generation = open(&mut table, at(0), ordinary(1));
     let once = open(&mut table, at(0), notice(attempt(2, 1), stamp(LIFE, at(0))));
-    table.on_leave(at(1_000), &generation);
-    table.on_leave(at(1_000), &once);
+    table.on_detach(at(1_000), &generation);
+    table.on_detach(at(1_000), &once);
 
     let early = table.on_tick(at(10_999));
     let late = table.on_tick(at(11_000));
@@ -247,9 +247,9 @@
 fn an_end_that_nobody_has_read_holds_up_a_drain_until_it_expires() {
     let mut table = table(at(0), LIFE);
     let reader = open(&mut table, at(0), ordinary(1));
-    table.on_leave(at(0), &reader);
+    table.on_detach(at(0), &reader);
     table.on_leaving(at(0), true);
-    table.on_end(at(0), reader.id, End::Done(Finish::Stop));
+    table.on_end(at(0), reader.id, AttemptEnd::Done(Finish::Stop));
 
     let early = table.is_drained();
     table.on_tick(at(0) + limits().retention);
@@ -266,7 +266,7 @@
     let reader = open(&mut table, at(0), ordinary(1));
     let id = reader.id;
     produce(&mut table, id, 5);
-    table.on_end(at(0), id, End::Done(Finish::Stop));
+    table.on_end(at(0), id, AttemptEnd::Done(Finish::Stop));
 
     let next = TokenIndex(5);
     table.on_ack(at(0), &Ack { id, next });
@@ -288,7 +288,7 @@
         }
     );
     assert!(trimmed, "{behind:?}");
-    assert_eq!(table.kept(), 0);
+    assert_eq!(table.output_bytes(), 0);
 }
 
 #[rstest]
@@ -298,7 +298,7 @@
     let id = reader.id;
 
     let mut count = 0;
-    while table.on_output(at(0), id, chunk(id, count)).0 == Flow::Go {
+    while table.on_output(at(0), id, chunk(id, count)).0 == FlowControl::Continue {
         count += 1;
     }
     let heartbeat = table.heartbeat(at(9_000), id);
@@ -323,18 +323,18 @@
     for generation in 1..=6 {
         let mut reader = open(&mut table, at(0), ordinary(generation));
         produce(&mut table, reader.id, 60);
-        table.on_end(at(0), reader.id, End::Done(Finish::Stop));
+        table.on_end(at(0), reader.id, AttemptEnd::Done(Finish::Stop));
         if generation != 1 {
             last(&mut table, at(0), &mut reader);
         }
-        table.on_leave(at(0), &reader);
+        table.on_detach(at(0), &reader);
         ends.push(reader.id);
     }
 
     let mut first = open(&mut table, at(0), ordinary(1));
     let end = last(&mut table, at(0), &mut first);
 
-    assert!(table.kept() <= limits().kept.as_usize());
+    assert!(table.output_bytes() <= limits().output_bytes.as_usize());
     assert!(matches!(end, Frame::Done { .. }), "{end:?}");
     let mut second = open(&mut table, at(0), ordinary(2));
     let end = last(&mut table, at(0), &mut second);
--- a/crates/cw_policy/tests/attempt/fixtures.rs
+++ b/crates/cw_policy/tests/attempt/fixtures.rs
@@ -36,13 +36,13 @@
 pub(crate) fn limits() -> AttemptLimits {
     AttemptLimits {
         admission: AdmissionLimits {
-            running: 3,
-            waiting: 2,
-            bytes: ByteSize::kib(64),
-            reserve: 1,
-            step: Duration::from_millis(78),
+            max_running: 3,
+            max_waiting: 2,
+            queue_bytes: ByteSize::kib(64),
+            reserved_slots: 1,
+            step_limit: Duration::from_millis(78),
         },
-        kept: ByteSize(15_000),
+        output_bytes: ByteSize(15_000),
         retention: Duration::from_secs(10),
         tombstone: Duration::from_secs(100),
     }
--- a/crates/cw_policy/tests/attempt/target_cases.rs
+++ b/crates/cw_policy/tests/attempt/target_cases.rs
@@ -11,8 +11,8 @@
 use super::fixtures::chunk;
 use super::fixtures::table;
 use super::fixtures::versions;
+use cw_policy::AttemptEnd;
 use cw_policy::AttemptStep;
-use cw_policy::End;
 use cw_wire::Fingerprint;
 use cw_wire::Finish;
 use cw_wire::Frame;
@@ -52,9 +52,9 @@
     for generation in 1..=2 {
         open(&mut table, at(0), ordinary(generation));
     }
-    table.on_end(at(1), attempt(1, 1), End::Done(Finish::Stop));
+    table.on_end(at(1), attempt(1, 1), AttemptEnd::Done(Finish::Stop));
     open(&mut table, at(1), ordinary(3));
-    table.on_break(at(2), attempt(2, 1));
+    table.on_disconnect(at(2), attempt(2, 1));
 
     table.on_crash(at(3));
 
@@ -68,7 +68,7 @@
     let mut table = full();
     let waiting = open(&mut table, at(0), ordinary(3));
 
-    let broken = table.on_break(at(2), attempt(1, 1));
+    let broken = table.on_disconnect(at(2), attempt(1, 1));
     let stale = table.on_load(at(3), at(1), Load::default(), versions());
     let alive = table.on_load(at(4), at(3), Load::default(), versions());
 
@@ -85,7 +85,7 @@
     let mut table = full();
     open(&mut table, at(0), ordinary(3));
 
-    table.on_break(at(2), attempt(1, 1));
+    table.on_disconnect(at(2), attempt(1, 1));
     table.on_crash(at(3));
 
     let suspects = vec![Fingerprint(1), Fingerprint(2)];
@@ -95,7 +95,7 @@
 #[rstest]
 fn what_broke_before_the_target_answered_again_is_no_suspect() {
     let mut table = full();
-    table.on_break(at(2), attempt(1, 1));
+    table.on_disconnect(at(2), attempt(1, 1));
     table.on_load(at(5), at(4), Load::default(), versions());
 
     table.on_crash(at(6));
--- a/crates/cw_policy/tests/attempt/world/entries.rs
+++ b/crates/cw_policy/tests/attempt/world/entries.rs
@@ -113,7 +113,7 @@
     pub(super) fn leave(&mut self, n: u8) {
         if let Some(at) = pick(n, self.readers.len()) {
             let (reader, _) = self.readers.remove(at);
-            self.table.on_leave(self.local(), &reader);
+            self.table.on_detach(self.local(), &reader);
         }
     }
 
--- a/crates/cw_policy/tests/attempt/world/mod.rs
+++ b/crates/cw_policy/tests/attempt/world/mod.rs
@@ -11,9 +11,9 @@
 use super::oracle::Oracle;
 use super::oracle::Stream;
 use cw_policy::AttemptAnswer;
+use cw_policy::AttemptEnd;
 use cw_policy::AttemptStep;
 use cw_policy::AttemptTable;
-use cw_policy::End;
 use cw_policy::Reader;
 use cw_types::AttemptId;
 use cw_types::Time;
@@ -159,7 +159,9 @@
         let running: Vec<AttemptId> = self.target.keys().copied().collect();
         for id in running {
             self.target.remove(&id);
-            let steps = self.table.on_end(self.local(), id, End::Done(Finish::Stop));
+            let steps = self
+                .table
+                .on_end(self.local(), id, AttemptEnd::Done(Finish::Stop));
             self.apply(steps);
         }
         while !self.readers.is_empty() {
@@ -210,12 +212,13 @@
         for (id, oracle) in &self.oracles {
             oracle.check(*id)?;
         }
-        if self.target.len() > limits().admission.running as usize {
+        if self.target.len() > limits().admission.max_running as usize {
             return Err(format!("{} attempts run", self.target.len()));
         }
-        let room = limits().kept.as_usize() + SLACK * limits().admission.running as usize;
-        if self.table.kept() > room {
-            return Err(format!("{} bytes are kept", self.table.kept()));
+        let room =
+            limits().output_bytes.as_usize() + SLACK * limits().admission.max_running as usize;
+        if self.table.output_bytes() > room {
+            return Err(format!("{} bytes are kept", self.table.output_bytes()));
         }
         Ok(())
     }
--- a/crates/cw_policy/tests/attempt/world/target.rs
+++ b/crates/cw_policy/tests/attempt/world/target.rs
@@ -5,8 +5,8 @@
 use super::Checked;
 use super::World;
 use super::pick;
-use cw_policy::End;
-use cw_policy::Flow;
+use cw_policy::AttemptEnd;
+use cw_policy::FlowControl;
 use cw_types::AttemptId;
 use cw_types::TokenCount;
 use cw_wire::Finish;
@@ -33,7 +33,7 @@
         };
         if !self.oracles[&id].ran {
             self.target.remove(&id);
-            let end = End::NotRun(Reason::Busy);
+            let end = AttemptEnd::NotRun(Reason::Busy);
             let steps = self.table.on_end(self.local(), id, end);
             self.apply(steps);
         }
@@ -54,9 +54,11 @@
             oracle.produced += 1;
             let (flow, steps) = self.table.on_output(now, id, chunk(id, index));
             match flow {
-                Flow::Go => {}
-                Flow::Hold => drop(self.target.insert(id, false)),
-                Flow::Stop => return Err(format!("{id} ended without the target hearing of it")),
+                FlowControl::Continue => {}
+                FlowControl::Pause => drop(self.target.insert(id, false)),
+                FlowControl::Stop => {
+                    return Err(format!("{id} ended without the target hearing of it"));
+                }
             }
             self.apply(steps);
         }
@@ -67,7 +69,7 @@
         if let Some(id) = self.running(n) {
             self.target.remove(&id);
             self.oracles.entry(id).or_default().ran = true;
-            let end = End::Done(Finish::Stop);
+            let end = AttemptEnd::Done(Finish::Stop);
             let steps = self.table.on_end(self.local(), id, end);
             self.apply(steps);
         }
@@ -78,7 +80,7 @@
             self.target.remove(&id);
             // Nobody knows whether the target had taken it up.
             self.oracles.entry(id).or_default().ran = true;
-            let steps = self.table.on_break(self.local(), id);
+            let steps = self.table.on_disconnect(self.local(), id);
             self.apply(steps);
         }
     }
--- a/crates/cw_policy/tests/forward/budget.rs
+++ b/crates/cw_policy/tests/forward/budget.rs
@@ -34,11 +34,11 @@
         let at_entry = rng.random_range(0..10_usize).min(3);
         let entry = &mut entries[at_entry];
         if rng.random_bool(0.4) {
-            entry.first(at(millis), &service);
+            entry.record_first(at(millis), &service);
             firsts.push(millis);
         }
         for _ in 0..3 {
-            if entry.spend(at(millis), &service) {
+            if entry.try_spend(at(millis), &service) {
                 further.push(millis);
             }
         }
@@ -66,7 +66,7 @@
     let mut budgets = ServiceBudgets::new(BUDGET, 4);
     let spend = |budgets: &mut ServiceBudgets, millis| {
         (0..100)
-            .filter(|_| budgets.spend(at(millis), &service))
+            .filter(|_| budgets.try_spend(at(millis), &service))
             .count()
     };
 
@@ -81,9 +81,11 @@
 fn more_entries_have_smaller_parts() {
     let service: ServiceName = name("s");
     let mut budgets = ServiceBudgets::new(BUDGET, 4);
-    budgets.share(23);
+    budgets.set_entries(23);
 
-    let allowed = (0..100).filter(|_| budgets.spend(at(0), &service)).count();
+    let allowed = (0..100)
+        .filter(|_| budgets.try_spend(at(0), &service))
+        .count();
 
     assert_eq!(allowed, 6);
 }
--- a/crates/cw_policy/tests/generation_world/agent_sim.rs
+++ b/crates/cw_policy/tests/generation_world/agent_sim.rs
@@ -6,12 +6,12 @@
 use std::hash::Hash;
 use std::hash::Hasher;
 
+use cw_policy::AttemptEnd;
 use cw_policy::AttemptLimits;
 use cw_policy::AttemptStep;
 use cw_policy::AttemptTable;
 use cw_policy::Chunk;
-use cw_policy::End;
-use cw_policy::Flow;
+use cw_policy::FlowControl;
 use cw_types::AttemptId;
 use cw_types::Incarnation;
 use cw_types::Time;
@@ -116,7 +116,7 @@
             return;
         };
         if !self.up {
-            let steps = self.table.on_break(clock, id);
+            let steps = self.table.on_disconnect(clock, id);
             return self.take(clock, steps);
         }
         let run = Run {
@@ -152,9 +152,12 @@
         run.output.push(token.id);
         let whole = run.output.len() as u64 >= run.most;
         let (flow, mut steps) = self.table.on_output(clock, id, Chunk::Tokens(vec![token]));
-        if whole || flow == Flow::Stop {
+        if whole || flow == FlowControl::Stop {
             self.runs.remove(&id);
-            steps.extend(self.table.on_end(clock, id, End::Done(Finish::Length)));
+            steps.extend(
+                self.table
+                    .on_end(clock, id, AttemptEnd::Done(Finish::Length)),
+            );
         }
         self.take(clock, steps);
     }
@@ -164,7 +167,7 @@
         self.up = false;
         let clock = self.clock(now);
         for id in std::mem::take(&mut self.runs).into_keys() {
-            let steps = self.table.on_break(clock, id);
+            let steps = self.table.on_disconnect(clock, id);
             self.take(clock, steps);
         }
         self.table.on_crash(clock);
--- a/crates/cw_policy/tests/generation_world/messages.rs
+++ b/crates/cw_policy/tests/generation_world/messages.rs
@@ -55,7 +55,7 @@
         let (answer, steps) = agent.table.on_dispatch(clock, dispatch);
         agent.take(clock, steps);
         if let AttemptAnswer::Read(reader) = answer {
-            agent.table.on_leave(clock, &reader);
+            agent.table.on_detach(clock, &reader);
         }
     }
 
--- a/crates/cw_policy/tests/generation_world/network.rs
+++ b/crates/cw_policy/tests/generation_world/network.rs
@@ -118,7 +118,7 @@
         let agent = &mut self.agents[link.agent];
         if let Some(reader) = link.reader {
             let clock = agent.clock(self.now);
-            agent.table.on_leave(clock, &reader);
+            agent.table.on_detach(clock, &reader);
         }
     }
 }
--- a/crates/cw_policy/tests/quota.rs
+++ b/crates/cw_policy/tests/quota.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use cw_policy::quota::QuotaDecision;
 use cw_policy::quota::QuotaSettings;
-use cw_policy::quota::QuotaStep;
 use cw_policy::quota::Quotas;
 use cw_types::HostId;
 use cw_types::Quota;
@@ -89,9 +89,9 @@
                 let entry = &mut self.entries[number];
                 for _ in 0..count / STEPS {
                     let step = entry.admit(self.now, &workspace(), &quota(), 1, &mut self.rng);
-                    if step == QuotaStep::Admit {
+                    if step == QuotaDecision::Admit {
                         admitted[number] += 1;
-                        entry.ended(&workspace());
+                        entry.record_end(&workspace());
                     }
                 }
             }
@@ -255,10 +255,10 @@
     };
     let now = Time(1_000_000);
     let mut admit = |quotas: &mut Quotas| {
-        quotas.admit(now, &workspace(), &quota, 1, &mut rng) == QuotaStep::Admit
+        quotas.admit(now, &workspace(), &quota, 1, &mut rng) == QuotaDecision::Admit
     };
     let first = [admit(&mut quotas), admit(&mut quotas), admit(&mut quotas)];
-    quotas.ended(&workspace());
+    quotas.record_end(&workspace());
     let second = [admit(&mut quotas), admit(&mut quotas)];
 
     assert_eq!(first, [true, true, false]);
--- a/crates/cyclamenwharf/src/agent/admin_api.rs
+++ b/crates/cyclamenwharf/src/agent/admin_api.rs
@@ -44,7 +44,7 @@
 /// The target takes new work.
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readyz(context: Context) -> Result<Response<Body>, HttpError> {
-    let state = context.context().look(|table, _| table.gate().state());
+    let state = context.context().look(|table, _| table.readiness().state());
     match state {
         TargetState::Up => text(StatusCode::OK, "up\n".to_owned()),
         TargetState::Down => text(StatusCode::SERVICE_UNAVAILABLE, "down\n".to_owned()),
--- a/crates/cyclamenwharf/src/agent/agent_handle.rs
+++ b/crates/cyclamenwharf/src/agent/agent_handle.rs
@@ -138,13 +138,13 @@
 fn limits(settings: &EngineSettings) -> AttemptLimits {
     AttemptLimits {
         admission: AdmissionLimits {
-            running: settings.running,
-            waiting: settings.waiting,
-            bytes: settings.kept,
-            reserve: settings.reserve,
-            step: settings.step,
+            max_running: settings.running,
+            max_waiting: settings.waiting,
+            queue_bytes: settings.kept,
+            reserved_slots: settings.reserve,
+            step_limit: settings.step,
         },
-        kept: settings.kept,
+        output_bytes: settings.kept,
         retention: settings.retention,
         tombstone: settings.tombstone,
     }
--- a/crates/cyclamenwharf/src/agent/call_runner.rs
+++ b/crates/cyclamenwharf/src/agent/call_runner.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use cw_policy::AttemptEnd;
 use cw_policy::Chunk;
-use cw_policy::End;
-use cw_policy::Flow;
+use cw_policy::FlowControl;
 use cw_types::AttemptId;
 use cw_types::Ran;
 use cw_types::TokenCount;
@@ -45,7 +45,7 @@
         end = send(state, id, call, signal) => match end {
             Some(end) => state.tell(|table, now| table.on_end(now, id, end)),
             None => {
-                state.tell(|table, now| table.on_break(now, id));
+                state.tell(|table, now| table.on_disconnect(now, id));
                 state.check.notify_one();
             }
         },
@@ -55,9 +55,14 @@
 }
 
 /// Returns how the call ended; none if its connection broke.
-async fn send(state: &Arc<AgentState>, id: AttemptId, call: Call, signal: &Signal) -> Option<End> {
+async fn send(
+    state: &Arc<AgentState>,
+    id: AttemptId,
+    call: Call,
+    signal: &Signal,
+) -> Option<AttemptEnd> {
     let Some((method, headers)) = request_head(&call.head) else {
-        return Some(End::Failed {
+        return Some(AttemptEnd::Failed {
             failure: Failure::TargetError,
             ran: Ran::No,
         });
@@ -70,7 +75,7 @@
         Ok(response) => response,
         Err(error) if error.is_harmless() => {
             state.check.notify_one();
-            return Some(End::NotRun(Reason::TargetDown));
+            return Some(AttemptEnd::NotRun(Reason::TargetDown));
         }
         Err(error) => {
             debug!(generation = id.generation.to_string(), attempt = id.attempt.0; "{error}");
@@ -91,19 +96,19 @@
     id: AttemptId,
     mut body: Incoming,
     signal: &Signal,
-) -> Option<End> {
+) -> Option<AttemptEnd> {
     while let Some(frame) = body.frame().await {
         let Ok(bytes) = frame.ok()?.into_data() else {
             continue;
         };
         let chunk = Chunk::Body(bytes);
         match state.decide(|table, now| table.on_output(now, id, chunk)) {
-            Flow::Go => {}
-            Flow::Hold => signal.resume.notified().await,
-            Flow::Stop => break,
+            FlowControl::Continue => {}
+            FlowControl::Pause => signal.resume.notified().await,
+            FlowControl::Stop => break,
         }
     }
-    Some(End::Done(Finish::Stop))
+    Some(AttemptEnd::Done(Finish::Stop))
 }
 
 fn is_end_to_end(name: &str) -> bool {
--- a/crates/cyclamenwharf/src/agent/frame_stream.rs
+++ b/crates/cyclamenwharf/src/agent/frame_stream.rs
@@ -33,7 +33,7 @@
     fn drop(&mut self) {
         let reader = self.reader;
         self.state.tell(|table, now| {
-            table.on_leave(now, &reader);
+            table.on_detach(now, &reader);
             Vec::new()
         });
     }
--- a/crates/cyclamenwharf/src/agent/generate_runner.rs
+++ b/crates/cyclamenwharf/src/agent/generate_runner.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cw_policy::AttemptEnd;
 use cw_policy::Chunk;
-use cw_policy::End;
-use cw_policy::Flow;
+use cw_policy::FlowControl;
 use cw_types::AttemptId;
 use cw_types::Ran;
 use cw_wire::Failure;
@@ -31,7 +31,7 @@
 const CLOSING: &str = "[DONE]";
 
 /// How an attempt ends whose engine sends what makes no sense.
-const NONSENSE: End = End::Failed {
+const NONSENSE: AttemptEnd = AttemptEnd::Failed {
     failure: Failure::TargetError,
     ran: Ran::Partly,
 };
@@ -39,7 +39,7 @@
 /// How a run came to its end.
 enum Outcome {
     /// The engine ended it, or refused it.
-    End(End),
+    End(AttemptEnd),
     /// The connection broke.
     Break,
     /// The table has ended it already.
@@ -61,7 +61,7 @@
     match outcome {
         Outcome::End(end) => state.tell(|table, now| table.on_end(now, id, end)),
         Outcome::Break => {
-            state.tell(|table, now| table.on_break(now, id));
+            state.tell(|table, now| table.on_disconnect(now, id));
             state.check.notify_one();
         }
         Outcome::Stopped => abort(state, id),
@@ -86,7 +86,7 @@
     signal: &Signal,
 ) -> Outcome {
     if remaining(&work) == 0 {
-        return Outcome::End(End::Done(Finish::Length));
+        return Outcome::End(AttemptEnd::Done(Finish::Length));
     }
     let (path, body) = Completion::new(id, rank, &work);
     let sent = state.engine.post(path, &body).await;
@@ -96,7 +96,7 @@
         Ok(response) => response,
         Err(error) if error.is_harmless() => {
             state.check.notify_one();
-            return Outcome::End(End::NotRun(Reason::TargetDown));
+            return Outcome::End(AttemptEnd::NotRun(Reason::TargetDown));
         }
         Err(error) => {
             warn!(generation = id.generation.to_string(), attempt = id.attempt.0; "{error}");
@@ -109,15 +109,15 @@
     }
 }
 
-fn refusal(status: StatusCode) -> Option<End> {
-    let failed = |ran| End::Failed {
+fn refusal(status: StatusCode) -> Option<AttemptEnd> {
+    let failed = |ran| AttemptEnd::Failed {
         failure: Failure::TargetError,
         ran,
     };
     match status {
         StatusCode::OK => None,
-        StatusCode::NOT_FOUND => Some(End::NotRun(Reason::WrongVersion)),
-        StatusCode::SERVICE_UNAVAILABLE => Some(End::NotRun(Reason::Busy)),
+        StatusCode::NOT_FOUND => Some(AttemptEnd::NotRun(Reason::WrongVersion)),
+        StatusCode::SERVICE_UNAVAILABLE => Some(AttemptEnd::NotRun(Reason::Busy)),
         status if status.is_client_error() => Some(failed(Ran::No)),
         _ => Some(failed(Ran::Partly)),
     }
@@ -157,10 +157,10 @@
     if !tokens.is_empty() {
         let chunk = Chunk::Tokens(tokens);
         match state.decide(|table, now| table.on_output(now, id, chunk)) {
-            Flow::Go => {}
-            Flow::Hold => signal.resume.notified().await,
-            Flow::Stop => return Some(Outcome::Stopped),
+            FlowControl::Continue => {}
+            FlowControl::Pause => signal.resume.notified().await,
+            FlowControl::Stop => return Some(Outcome::Stopped),
         }
     }
-    finish.map(|finish| Outcome::End(End::Done(finish)))
+    finish.map(|finish| Outcome::End(AttemptEnd::Done(finish)))
 }
--- a/crates/cyclamenwharf/src/agent/metrics.rs
+++ b/crates/cyclamenwharf/src/agent/metrics.rs
@@ -65,7 +65,7 @@
         self.running.set(load.running.into());
         self.waiting.set(load.waiting.into());
         self.limit.set(load.limit.into());
-        self.kept.set(table.kept() as i64);
+        self.kept.set(table.output_bytes() as i64);
         self.remembered.set(table.remembered() as i64);
         self.crashes.set(table.crashes().len() as i64);
         let encoder = prometheus::TextEncoder::new();
--- a/crates/cyclamenwharf/src/agent/monitor.rs
+++ b/crates/cyclamenwharf/src/agent/monitor.rs
@@ -32,9 +32,9 @@
 pub(super) async fn run(state: Arc<AgentState>) {
     let mut memory = Memory::default();
     loop {
-        let before = state.look(|table, _| table.gate().state());
+        let before = state.look(|table, _| table.readiness().state());
         observe(&state, &mut memory).await;
-        let after = state.look(|table, _| table.gate().state());
+        let after = state.look(|table, _| table.readiness().state());
         if before != after {
             info!(target = state.settings.target.id.as_str(); "the target is {}", word(after));
             state.report.notify_one();
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -6,7 +6,7 @@
 
 use cw_policy::Event;
 use cw_policy::Verdict;
-use cw_policy::budget::Extra;
+use cw_policy::budget::ExtraSend;
 use cw_policy::queue::Lane;
 use cw_policy::queue::Waiter;
 use cw_policy::routing::Choice;
@@ -52,7 +52,7 @@
         let route = &self.job.route;
         let mut budgets = self.front.budgets();
         if hedge {
-            let allowed = budgets.spend(Extra::Hedge, route, target);
+            let allowed = budgets.try_spend(ExtraSend::Hedge, route, target);
             if allowed {
                 self.front.metrics.hedges.inc();
             }
@@ -62,9 +62,9 @@
             return true;
         }
         match std::mem::replace(&mut self.tried, true) {
-            true => budgets.spend(Extra::Redirect, route, target),
+            true => budgets.try_spend(ExtraSend::Redirect, route, target),
             false => {
-                budgets.first(route, target);
+                budgets.record_first(route, target);
                 true
             }
         }
--- a/crates/cyclamenwharf/src/entry/quota_gate.rs
+++ b/crates/cyclamenwharf/src/entry/quota_gate.rs
@@ -9,8 +9,8 @@
 
 use cw_policy::View;
 use cw_policy::membership::Relay;
+use cw_policy::quota::QuotaDecision;
 use cw_policy::quota::QuotaSettings;
-use cw_policy::quota::QuotaStep;
 use cw_policy::quota::Quotas;
 use cw_types::ErrorKind;
 use cw_types::HostId;
@@ -69,11 +69,11 @@
         let quota = &record.quota;
         let step = (self.lock()).admit(now, workspace, quota, tokens, &mut rand::rng());
         match step {
-            QuotaStep::Admit => Ok(QuotaGuard {
+            QuotaDecision::Admit => Ok(QuotaGuard {
                 gate: self.clone(),
                 workspace: workspace.clone(),
             }),
-            QuotaStep::Refuse { retry } => {
+            QuotaDecision::Refuse { retry } => {
                 Err(Refusal::new(ErrorKind::OverQuota).with_retry(retry))
             }
         }
@@ -101,12 +101,12 @@
 impl QuotaGuard {
     /// Counts tokens that were produced.
     pub(crate) fn produced(&self, now: Time, tokens: u64) {
-        self.gate.lock().produced(now, &self.workspace, tokens);
+        self.gate.lock().record_output(now, &self.workspace, tokens);
     }
 }
 
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        self.gate.lock().ended(&self.workspace);
+        self.gate.lock().record_end(&self.workspace);
     }
 }
--- a/crates/cyclamenwharf/src/forward/courier.rs
+++ b/crates/cyclamenwharf/src/forward/courier.rs
@@ -74,7 +74,7 @@
 impl Courier {
     pub(super) fn new(shared: Arc<Shared>, parcel: Parcel, exchange: Exchange) -> Self {
         let now = exchange.plan().arrived;
-        shared.beliefs().budgets.first(now, &parcel.service);
+        shared.beliefs().budgets.record_first(now, &parcel.service);
         let prompt = parcel.head.prompt.as_deref().map(PromptHash::of);
         Self {
             shared,
@@ -147,7 +147,7 @@
         let service = &self.parcel.service;
         let step = self
             .exchange
-            .on_event(now, event, || beliefs.budgets.spend(now, service));
+            .on_event(now, event, || beliefs.budgets.try_spend(now, service));
         info!(
             request = self.parcel.head.id.as_str(),
             target_id = placed.as_ref().map_or("none", |at| at.target.as_str()),
--- a/crates/cyclamenwharf/src/forward/directory.rs
+++ b/crates/cyclamenwharf/src/forward/directory.rs
@@ -32,7 +32,7 @@
 /// holds must be in force within seconds of its return.
 const BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(100),
-    most: Duration::from_millis(800),
+    max: Duration::from_millis(800),
 };
 
 /// How often an entry that does not watch the service looks whether it should.
@@ -76,7 +76,7 @@
             self.ask().await;
             let pause = {
                 let mut beliefs = self.shared.beliefs();
-                BACKOFF.wait(failures, &mut beliefs.rng)
+                BACKOFF.delay(failures, &mut beliefs.rng)
             };
             failures += 1;
             tokio::time::sleep(pause).await;
--- a/crates/cyclamenwharf/src/forward/shared.rs
+++ b/crates/cyclamenwharf/src/forward/shared.rs
@@ -159,7 +159,7 @@
     pub(super) fn recount(&self, now: Time, beliefs: &mut Beliefs) {
         let others = beliefs.roster.others(now);
         let count = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
-        beliefs.budgets.share(count);
+        beliefs.budgets.set_entries(count);
         self.metrics.entries.set(i64::from(count));
         let hosts = others.into_keys();
         beliefs.fleet.set_entries(&self.settings.host, hosts);
