--- a/crates/cw_policy/src/admission/admission_control.rs
+++ b/crates/cw_policy/src/admission/admission_control.rs
@@ -1,4 +1,4 @@
-//! Which attempts start, wait or are refused at one target.
+//! Admission control of one target: attempts start, wait or are refused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 use super::FairQueue;
 use super::Ticket;
 
-/// The share of the engine's cache that running attempts may need, in percent.
+/// The share of the engine's KV cache that running attempts may fill, in percent.
 const CACHE_PERCENT: u64 = 95;
-/// The shortest pause that a refused caller is told to make.
+/// The shortest retry delay given to a refused caller.
 const RETRY_MIN: Duration = Duration::from_millis(100);
-/// The longest pause that a refused caller is told to make.
+/// The longest retry delay given to a refused caller.
 const RETRY_MAX: Duration = Duration::from_secs(5);
-/// The weight of a new reading in the smoothed time between starts, as a divisor.
-const SMOOTHING: u32 = 8;
+/// The newest interval weighs one part in this many in the smoothed time between releases.
+const SMOOTHING_DIVISOR: u32 = 8;
 
-/// Bounds on admission.
+/// The limits of admission to one target.
 #[derive(Clone, Debug)]
 pub struct AdmissionLimits {
-    /// The most attempts that run at once.
+    /// The maximum number of attempts that run at once.
     pub max_running: u32,
-    /// The most attempts that wait.
+    /// The maximum number of attempts that wait.
     pub max_waiting: u32,
-    /// The most bytes of attempts that wait.
+    /// The maximum size of all waiting attempts together.
     pub queue_bytes: ByteSize,
-    /// Slots that only resumed attempts may take.
+    /// The number of slots reserved for resumed attempts.
     pub reserved_slots: u32,
-    /// The time between tokens to keep within.
+    /// The time between tokens above which fewer attempts are admitted.
     pub step_limit: Duration,
 }
 
@@ -49,65 +49,65 @@
     }
 }
 
-/// What becomes of a ticket.
+/// The outcome of submitting a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionOutcome {
-    /// It starts now.
+    /// The attempt starts now.
     Start,
-    /// It waits for its turn; a ticket of a lower class may have lost its place to it.
+    /// The attempt waits; if the queue was full, it displaced a ticket of a lower class.
     Wait {
-        /// The attempt that no longer waits.
+        /// The attempt that was removed from the queue.
         displaced: Option<AttemptId>,
     },
-    /// It is refused.
+    /// The attempt is refused.
     Busy {
-        /// When it is worth asking again.
+        /// The delay after which the caller should retry.
         retry: Duration,
     },
 }
 
-/// Admission to one target.
+/// Admission control of one target.
 #[derive(Clone, Debug)]
 pub struct AdmissionControl {
     limits: AdmissionLimits,
     limit: AdaptiveLimit,
     queue: FairQueue,
     running: BTreeMap<AttemptId, u64>,
-    held: u64,
-    engine: Load,
-    released: Option<Time>,
-    pace: Duration,
+    cached_tokens: u64,
+    engine_load: Load,
+    last_release: Option<Time>,
+    release_interval: Duration,
     paused: bool,
 }
 
 impl AdmissionControl {
-    /// Returns admission with nothing running.
+    /// Returns admission control with nothing running or waiting.
     pub fn new(limits: AdmissionLimits) -> Self {
         let floor = limits.reserved_slots + 1;
         let limit = AdaptiveLimit::new(limits.step_limit, floor, limits.max_running);
-        let limit = limit.with_reserve(limits.reserved_slots);
+        let limit = limit.with_reserved_slots(limits.reserved_slots);
         Self {
             limits,
             limit,
             queue: FairQueue::default(),
             running: BTreeMap::new(),
-            held: 0,
-            engine: Load::default(),
-            released: None,
-            pace: RETRY_MIN,
+            cached_tokens: 0,
+            engine_load: Load::default(),
+            last_release: None,
+            release_interval: RETRY_MIN,
             paused: false,
         }
     }
 
-    /// Starts nothing, and lets everything wait, while it is not known whether the target lives.
+    /// Sets whether all starts are held back, which they are while the target may have crashed.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// Decides about a new ticket.
+    /// Starts, queues or refuses a new ticket.
     pub fn submit(&mut self, now: Time, ticket: Ticket) -> AdmissionOutcome {
         if self.queue.is_empty() && self.has_room(&ticket) {
-            self.run(&ticket);
+            self.add_running(&ticket);
             return AdmissionOutcome::Start;
         }
         let bytes = self.queue.bytes() + ticket.bytes;
@@ -118,58 +118,60 @@
             self.queue.push(ticket);
             return AdmissionOutcome::Wait { displaced: None };
         }
-        let Some(last) = self.queue.displaced_by(&ticket) else {
+        let Some(displaced) = self.queue.displaced_by(&ticket) else {
             return self.refuse();
         };
-        self.queue.remove(last);
+        self.queue.remove(displaced);
         self.queue.push(ticket);
         AdmissionOutcome::Wait {
-            displaced: Some(last),
+            displaced: Some(displaced),
         }
     }
 
-    /// Takes the next ticket that may start, if there is one.
+    /// Removes the next ticket from the queue and starts it, if there is a slot for it.
     pub fn admit_next(&mut self) -> Option<AttemptId> {
-        let reserved = self.free() <= self.limits.reserved_slots;
-        let ticket = self.queue.peek(reserved)?;
+        let resumed_only = self.free_slots() <= self.limits.reserved_slots;
+        let ticket = self.queue.peek(resumed_only)?;
         if !self.has_room(ticket) {
             return None;
         }
-        let ticket = self.queue.pop(reserved)?;
-        self.run(&ticket);
+        let ticket = self.queue.pop(resumed_only)?;
+        self.add_running(&ticket);
         Some(ticket.id)
     }
 
-    /// Removes an attempt, whether it runs or waits.
+    /// Removes a running or waiting attempt.
     pub fn release(&mut self, now: Time, id: AttemptId) {
         self.queue.remove(id);
         let Some(tokens) = self.running.remove(&id) else {
             return;
         };
-        self.held -= tokens;
-        if let Some(before) = self.released.replace(now) {
-            let pace = now.since(before);
-            self.pace = (self.pace * (SMOOTHING - 1) + pace) / SMOOTHING;
+        self.cached_tokens -= tokens;
+        if let Some(previous) = self.last_release.replace(now) {
+            let interval = now.since(previous);
+            self.release_interval =
+                (self.release_interval * (SMOOTHING_DIVISOR - 1) + interval) / SMOOTHING_DIVISOR;
         }
     }
 
-    /// Counts output of a running attempt, which fills the engine's cache.
-    pub fn grow(&mut self, id: AttemptId, tokens: u64) {
-        if let Some(held) = self.running.get_mut(&id) {
-            *held += tokens;
-            self.held += tokens;
+    /// Adds output tokens of a running attempt to the expected use of the engine's KV cache.
+    pub fn add_output(&mut self, id: AttemptId, tokens: u64) {
+        if let Some(cached) = self.running.get_mut(&id) {
+            *cached += tokens;
+            self.cached_tokens += tokens;
         }
     }
 
-    /// Takes in a reading of the engine's load.
-    pub fn observe(&mut self, engine: Load) {
-        // What waits for the next step of a batch is seen once; a full engine shows it again.
-        let queued = engine.waiting.min(self.engine.waiting);
-        self.limit.observe(engine.step, engine.running, queued);
-        self.engine = engine;
+    /// Adjusts the limit to a load sample of the engine.
+    pub fn observe(&mut self, load: Load) {
+        // Attempts that join at the next batch step are queued in one sample only; those that a
+        // full engine cannot take are still queued in the next.
+        let queued = load.waiting.min(self.engine_load.waiting);
+        self.limit.observe(load.step, load.running, queued);
+        self.engine_load = load;
     }
 
-    /// Returns the attempts that have waited too long.
+    /// Returns the waiting attempts whose deadline has passed.
     pub fn expired(&self, now: Time) -> Vec<AttemptId> {
         self.queue.expired(now)
     }
@@ -178,45 +180,47 @@
     pub fn load(&self, now: Time) -> Load {
         Load {
             running: self.running.len() as u32,
-            waiting: self.queue.len() as u32 + self.engine.waiting,
+            waiting: self.queue.len() as u32 + self.engine_load.waiting,
             limit: self.limit.get(),
             step: self.limit.step(),
             age: now.since(Time::default()),
-            ..self.engine
+            ..self.engine_load
         }
     }
 
-    /// Returns when a refused caller should ask again, by the rate at which attempts end.
+    /// Returns the delay after which a refused caller should retry.
+    ///
+    /// It is the time in which the attempts in the queue start, by the recent rate of releases.
     pub fn retry(&self) -> Duration {
         let ahead = self.queue.len() as u32 + 1;
-        (self.pace * ahead).clamp(RETRY_MIN, RETRY_MAX)
+        (self.release_interval * ahead).clamp(RETRY_MIN, RETRY_MAX)
     }
 
-    // ---- Room
+    // ---- Capacity
 
-    fn free(&self) -> u32 {
+    fn free_slots(&self) -> u32 {
         let running = self.running.len() as u32;
         self.limit.get().saturating_sub(running)
     }
 
     fn has_room(&self, ticket: &Ticket) -> bool {
-        let kept = match ticket.resumed {
+        let reserved = match ticket.resumed {
             true => 0,
             false => self.limits.reserved_slots,
         };
-        !self.paused && self.free() > kept && self.fits(ticket.tokens)
+        !self.paused && self.free_slots() > reserved && self.fits_cache(ticket.tokens)
     }
 
-    fn fits(&self, tokens: u64) -> bool {
-        let TokenCount(capacity) = self.engine.capacity;
-        // An attempt larger than the cache must still run some time.
-        let unknown = capacity == 0 || self.running.is_empty();
-        unknown || (self.held + tokens) * 100 <= capacity * CACHE_PERCENT
+    fn fits_cache(&self, tokens: u64) -> bool {
+        let TokenCount(capacity) = self.engine_load.capacity;
+        // An attempt larger than the cache is admitted when it runs alone, or it never would be.
+        let unbounded = capacity == 0 || self.running.is_empty();
+        unbounded || (self.cached_tokens + tokens) * 100 <= capacity * CACHE_PERCENT
     }
 
-    fn run(&mut self, ticket: &Ticket) {
+    fn add_running(&mut self, ticket: &Ticket) {
         self.running.insert(ticket.id, ticket.tokens);
-        self.held += ticket.tokens;
+        self.cached_tokens += ticket.tokens;
     }
 
     fn refuse(&self) -> AdmissionOutcome {
--- a/crates/cw_policy/src/admission/fair_queue.rs
+++ b/crates/cw_policy/src/admission/fair_queue.rs
@@ -1,4 +1,4 @@
-//! A queue that is fair between workspaces and starves no rank.
+//! A priority queue with fair shares between workspaces and a bound on every wait.
 
 use std::collections::BTreeMap;
 
@@ -6,51 +6,51 @@
 use cw_types::Time;
 use cw_types::WorkspaceId;
 
-/// Every how many starts the oldest ticket goes first, whatever its rank.
-const AGED_TURN: u64 = 8;
+/// One in this many starts goes to the oldest ticket, whatever its rank.
+const OLDEST_FIRST_PERIOD: u64 = 8;
 /// The virtual time that one start costs a workspace of weight 1.
-const COST: u64 = 1 << 20;
+const START_COST: u64 = 1 << 20;
 
-/// An attempt that asks to run.
+/// A request to run an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The attempt.
     pub id: AttemptId,
-    /// The workspace that it belongs to.
+    /// The workspace of the attempt.
     pub workspace: WorkspaceId,
-    /// The weight of that workspace.
+    /// The fair-queueing weight of the workspace.
     pub weight: u32,
-    /// The rank of its priority: a higher one goes first.
+    /// The rank of its priority; higher ranks start first.
     pub rank: u8,
-    /// Whether it continues a lost attempt: those go before all ranks.
+    /// Whether the attempt resumes a lost one; such attempts start before all ranks.
     pub resumed: bool,
-    /// When it gives up waiting.
+    /// When the attempt stops waiting.
     pub deadline: Time,
-    /// The tokens that it brings into the engine's cache.
+    /// The tokens that the attempt adds to the engine's KV cache at its start.
     pub tokens: u64,
-    /// The bytes that it keeps while it waits.
+    /// The memory that the attempt takes while it waits, in bytes.
     pub bytes: u64,
 }
 
-/// Which tickets go first; the lowest is the first to go.
+/// A priority class; the lowest value starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Class {
     ordinary: bool,
-    rank_below: u8,
+    inverted_rank: u8,
 }
 
 impl Class {
     fn of(ticket: &Ticket) -> Self {
         Self {
             ordinary: !ticket.resumed,
-            rank_below: u8::MAX - ticket.rank,
+            inverted_rank: u8::MAX - ticket.rank,
         }
     }
 }
 
-/// A place in the queue: class, virtual finish time, number of arrival.
+/// A ticket's sort key: class, virtual finish time, arrival number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueueKey {
     class: Class,
     finish: u64,
     arrival: u64,
@@ -58,29 +58,29 @@
 
 /// The virtual clock of one class.
 #[derive(Clone, Debug, Default)]
-struct Clock {
+struct VirtualClock {
     now: u64,
     finishes: BTreeMap<WorkspaceId, u64>,
 }
 
 /// Weighted fair queueing between the workspaces of a class, and strict priority between classes,
-/// except that every eighth start is given to the oldest ticket of all.
+/// except that every eighth start goes to the oldest ticket of all classes.
 ///
-/// So a ticket of the lowest rank with `n` older tickets before it starts after at most
-/// `8 × (n + 1)` starts.
+/// A ticket with `n` older tickets in the queue therefore starts within `8 × (n + 1)` starts,
+/// whatever its rank.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
-    tickets: BTreeMap<Place, Ticket>,
-    arrivals: BTreeMap<u64, Place>,
-    places: BTreeMap<AttemptId, Place>,
-    clocks: BTreeMap<Class, Clock>,
+    tickets: BTreeMap<QueueKey, Ticket>,
+    arrivals: BTreeMap<u64, QueueKey>,
+    keys: BTreeMap<AttemptId, QueueKey>,
+    clocks: BTreeMap<Class, VirtualClock>,
     arrival: u64,
     starts: u64,
     bytes: u64,
 }
 
 impl FairQueue {
-    /// Returns how many tickets wait.
+    /// Returns the number of waiting tickets.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
@@ -90,7 +90,7 @@
         self.tickets.is_empty()
     }
 
-    /// Returns how many bytes the waiting tickets keep.
+    /// Returns the memory that the waiting tickets take, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -99,43 +99,43 @@
     pub fn push(&mut self, ticket: Ticket) {
         let class = Class::of(&ticket);
         let clock = self.clocks.entry(class).or_default();
-        let last = clock.finishes.get(&ticket.workspace).copied();
-        let begin = clock.now.max(last.unwrap_or_default());
-        let finish = begin + COST / u64::from(ticket.weight.max(1));
+        let previous = clock.finishes.get(&ticket.workspace).copied();
+        let start = clock.now.max(previous.unwrap_or_default());
+        let finish = start + START_COST / u64::from(ticket.weight.max(1));
         clock.finishes.insert(ticket.workspace.clone(), finish);
         self.bytes += ticket.bytes;
         self.arrival += 1;
-        let place = Place {
+        let key = QueueKey {
             class,
             finish,
             arrival: self.arrival,
         };
-        self.places.insert(ticket.id, place);
-        self.arrivals.insert(self.arrival, place);
-        self.tickets.insert(place, ticket);
+        self.keys.insert(ticket.id, key);
+        self.arrivals.insert(self.arrival, key);
+        self.tickets.insert(key, ticket);
     }
 
-    /// Returns the ticket that goes next; `reserved` leaves only resumed ones.
-    pub fn peek(&self, reserved: bool) -> Option<&Ticket> {
-        self.turn(reserved)
-            .and_then(|place| self.tickets.get(&place))
+    /// Returns the next ticket; with `resumed_only`, only if it resumes an attempt.
+    pub fn peek(&self, resumed_only: bool) -> Option<&Ticket> {
+        self.next_key(resumed_only)
+            .and_then(|key| self.tickets.get(&key))
     }
 
-    /// Takes the ticket that goes next.
-    pub fn pop(&mut self, reserved: bool) -> Option<Ticket> {
-        let place = self.turn(reserved)?;
-        if !reserved {
+    /// Removes and returns the next ticket, as [`FairQueue::peek`] chooses it.
+    pub fn pop(&mut self, resumed_only: bool) -> Option<Ticket> {
+        let key = self.next_key(resumed_only)?;
+        if !resumed_only {
             self.starts += 1;
         }
-        let clock = self.clocks.entry(place.class).or_default();
-        clock.now = clock.now.max(place.finish);
-        self.take(place)
+        let clock = self.clocks.entry(key.class).or_default();
+        clock.now = clock.now.max(key.finish);
+        self.remove_key(key)
     }
 
     /// Removes a ticket.
     pub fn remove(&mut self, id: AttemptId) -> Option<Ticket> {
-        let place = *self.places.get(&id)?;
-        self.take(place)
+        let key = *self.keys.get(&id)?;
+        self.remove_key(key)
     }
 
     /// Returns the tickets whose deadline has passed.
@@ -149,30 +149,30 @@
 
     /// Returns the newest ticket of the lowest class if `ticket` is of a higher one.
     pub fn displaced_by(&self, ticket: &Ticket) -> Option<AttemptId> {
-        let (place, last) = self.tickets.last_key_value()?;
-        (Class::of(ticket) < place.class).then_some(last.id)
+        let (key, last) = self.tickets.last_key_value()?;
+        (Class::of(ticket) < key.class).then_some(last.id)
     }
 
-    fn turn(&self, reserved: bool) -> Option<Place> {
-        if reserved {
+    fn next_key(&self, resumed_only: bool) -> Option<QueueKey> {
+        if resumed_only {
             let first = self.tickets.first_key_value()?;
             return first.1.resumed.then_some(*first.0);
         }
-        if (self.starts + 1).is_multiple_of(AGED_TURN) {
+        if (self.starts + 1).is_multiple_of(OLDEST_FIRST_PERIOD) {
             return self.arrivals.values().next().copied();
         }
         self.tickets.keys().next().copied()
     }
 
-    fn take(&mut self, place: Place) -> Option<Ticket> {
-        let ticket = self.tickets.remove(&place)?;
+    fn remove_key(&mut self, key: QueueKey) -> Option<Ticket> {
+        let ticket = self.tickets.remove(&key)?;
         self.bytes -= ticket.bytes;
-        self.arrivals.remove(&place.arrival);
-        self.places.remove(&ticket.id);
-        let empty = !self.tickets.keys().any(|other| other.class == place.class);
-        if empty {
-            // Nobody waits, so nobody is owed anything.
-            self.clocks.remove(&place.class);
+        self.arrivals.remove(&key.arrival);
+        self.keys.remove(&ticket.id);
+        let class_empty = !self.tickets.keys().any(|other| other.class == key.class);
+        if class_empty {
+            // With no ticket waiting, no workspace has a claim to earlier service.
+            self.clocks.remove(&key.class);
         }
         Some(ticket)
     }
--- a/crates/cw_policy/src/admission/mod.rs
+++ b/crates/cw_policy/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! What a target's agent lets run, and in which order.
+//! Admission control at a target's agent: which attempts run, and in which order.
 
 mod adaptive_limit;
 mod admission_control;
--- a/crates/cw_policy/src/attempt/attempt_limits.rs
+++ b/crates/cw_policy/src/attempt/attempt_limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on attempts.
+//! Limits on the attempts at one target.
 
 use std::time::Duration;
 
@@ -6,16 +6,17 @@
 
 use crate::AdmissionLimits;
 
-/// Bounds on the attempts of one target.
+/// Limits on the attempts at one target.
 #[derive(Clone, Debug)]
 pub struct AttemptLimits {
-    /// Bounds on admission.
+    /// The limits of admission.
     pub admission: AdmissionLimits,
-    /// The most output kept for all attempts together.
+    /// The maximum size of the buffered output of all attempts together.
     pub output_bytes: ByteSize,
-    /// How long an ended attempt's output is kept, and how long an idempotent one runs unread.
+    /// How long the output of an ended attempt is kept, and how long an idempotent attempt runs
+    /// without a reader.
     pub retention: Duration,
-    /// How long an ended attempt is remembered, and the oldest stamp that is taken.
+    /// How long an ended attempt is remembered, and the maximum age of a stamp.
     pub tombstone: Duration,
 }
 
@@ -31,8 +32,8 @@
 }
 
 impl AttemptLimits {
-    /// Returns the most bytes of output that one running attempt may keep.
-    pub fn share(&self) -> usize {
+    /// Returns how many bytes of output one running attempt may buffer.
+    pub fn output_share(&self) -> usize {
         self.output_bytes.as_usize() / self.admission.max_running.max(1) as usize
     }
 }
--- a/crates/cw_policy/src/attempt/attempt_state.rs
+++ b/crates/cw_policy/src/attempt/attempt_state.rs
@@ -1,4 +1,4 @@
-//! What is known of one attempt.
+//! The state of one attempt.
 
 use std::time::Duration;
 
@@ -20,63 +20,63 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Its output is whole.
+    /// Its output is complete.
     Done(Finish),
-    /// It failed after it may have reached its target.
+    /// It failed after it may have reached the target.
     Failed {
-        /// Why.
+        /// The cause.
         failure: Failure,
-        /// Whether it was run.
+        /// Whether it ran.
         ran: Ran,
     },
-    /// Nothing of it reached its target, and nothing will.
+    /// It did not run at this target and never will.
     NotRun(Reason),
 }
 
-/// Where an attempt is.
+/// The stage of an attempt, in the order of the variants.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// It waits for its turn.
+    /// It waits for admission.
     Waiting(Box<Dispatch>),
-    /// Its target has it, or may have it.
+    /// It was sent to the target, or may have been.
     Running,
-    /// It has ended, at this moment.
+    /// It ended at this time.
     Ended(AttemptEnd, Time),
 }
 
-/// What is known of one attempt.
+/// The state of one attempt.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptState {
-    /// The workspace; none for an attempt that was cancelled before it was seen.
+    /// The workspace; none for an attempt that ended before its dispatch was accepted.
     pub(super) workspace: Option<WorkspaceId>,
     /// Whether it may run more than once.
     pub(super) idempotent: bool,
     /// The fingerprint of its request.
     pub(super) fingerprint: Fingerprint,
-    /// The version that it is pinned to.
+    /// The model version that it is pinned to.
     pub(super) pin: Option<(ModelName, VersionName)>,
-    /// Where it is.
+    /// Its stage.
     pub(super) stage: Stage,
-    /// The cached prompt tokens, once its target answers.
+    /// The number of prompt tokens found in the cache, once the target has accepted it.
     pub(super) accepted: Option<TokenCount>,
-    /// Its output.
+    /// Its buffered output.
     pub(super) output: Output,
-    /// The index below which a reader has got the output.
-    pub(super) sent: u64,
-    /// How many streams read it.
+    /// The index below which some reader has received the output.
+    pub(super) sent_until: u64,
+    /// The number of streams that read it.
     pub(super) readers: u32,
-    /// Since when nobody reads it.
-    pub(super) alone: Time,
-    /// When its target last produced something, or began.
-    pub(super) active: Time,
-    /// Whether its target is not read from, for lack of room.
-    pub(super) held: bool,
-    /// Whether a reader has got its end.
+    /// When its last reader left, or when it was created if it had none.
+    pub(super) unread_since: Time,
+    /// When the target last produced output for it, or when it started.
+    pub(super) last_active: Time,
+    /// Whether reading from the target is paused because its output buffer is full.
+    pub(super) paused: bool,
+    /// Whether a reader has received its last frame.
     pub(super) delivered: bool,
 }
 
 impl AttemptState {
-    /// Returns a new attempt that waits.
+    /// Returns a new, waiting attempt.
     pub(super) fn new(now: Time, dispatch: Dispatch) -> Self {
         let (pin, first) = match &dispatch.work {
             Work::Generate(work) => {
@@ -93,16 +93,16 @@
             stage: Stage::Waiting(Box::new(dispatch)),
             accepted: None,
             output: Output::new(first),
-            sent: first,
+            sent_until: first,
             readers: 0,
-            alone: now,
-            active: now,
-            held: false,
+            unread_since: now,
+            last_active: now,
+            paused: false,
             delivered: false,
         }
     }
 
-    /// Returns an attempt that ended before anything was known of it.
+    /// Returns an attempt that ended before its dispatch was accepted.
     pub(super) fn tombstone(now: Time, reason: Reason) -> Self {
         Self {
             workspace: None,
@@ -112,11 +112,11 @@
             stage: Stage::Ended(AttemptEnd::NotRun(reason), now),
             accepted: None,
             output: Output::new(0),
-            sent: 0,
+            sent_until: 0,
             readers: 0,
-            alone: now,
-            active: now,
-            held: false,
+            unread_since: now,
+            last_active: now,
+            paused: false,
             delivered: true,
         }
     }
@@ -126,7 +126,7 @@
         !matches!(self.stage, Stage::Ended(..))
     }
 
-    /// Returns whether it has output, or will have.
+    /// Returns whether it has output or may still produce some.
     pub(super) fn has_output(&self) -> bool {
         match self.stage {
             Stage::Ended(AttemptEnd::NotRun(_), _) => false,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns how much of it was run if it is cut off now.
+    /// Returns how much of it ran, if it ended now.
     pub(super) fn ran(&self) -> Ran {
         match (&self.stage, &self.pin) {
             (Stage::Waiting(_) | Stage::Ended(AttemptEnd::NotRun(_), _), _) => Ran::No,
@@ -146,10 +146,10 @@
         }
     }
 
-    /// Returns how long its target has produced nothing while it could have.
-    pub(super) fn quiet(&self, now: Time) -> Duration {
+    /// Returns how long the target has produced nothing although it was read from.
+    pub(super) fn idle_time(&self, now: Time) -> Duration {
         match self.stage {
-            Stage::Running if !self.held => now.since(self.active),
+            Stage::Running if !self.paused => now.since(self.last_active),
             _ => Duration::ZERO,
         }
     }
--- a/crates/cw_policy/src/attempt/attempt_step.rs
+++ b/crates/cw_policy/src/attempt/attempt_step.rs
@@ -1,4 +1,4 @@
-//! What the attempt table tells its driver to do.
+//! The instructions of the attempt table to its driver.
 
 use cw_types::AttemptId;
 use cw_wire::Dispatch;
@@ -6,35 +6,35 @@
 
 use super::Reader;
 
-/// What to do next.
+/// An instruction to the driver of the attempt table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptStep {
-    /// Give the attempt to the target.
+    /// Send the attempt to the target.
     Start(Box<Dispatch>),
-    /// Take the attempt back from the target.
+    /// Abort the attempt at the target.
     Abort(AttemptId),
-    /// Read on from the target, after [`FlowControl::Pause`].
+    /// Resume reading from the target, after [`FlowControl::Pause`].
     Resume(AttemptId),
-    /// Let the readers of the attempt look again.
+    /// Wake the readers of the attempt: it has new frames.
     Wake(AttemptId),
 }
 
-/// What answers a dispatch or an attach.
+/// The answer to a dispatch or an attach.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptAnswer {
-    /// A stream, read by this reader.
+    /// A stream of frames, which this reader reads.
     Read(Reader),
-    /// One frame.
+    /// A single frame.
     Frame(Box<Frame>),
 }
 
-/// Whether to read on from the target.
+/// Whether the driver continues reading from the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowControl {
-    /// Read on.
+    /// Continue reading.
     Continue,
-    /// Wait for [`AttemptStep::Resume`].
+    /// Stop reading until [`AttemptStep::Resume`].
     Pause,
-    /// Stop: the attempt has ended.
+    /// Stop reading: the attempt has ended.
     Stop,
 }
--- a/crates/cw_policy/src/attempt/crash_log.rs
+++ b/crates/cw_policy/src/attempt/crash_log.rs
@@ -1,4 +1,4 @@
-//! Crashes of an engine under a living agent.
+//! Crashes of an engine while its agent keeps running.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,46 +11,49 @@
 use cw_wire::Fingerprint;
 
 /// How long a crash is reported.
-const REPORTED: Duration = Duration::from_secs(300);
-/// The most crashes that are reported.
+const REPORT_RETENTION: Duration = Duration::from_secs(300);
+/// The maximum number of crashes that are reported.
 const CRASHES_MAX: usize = 16;
 
-/// The attempts that an engine's crash may be due to.
+/// The crashes of an engine, with the attempts that may have caused them.
 ///
-/// A broken connection alone is no crash: only the engine's refusal of a new connection, or a
-/// reading with another boot id, shows that it died.
+/// A broken connection alone does not count as a crash: only a refused new connection, or a load
+/// sample with another boot id, proves that the engine crashed.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLog {
     running: BTreeMap<AttemptId, Fingerprint>,
-    broken: VecDeque<(Time, Fingerprint)>,
+    disconnected: VecDeque<(Time, Fingerprint)>,
     crashes: VecDeque<(Time, CrashReport)>,
     sequence: u64,
 }
 
 impl CrashLog {
-    /// An attempt reaches the engine.
+    /// Handles the start of an attempt at the engine.
     pub fn on_start(&mut self, id: AttemptId, fingerprint: Fingerprint) {
         self.running.insert(id, fingerprint);
     }
 
-    /// An attempt left the engine for a reason of its own.
+    /// Handles an end that the engine did not cause by crashing; the attempt is no suspect.
     pub fn on_end(&mut self, id: AttemptId) {
         self.running.remove(&id);
     }
 
-    /// An attempt's connection to the engine broke.
+    /// Handles a broken connection of an attempt to the engine.
     pub fn on_disconnect(&mut self, now: Time, id: AttemptId) {
         if let Some(fingerprint) = self.running.remove(&id) {
-            self.broken.push_back((now, fingerprint));
+            self.disconnected.push_back((now, fingerprint));
         }
     }
 
-    /// The engine has died since the last reading.
+    /// Handles a crash since the last load sample, and records its suspects.
     pub fn on_crash(&mut self, now: Time) {
-        self.forget(now);
+        self.expire_reports(now);
         let running = std::mem::take(&mut self.running);
-        let broken = self.broken.drain(..).map(|(_, fingerprint)| fingerprint);
-        let suspects: BTreeSet<_> = running.into_values().chain(broken).collect();
+        let disconnected = self
+            .disconnected
+            .drain(..)
+            .map(|(_, fingerprint)| fingerprint);
+        let suspects: BTreeSet<_> = running.into_values().chain(disconnected).collect();
         if suspects.is_empty() {
             return;
         }
@@ -65,11 +68,12 @@
         }
     }
 
-    /// The engine lives, as it says in answer to a question asked at `asked`: what broke before
-    /// that was no crash.
+    /// Handles an answer to a load request sent at `asked`.
+    ///
+    /// The engine was alive then, so connections that broke before are not due to a crash.
     pub fn on_alive(&mut self, now: Time, asked: Time) {
-        self.broken.retain(|&(at, _)| at > asked);
-        self.forget(now);
+        self.disconnected.retain(|&(at, _)| at > asked);
+        self.expire_reports(now);
     }
 
     /// Returns the crashes to report.
@@ -80,9 +84,9 @@
             .collect()
     }
 
-    fn forget(&mut self, now: Time) {
+    fn expire_reports(&mut self, now: Time) {
         while let Some((at, _)) = self.crashes.front() {
-            if now.since(*at) <= REPORTED {
+            if now.since(*at) <= REPORT_RETENTION {
                 break;
             }
             self.crashes.pop_front();
--- a/crates/cw_policy/src/attempt/mod.rs
+++ b/crates/cw_policy/src/attempt/mod.rs
@@ -1,4 +1,4 @@
-//! The attempts of one target, as its agent keeps them.
+//! The attempts at one target, tracked by its agent.
 
 mod attempt_limits;
 mod attempt_state;
--- a/crates/cw_policy/src/attempt/output.rs
+++ b/crates/cw_policy/src/attempt/output.rs
@@ -1,4 +1,4 @@
-//! The kept output of one attempt.
+//! The buffered output of one attempt.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,24 +8,24 @@
 use cw_wire::Frame;
 use cw_wire::Token;
 
-/// The most tokens in one frame.
-const TOKENS_MAX: usize = 64;
-/// What a kept part costs beside its text, in bytes.
-const PART_BYTES: usize = size_of::<(u64, Part)>();
+/// The maximum number of tokens in one frame.
+const FRAME_TOKENS_MAX: usize = 64;
+/// The memory that a buffered part takes beside its content, in bytes.
+const PART_OVERHEAD: usize = size_of::<(u64, Part)>();
 
-/// What a target produced.
+/// A piece of output from a target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Chunk {
-    /// Tokens that follow the earlier ones.
+    /// The next tokens.
     Tokens(Vec<Token>),
-    /// The head of a plain service's answer.
+    /// The response head of a plain HTTP service.
     Head {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
         /// End-to-end headers.
         headers: BTreeMap<String, String>,
     },
-    /// Bytes that follow the earlier ones.
+    /// The next bytes of the response body.
     Body(Bytes),
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Part {
-    /// Returns how many indices it spans.
+    /// Returns how many indices the part covers.
     fn span(&self) -> u64 {
         match self {
             Part::Token(_) => 1,
@@ -44,16 +44,16 @@
         }
     }
 
-    fn bytes(&self) -> usize {
+    fn size(&self) -> usize {
         let content = match self {
             Part::Token(token) => token.text.len(),
             Part::Body(bytes) => bytes.len(),
         };
-        PART_BYTES + content
+        PART_OVERHEAD + content
     }
 }
 
-/// Output from an index on: tokens, or the bytes of a plain service's answer.
+/// The output from an index on: tokens, or body bytes of a plain HTTP service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
     head: Option<(u16, BTreeMap<String, String>)>,
@@ -64,7 +64,7 @@
 }
 
 impl Output {
-    /// Returns an empty output whose first index is `first`.
+    /// Returns an empty output that starts at index `first`.
     pub fn new(first: u64) -> Self {
         Self {
             head: None,
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Returns the lowest index that is kept.
+    /// Returns the lowest index in the buffer.
     pub fn base(&self) -> u64 {
         self.base
     }
 
-    /// Returns the index after the last.
+    /// Returns the index after the last one produced.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Returns how many bytes it keeps.
+    /// Returns the memory that the buffer takes, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Adds what a target produced.
+    /// Appends output of the target.
     pub fn push(&mut self, chunk: Chunk) {
         match chunk {
             Chunk::Tokens(tokens) => {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Forgets what lies wholly below `index`.
+    /// Discards the parts that end at or below `index`.
     pub fn trim(&mut self, index: u64) {
         while let Some((first, part)) = self.parts.front() {
             if first + part.span() > index {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Forgets the oldest parts that lie wholly below `index` until less than `room` is kept.
+    /// Discards the oldest parts that end at or below `index` until less than `room` bytes are left.
     pub fn trim_to(&mut self, room: usize, index: u64) {
         while self.bytes >= room {
             match self.parts.front() {
@@ -124,14 +124,14 @@
         }
     }
 
-    /// Forgets everything.
+    /// Discards all parts, but not the response head.
     pub fn clear(&mut self) {
         self.parts.clear();
         self.base = self.next;
         self.bytes = 0;
     }
 
-    /// Returns the head as a frame.
+    /// Returns the response head as a frame.
     pub fn head(&self) -> Option<Frame> {
         let (status, headers) = self.head.clone()?;
         Some(Frame::Head { status, headers })
@@ -139,7 +139,7 @@
 
     /// Returns a frame with the output from `index` on, and the index after it.
     ///
-    /// There is none when `index` is not kept, or not produced yet.
+    /// Returns `None` when `index` was discarded or is not produced yet.
     pub fn frame(&self, index: u64) -> Option<(Frame, u64)> {
         if index < self.base {
             return None;
@@ -155,16 +155,16 @@
                 let offset = index;
                 Some((Frame::Body { offset, bytes }, end))
             }
-            (first, Part::Token(_)) => Some(self.tokens(at, *first)),
+            (first, Part::Token(_)) => Some(self.token_frame(at, *first)),
         }
     }
 
-    fn tokens(&self, at: usize, first: u64) -> (Frame, u64) {
+    fn token_frame(&self, at: usize, first: u64) -> (Frame, u64) {
         let token = |part: &(u64, Part)| match &part.1 {
             Part::Token(token) => Some(token.clone()),
             Part::Body(_) => None,
         };
-        let parts = self.parts.range(at..).take(TOKENS_MAX);
+        let parts = self.parts.range(at..).take(FRAME_TOKENS_MAX);
         let tokens: Vec<Token> = parts.map_while(token).collect();
         let end = first + tokens.len() as u64;
         let first = TokenIndex(first);
@@ -174,14 +174,14 @@
     fn push_part(&mut self, part: Part) {
         let first = self.next;
         self.next += part.span();
-        self.bytes += part.bytes();
+        self.bytes += part.size();
         self.parts.push_back((first, part));
     }
 
     fn pop(&mut self) {
         if let Some((first, part)) = self.parts.pop_front() {
             self.base = first + part.span();
-            self.bytes -= part.bytes();
+            self.bytes -= part.size();
         }
     }
 }
--- a/crates/cw_policy/src/attempt/reader.rs
+++ b/crates/cw_policy/src/attempt/reader.rs
@@ -1,25 +1,25 @@
-//! One stream that reads an attempt.
+//! The position of one stream that reads an attempt.
 
 use cw_types::AttemptId;
 use cw_wire::Frame;
 
-/// Where one stream is in the frames of an attempt.
+/// The position of one stream in the frames of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reader {
     /// The attempt.
     pub id: AttemptId,
-    /// The index of the output that it needs next.
+    /// The output index that it reads next.
     pub next: u64,
-    /// Whether it has got `Accepted`.
+    /// Whether it has received `Accepted`.
     pub accepted: bool,
-    /// Whether it has got `Head`.
+    /// Whether it has received `Head`.
     pub head: bool,
-    /// Whether it has got the last frame.
+    /// Whether it has received the last frame.
     pub ended: bool,
 }
 
 impl Reader {
-    /// Returns a reader of the output from `next` on.
+    /// Returns a reader that starts at output index `next`.
     pub fn new(id: AttemptId, next: u64) -> Self {
         Self {
             id,
@@ -31,13 +31,13 @@
     }
 }
 
-/// What a reader does next.
+/// The next action of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReadStep {
-    /// Sends a frame and reads again.
+    /// Send a frame and read again.
     Frame(Frame),
-    /// Waits for [`crate::AttemptStep::Wake`].
+    /// Wait for [`crate::AttemptStep::Wake`].
     Wait,
-    /// Ends its stream.
+    /// Close the stream.
     Close,
 }
--- a/crates/cw_policy/src/attempt/table/mod.rs
+++ b/crates/cw_policy/src/attempt/table/mod.rs
@@ -1,4 +1,4 @@
-//! The table of attempts.
+//! The state machine of the attempts at one target.
 
 mod peer_events;
 mod target_events;
@@ -34,34 +34,35 @@
 use crate::AdmissionControl;
 use crate::Ticket;
 
-/// How many bytes of text are counted as one token.
+/// The assumed length of a token in bytes of text.
 const TOKEN_BYTES: u64 = 4;
 
-/// The attempts of one target: each runs at most once, whatever arrives twice, late or crossed.
+/// The attempts at one target.
 ///
-/// An attempt waits, runs or has ended, in this order, and never goes back. An ended one is
-/// remembered longer than a dispatch of it is valid, see [`Stamp`].
+/// Each attempt runs at most once, even if messages are duplicated, delayed or reordered. An
+/// attempt waits, runs and ends, in this order, and never goes back. An ended attempt is remembered
+/// for longer than its dispatch stays valid, see [`Stamp`].
 #[derive(Clone, Debug)]
 pub struct AttemptTable {
     limits: AttemptLimits,
     incarnation: Incarnation,
     attempts: BTreeMap<AttemptId, AttemptState>,
     live: BTreeSet<AttemptId>,
-    /// Ended attempts by the time of their end.
+    /// The ended attempts, ordered by the time of their end.
     ended: VecDeque<(Time, AttemptId)>,
-    /// Those of them whose output is kept.
+    /// The ended attempts whose output is kept, in the same order.
     retained: VecDeque<(Time, AttemptId)>,
-    kept: usize,
+    output_bytes: usize,
     readers: u32,
     admission: AdmissionControl,
     readiness: TargetReadiness,
     crashes: CrashLog,
-    /// When a connection broke, until the target is known to live or not.
-    broken: Option<Time>,
+    /// When a connection broke, until it is known whether the target crashed.
+    disconnected_at: Option<Time>,
 }
 
 impl AttemptTable {
-    /// Returns the empty table of an agent's new life.
+    /// Returns an empty table for a new incarnation of the agent.
     pub fn new(incarnation: Incarnation, limits: AttemptLimits) -> Self {
         Self {
             admission: AdmissionControl::new(limits.admission.clone()),
@@ -71,27 +72,27 @@
             live: BTreeSet::new(),
             ended: VecDeque::new(),
             retained: VecDeque::new(),
-            kept: 0,
+            output_bytes: 0,
             readers: 0,
             readiness: TargetReadiness::default(),
             crashes: CrashLog::default(),
-            broken: None,
+            disconnected_at: None,
         }
     }
 
-    // ---- What it knows
+    // ---- Accessors
 
-    /// Returns the agent's life.
+    /// Returns the incarnation of the agent.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns the target's load.
+    /// Returns the load of the target.
     pub fn load(&self, now: Time) -> Load {
         self.admission.load(now)
     }
 
-    /// Returns whether the target takes new work.
+    /// Returns whether the target accepts new work, and for which versions.
     pub fn readiness(&self) -> &TargetReadiness {
         &self.readiness
     }
@@ -101,34 +102,34 @@
         self.crashes.reports()
     }
 
-    /// Returns how many attempts wait or run.
+    /// Returns the number of waiting and running attempts.
     pub fn live(&self) -> usize {
         self.live.len()
     }
 
-    /// Returns how many attempts are remembered, live ones included.
+    /// Returns the number of attempts in the table, live ones included.
     pub fn remembered(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Returns how many bytes of output are kept.
+    /// Returns the size of the buffered output of all attempts, in bytes.
     pub fn output_bytes(&self) -> usize {
-        self.kept
+        self.output_bytes
     }
 
-    /// Returns whether nothing is in progress, nothing is being read and no end is undelivered.
+    /// Returns whether no attempt is live, no stream is open and every kept end is delivered.
     pub fn is_drained(&self) -> bool {
-        let waiting = |&(_, id): &(Time, AttemptId)| {
+        let undelivered = |&(_, id): &(Time, AttemptId)| {
             self.attempts
                 .get(&id)
                 .is_some_and(|attempt| !attempt.delivered)
         };
-        self.live.is_empty() && self.readers == 0 && !self.retained.iter().any(waiting)
+        self.live.is_empty() && self.readers == 0 && !self.retained.iter().any(undelivered)
     }
 
     // ---- Reading
 
-    /// Returns the next frame for a reader.
+    /// Returns the next action of a reader's stream.
     pub fn read(&mut self, now: Time, reader: &mut Reader) -> (ReadStep, Vec<AttemptStep>) {
         let mut steps = Vec::new();
         if reader.ended {
@@ -136,26 +137,26 @@
         }
         let step = self.next_frame(now, reader);
         if let Some(attempt) = self.attempts.get_mut(&reader.id) {
-            attempt.sent = attempt.sent.max(reader.next);
-            self.make_room(now, reader.id, &mut steps);
+            attempt.sent_until = attempt.sent_until.max(reader.next);
+            self.trim_output(now, reader.id, &mut steps);
         }
         (step, steps)
     }
 
-    /// Returns a heartbeat for a reader.
+    /// Returns a heartbeat frame for the readers of an attempt.
     pub fn heartbeat(&self, now: Time, id: AttemptId) -> Frame {
-        let quiet = self.attempts.get(&id).map(|attempt| attempt.quiet(now));
+        let quiet = self.attempts.get(&id).map(|attempt| attempt.idle_time(now));
         Frame::Heartbeat {
             quiet: quiet.unwrap_or_default(),
         }
     }
 
-    /// A reader's stream is gone.
+    /// Handles the end of a reader's stream.
     pub fn on_detach(&mut self, now: Time, reader: &Reader) {
         self.readers = self.readers.saturating_sub(1);
         if let Some(attempt) = self.attempts.get_mut(&reader.id) {
             attempt.readers = attempt.readers.saturating_sub(1);
-            attempt.alone = now;
+            attempt.unread_since = now;
         }
     }
 
@@ -179,7 +180,7 @@
         let next = attempt.output.next();
         if reader.next < next {
             reader.ended = true;
-            return ReadStep::Frame(trimmed(attempt));
+            return ReadStep::Frame(trimmed_frame(attempt));
         }
         let Stage::Ended(end, _) = attempt.stage else {
             return ReadStep::Wait;
@@ -206,44 +207,44 @@
         }
     }
 
-    // ---- Room for output
+    // ---- Output buffer
 
-    /// Forgets output that a reader has where an attempt keeps more than its share, and reads on
+    /// Discards delivered output of an attempt whose buffer exceeds its share, and resumes reading
     /// from the target once there is room.
-    fn make_room(&mut self, now: Time, id: AttemptId, steps: &mut Vec<AttemptStep>) {
-        let share = self.limits.share();
+    fn trim_output(&mut self, now: Time, id: AttemptId, steps: &mut Vec<AttemptStep>) {
+        let share = self.limits.output_share();
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         let before = attempt.output.bytes();
-        attempt.output.trim_to(share, attempt.sent);
+        attempt.output.trim_to(share, attempt.sent_until);
         let after = attempt.output.bytes();
-        self.kept -= before - after;
-        if attempt.held && after < share {
-            attempt.held = false;
-            // The target could produce nothing while it was not read from.
-            attempt.active = now;
+        self.output_bytes -= before - after;
+        if attempt.paused && after < share {
+            attempt.paused = false;
+            // The target could not produce output while reading from it was paused.
+            attempt.last_active = now;
             steps.push(AttemptStep::Resume(id));
         }
     }
 
     fn clear_output(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
-            self.kept -= attempt.output.bytes();
+            self.output_bytes -= attempt.output.bytes();
             attempt.output.clear();
         }
     }
 
     // ---- Ends
 
-    /// Ends an attempt unless it has ended before, and starts what waits for its place.
+    /// Ends an attempt unless it has already ended, and starts attempts that wait for its slot.
     fn end(&mut self, now: Time, id: AttemptId, end: AttemptEnd, steps: &mut Vec<AttemptStep>) {
         if !self.live.remove(&id) {
             return;
         }
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.stage = Stage::Ended(end, now);
-            attempt.held = false;
+            attempt.paused = false;
         }
         self.ended.push_back((now, id));
         self.retained.push_back((now, id));
@@ -266,7 +267,7 @@
         let stage = std::mem::replace(&mut attempt.stage, Stage::Running);
         match stage {
             Stage::Waiting(dispatch) => {
-                attempt.active = now;
+                attempt.last_active = now;
                 self.crashes.on_start(id, attempt.fingerprint);
                 steps.push(AttemptStep::Start(dispatch));
             }
@@ -276,10 +277,10 @@
 
     // ---- Stamps
 
-    /// Returns whether an attempt with this stamp, if it is not remembered, was never seen.
+    /// Returns whether an attempt with this stamp that is not in the table was never seen.
     ///
-    /// What was seen since is remembered for `tombstone` after its end, so for longer than a stamp
-    /// made before is taken.
+    /// A stamp is made before its attempt arrives and expires `tombstone` later, while the attempt
+    /// stays in the table until `tombstone` after its end. The stamp therefore expires first.
     fn is_fresh(&self, now: Time, stamp: Stamp) -> bool {
         let age = now.since(Time::default());
         let oldest = stamp.age.saturating_add(self.limits.tombstone);
@@ -287,7 +288,7 @@
     }
 }
 
-fn trimmed(attempt: &AttemptState) -> Frame {
+fn trimmed_frame(attempt: &AttemptState) -> Frame {
     Frame::Failed {
         failure: cw_wire::Failure::Trimmed,
         ran: attempt.ran(),
@@ -303,13 +304,13 @@
         rank: dispatch.rank,
         resumed: dispatch.resumed,
         deadline: now + dispatch.patience,
-        tokens: tokens(&dispatch.work),
-        bytes: bytes(&dispatch.work),
+        tokens: work_tokens(&dispatch.work),
+        bytes: work_bytes(&dispatch.work),
     }
 }
 
-/// Returns about how many bytes the work keeps.
-fn bytes(work: &Work) -> u64 {
+/// Estimates the memory that the work takes, in bytes.
+fn work_bytes(work: &Work) -> u64 {
     let generate = match work {
         Work::Call(call) => return call.body.len() as u64,
         Work::Generate(generate) => generate,
@@ -322,8 +323,8 @@
     (prompt + size_of_val(generate.so_far.as_slice())) as u64
 }
 
-/// Returns about how many tokens the work brings into an engine's cache.
-fn tokens(work: &Work) -> u64 {
+/// Estimates the number of tokens that the work adds to an engine's KV cache.
+fn work_tokens(work: &Work) -> u64 {
     let Work::Generate(work) = work else {
         return 0;
     };
--- a/crates/cw_policy/src/attempt/table/peer_events.rs
+++ b/crates/cw_policy/src/attempt/table/peer_events.rs
@@ -1,4 +1,4 @@
-//! What entries ask.
+//! Requests of entries.
 
 use cw_types::AttemptId;
 use cw_types::AttemptNo;
@@ -25,7 +25,7 @@
 use crate::AttemptAnswer;
 
 impl AttemptTable {
-    /// Runs an attempt, or attaches to it if it is known.
+    /// Runs an attempt, or attaches to it if it is already known.
     pub fn on_dispatch(
         &mut self,
         now: Time,
@@ -41,22 +41,24 @@
                 .is_some_and(|w| *w != dispatch.workspace);
             let answer = match foreign {
                 true => self.refuse(now, Reason::Unknown),
-                false => self.open(id, from),
+                false => self.open_reader(id, from),
             };
             return (answer, steps);
         }
         if !self.is_fresh(now, dispatch.stamp) {
-            return (self.stale(now, &dispatch), steps);
+            return (self.answer_stale(now, &dispatch), steps);
         }
         if dispatch.repeat && from.0 > first_index(&dispatch) {
-            // Another run's output must not be joined to what the entry has.
-            return (self.forget(now, id, Reason::Unknown), steps);
+            // The entry already has output of another run, which this run must not continue.
+            return (self.refuse_permanently(now, id, Reason::Unknown), steps);
         }
         if let Some(reason) = self.readiness.refusal(&dispatch.work) {
-            return (self.forget(now, id, reason), steps);
+            return (self.refuse_permanently(now, id, reason), steps);
         }
         match self.admission.submit(now, ticket(now, &dispatch)) {
-            AdmissionOutcome::Busy { .. } => return (self.forget(now, id, Reason::Busy), steps),
+            AdmissionOutcome::Busy { .. } => {
+                return (self.refuse_permanently(now, id, Reason::Busy), steps);
+            }
             AdmissionOutcome::Start => {
                 self.insert(now, dispatch);
                 self.start(now, id, &mut steps);
@@ -66,34 +68,34 @@
                 if let Some(other) = displaced {
                     self.end(now, other, AttemptEnd::NotRun(Reason::Busy), &mut steps);
                 }
-                // A resumed attempt may take a slot that those before it may not.
+                // A resumed attempt may take a reserved slot, which the attempts ahead of it may not.
                 self.start_waiting(now, &mut steps);
             }
         }
-        (self.open(id, from), steps)
+        (self.open_reader(id, from), steps)
     }
 
-    /// Attaches to the attempt asked for, or to the newest of a generation, of the same workspace.
+    /// Attaches to the requested attempt, or to the newest of a generation, within the workspace.
     pub fn on_attach(&mut self, now: Time, attach: &Attach) -> AttemptAnswer {
         match self.find(attach) {
-            Some(id) => self.open(id, attach.from),
+            Some(id) => self.open_reader(id, attach.from),
             None => self.refuse(now, Reason::Unknown),
         }
     }
 
-    /// Forgets output that the entry has.
+    /// Discards output that the entry has acknowledged.
     pub fn on_ack(&mut self, now: Time, ack: &Ack) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         if let Some(attempt) = self.attempts.get_mut(&ack.id) {
             let before = attempt.output.bytes();
             attempt.output.trim(ack.next.0);
-            self.kept -= before - attempt.output.bytes();
-            self.make_room(now, ack.id, &mut steps);
+            self.output_bytes -= before - attempt.output.bytes();
+            self.trim_output(now, ack.id, &mut steps);
         }
         steps
     }
 
-    /// Ends an attempt, also one that has not been seen and now never runs.
+    /// Cancels an attempt; one that has not arrived yet never runs.
     pub fn on_cancel(&mut self, now: Time, cancel: &Cancel) -> (Cancelled, Vec<AttemptStep>) {
         let mut steps = Vec::new();
         let id = cancel.id;
@@ -101,7 +103,7 @@
             if !self.is_fresh(now, cancel.stamp) {
                 return (Cancelled { ran: Ran::Unknown }, steps);
             }
-            self.bury(now, id, Reason::Cancelled);
+            self.insert_tombstone(now, id, Reason::Cancelled);
             return (Cancelled { ran: Ran::No }, steps);
         };
         let ran = attempt.ran();
@@ -111,7 +113,7 @@
         (Cancelled { ran }, steps)
     }
 
-    /// Takes a live attempt back from its target or from the queue.
+    /// Cancels a live attempt at the target or in the queue.
     pub(super) fn cancel_live(&mut self, now: Time, id: AttemptId, steps: &mut Vec<AttemptStep>) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -136,7 +138,7 @@
         self.attempts.insert(id, AttemptState::new(now, dispatch));
     }
 
-    fn open(&mut self, id: AttemptId, from: TokenIndex) -> AttemptAnswer {
+    fn open_reader(&mut self, id: AttemptId, from: TokenIndex) -> AttemptAnswer {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.readers += 1;
             self.readers += 1;
@@ -144,7 +146,7 @@
         AttemptAnswer::Read(Reader::new(id, from.0))
     }
 
-    /// Returns the attempt asked for, or the newest that has output, or the newest of all.
+    /// Returns the requested attempt, or else the newest with output, or else the newest.
     fn find(&self, attach: &Attach) -> Option<AttemptId> {
         let id = |attempt| AttemptId {
             generation: attach.generation,
@@ -171,22 +173,22 @@
         AttemptAnswer::Frame(Box::new(self.not_run(now, reason)))
     }
 
-    /// Refuses an attempt for good: a refusal is a promise that it never runs here.
-    fn forget(&mut self, now: Time, id: AttemptId, reason: Reason) -> AttemptAnswer {
-        self.bury(now, id, reason);
+    /// Refuses an attempt permanently: the entry relies on it never running here.
+    fn refuse_permanently(&mut self, now: Time, id: AttemptId, reason: Reason) -> AttemptAnswer {
+        self.insert_tombstone(now, id, reason);
         self.refuse(now, reason)
     }
 
-    fn bury(&mut self, now: Time, id: AttemptId, reason: Reason) {
+    fn insert_tombstone(&mut self, now: Time, id: AttemptId, reason: Reason) {
         self.attempts
             .insert(id, AttemptState::tombstone(now, reason));
         self.ended.push_back((now, id));
     }
 
-    /// Answers a dispatch that may be older than what is remembered.
-    fn stale(&self, now: Time, dispatch: &Dispatch) -> AttemptAnswer {
+    /// Answers a dispatch whose attempt may already have left the table.
+    fn answer_stale(&self, now: Time, dispatch: &Dispatch) -> AttemptAnswer {
         if !dispatch.repeat {
-            // It was never sent before, so this is the only time that it could have run.
+            // This is its first dispatch, so it cannot have run.
             return self.refuse(now, Reason::Unknown);
         }
         AttemptAnswer::Frame(Box::new(Frame::Failed {
--- a/crates/cw_policy/src/attempt/table/target_events.rs
+++ b/crates/cw_policy/src/attempt/table/target_events.rs
@@ -1,4 +1,4 @@
-//! What the target does.
+//! Events at the target.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
 use crate::FlowControl;
 
 impl AttemptTable {
-    /// The target has the attempt, with so many prompt tokens cached.
+    /// Handles the acceptance of an attempt, with `cached` of its prompt tokens in the cache.
     pub fn on_accepted(
         &mut self,
         now: Time,
@@ -32,7 +32,7 @@
         let Some(attempt) = self.running(id) else {
             return Vec::new();
         };
-        attempt.active = now;
+        attempt.last_active = now;
         if attempt.accepted.is_some() {
             return Vec::new();
         }
@@ -40,18 +40,18 @@
         vec![AttemptStep::Wake(id)]
     }
 
-    /// The target produced output.
+    /// Handles output of the target.
     pub fn on_output(
         &mut self,
         now: Time,
         id: AttemptId,
         chunk: Chunk,
     ) -> (FlowControl, Vec<AttemptStep>) {
-        let share = self.limits.share();
+        let share = self.limits.output_share();
         let Some(attempt) = self.running(id) else {
             return (FlowControl::Stop, Vec::new());
         };
-        attempt.active = now;
+        attempt.last_active = now;
         attempt.accepted.get_or_insert_default();
         let (bytes, next) = (attempt.output.bytes(), attempt.output.next());
         attempt.output.push(chunk);
@@ -60,22 +60,24 @@
             Some(_) => attempt.output.next() - next,
             None => 0,
         };
-        attempt.held = attempt.output.bytes() >= share;
-        self.kept += added;
-        self.admission.grow(id, tokens);
+        attempt.paused = attempt.output.bytes() >= share;
+        self.output_bytes += added;
+        self.admission.add_output(id, tokens);
         let mut steps = vec![AttemptStep::Wake(id)];
-        self.make_room(now, id, &mut steps);
-        self.evict();
-        let held = self.running(id).is_some_and(|attempt| attempt.held);
-        // The caller is told by `FlowControl`, not by a step, that it may read on.
+        self.trim_output(now, id, &mut steps);
+        self.evict_output();
+        let paused = self.running(id).is_some_and(|attempt| attempt.paused);
+        // The returned `FlowControl` already tells the caller whether to continue reading.
         steps.retain(|step| !matches!(step, AttemptStep::Resume(_)));
-        match held {
+        match paused {
             true => (FlowControl::Pause, steps),
             false => (FlowControl::Continue, steps),
         }
     }
 
-    /// The target finished the attempt, or refused it; a refusal needs proof that it was not run.
+    /// Handles the end of an attempt at the target.
+    ///
+    /// `end` may only be [`AttemptEnd::NotRun`] if it is certain that the attempt did not run.
     pub fn on_end(&mut self, now: Time, id: AttemptId, end: AttemptEnd) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         if self.running(id).is_some() {
@@ -84,22 +86,22 @@
         steps
     }
 
-    /// The attempt's connection to the target broke.
+    /// Handles a broken connection of an attempt to the target.
     pub fn on_disconnect(&mut self, now: Time, id: AttemptId) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         if let Some(attempt) = self.running(id) {
             let failure = Failure::TargetLost;
             let ran = attempt.ran();
             self.crashes.on_disconnect(now, id);
-            // What starts at a target that has died would be taken for a cause of its death.
-            self.broken = Some(now);
+            // An attempt that starts at a crashed target would be counted as a suspect of the crash.
+            self.disconnected_at = Some(now);
             self.admission.set_paused(true);
             self.end(now, id, AttemptEnd::Failed { failure, ran }, &mut steps);
         }
         steps
     }
 
-    /// The target answered a question asked at `asked` with its load and versions.
+    /// Handles the load and versions of the target, as it answers a request sent at `asked`.
     pub fn on_load(
         &mut self,
         now: Time,
@@ -110,7 +112,7 @@
         let mut steps = Vec::new();
         self.readiness.set_up(versions);
         self.crashes.on_alive(now, asked);
-        if self.broken.is_none_or(|broken| broken <= asked) {
+        if self.disconnected_at.is_none_or(|at| at <= asked) {
             self.resume_starts();
         }
         self.admission.observe(load);
@@ -118,21 +120,21 @@
         steps
     }
 
-    /// The target died: it refuses connections, or it is another life of it that answers.
+    /// Handles a crash of the target: it refuses connections, or answers with another boot id.
     pub fn on_crash(&mut self, now: Time) {
-        // An order that it had begun has died with it.
+        // An unload order that was in progress is lost with the crash.
         self.readiness.clear_unloading();
         self.crashes.on_crash(now);
     }
 
-    /// The target does not answer.
+    /// Handles a target that does not answer: waiting attempts are refused.
     pub fn on_down(&mut self, now: Time) -> Vec<AttemptStep> {
         self.readiness.set_down();
         self.resume_starts();
         self.refuse_waiting(now, Reason::TargetDown)
     }
 
-    /// The target is leaving, or no longer.
+    /// Handles whether the target is leaving: waiting attempts are refused if it is.
     pub fn on_leaving(&mut self, now: Time, leaving: bool) -> Vec<AttemptStep> {
         self.readiness.set_leaving(leaving);
         match leaving {
@@ -141,12 +143,12 @@
         }
     }
 
-    /// A version is about to be unloaded, or is kept after all.
+    /// Sets whether a version is about to be unloaded.
     pub fn on_unloading(&mut self, model: &ModelName, version: &VersionName, unloading: bool) {
         self.readiness.set_unloading(model, version, unloading);
     }
 
-    /// Returns how many live attempts are pinned to a version.
+    /// Returns the number of live attempts that are pinned to a version.
     pub fn pinned(&self, model: &ModelName, version: &VersionName) -> u32 {
         let pinned = |id: &&AttemptId| {
             let pin = self
@@ -158,7 +160,7 @@
         self.live.iter().filter(pinned).count() as u32
     }
 
-    /// Returns how many live attempts are pinned to each version.
+    /// Returns the number of live attempts that are pinned to each version.
     pub fn pins(&self) -> Pins {
         let mut pins = Pins::new();
         let attempts = self.live.iter().filter_map(|id| self.attempts.get(id));
@@ -170,7 +172,7 @@
     }
 
     fn resume_starts(&mut self) {
-        self.broken = None;
+        self.disconnected_at = None;
         self.admission.set_paused(false);
     }
 
@@ -188,7 +190,7 @@
         };
         let ids: Vec<AttemptId> = self.live.iter().copied().filter(waiting).collect();
         for &id in &ids {
-            // All leave the queue before any place is given away.
+            // All leave the queue first, because ending one could start another of them.
             self.admission.release(now, id);
         }
         for id in ids {
--- a/crates/cw_policy/src/attempt/table/time_events.rs
+++ b/crates/cw_policy/src/attempt/table/time_events.rs
@@ -1,4 +1,4 @@
-//! What time brings.
+//! Expiry of attempts and of their output.
 
 use cw_types::AttemptId;
 use cw_types::Time;
@@ -9,7 +9,7 @@
 use super::AttemptTable;
 
 impl AttemptTable {
-    /// Time has passed.
+    /// Expires waiting attempts, unread attempts, kept output and tombstones.
     pub fn on_tick(&mut self, now: Time) -> Vec<AttemptStep> {
         let mut steps = Vec::new();
         for id in self.admission.expired(now) {
@@ -18,23 +18,23 @@
         for id in self.abandoned(now) {
             self.cancel_live(now, id, &mut steps);
         }
-        self.forget_output(now);
-        self.forget_attempts(now);
+        self.expire_output(now);
+        self.expire_attempts(now);
         steps
     }
 
-    /// Returns the live idempotent attempts that nobody has read for the retention time.
+    /// Returns the live idempotent attempts that had no reader for the retention time.
     fn abandoned(&self, now: Time) -> Vec<AttemptId> {
         let abandoned = |id: &AttemptId| {
             self.attempts.get(id).is_some_and(|attempt| {
-                let alone = now.since(attempt.alone) >= self.limits.retention;
-                attempt.idempotent && attempt.readers == 0 && alone
+                let unread = now.since(attempt.unread_since) >= self.limits.retention;
+                attempt.idempotent && attempt.readers == 0 && unread
             })
         };
         self.live.iter().copied().filter(abandoned).collect()
     }
 
-    fn forget_output(&mut self, now: Time) {
+    fn expire_output(&mut self, now: Time) {
         while let Some(&(at, id)) = self.retained.front() {
             if now.since(at) < self.limits.retention {
                 break;
@@ -44,7 +44,7 @@
         }
     }
 
-    fn forget_attempts(&mut self, now: Time) {
+    fn expire_attempts(&mut self, now: Time) {
         while let Some(&(at, id)) = self.ended.front() {
             if now.since(at) < self.limits.tombstone {
                 break;
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Forgets ended attempts' output, delivered and oldest first, until the rest fits.
-    pub(super) fn evict(&mut self) {
-        while self.kept > self.limits.output_bytes.as_usize() {
+    /// Discards output of ended attempts, delivered and oldest first, until the rest fits the limit.
+    pub(super) fn evict_output(&mut self) {
+        while self.output_bytes > self.limits.output_bytes.as_usize() {
             let delivered = |&(_, id): &(Time, AttemptId)| {
                 self.attempts
                     .get(&id)
--- a/crates/cw_policy/src/attempt/target_readiness.rs
+++ b/crates/cw_policy/src/attempt/target_readiness.rs
@@ -1,4 +1,4 @@
-//! Whether a target takes new work.
+//! The readiness of a target for new work.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,10 +9,10 @@
 use cw_wire::TargetState;
 use cw_wire::Work;
 
-/// The versions that a target holds, by model.
+/// The loaded versions by model.
 type Versions = BTreeMap<ModelName, BTreeSet<VersionName>>;
 
-/// Whether a target takes new work, and for which versions.
+/// Whether a target accepts new work, and for which versions.
 #[derive(Clone, Debug, Default)]
 pub struct TargetReadiness {
     up: bool,
@@ -22,28 +22,28 @@
 }
 
 impl TargetReadiness {
-    /// The target answers.
+    /// Marks the target as up, with these versions loaded.
     pub fn set_up(&mut self, versions: Versions) {
         self.up = true;
         self.versions = versions;
-        let held = &self.versions;
-        let holds = |(model, version): &(ModelName, VersionName)| {
-            held.get(model).is_some_and(|set| set.contains(version))
+        let loaded = &self.versions;
+        let is_loaded = |(model, version): &(ModelName, VersionName)| {
+            loaded.get(model).is_some_and(|set| set.contains(version))
         };
-        self.unloading.retain(holds);
+        self.unloading.retain(is_loaded);
     }
 
-    /// The target does not answer.
+    /// Marks the target as down.
     pub fn set_down(&mut self) {
         self.up = false;
     }
 
-    /// The target is leaving, or no longer.
+    /// Sets whether the target is leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// A version is about to be unloaded, or is kept after all.
+    /// Sets whether a version is about to be unloaded.
     pub fn set_unloading(&mut self, model: &ModelName, version: &VersionName, unloading: bool) {
         let key = (model.clone(), version.clone());
         match unloading {
@@ -52,12 +52,12 @@
         };
     }
 
-    /// No version is about to be unloaded any more.
+    /// Marks no version as about to be unloaded.
     pub fn clear_unloading(&mut self) {
         self.unloading.clear();
     }
 
-    /// Returns the target's state.
+    /// Returns the state of the target.
     pub fn state(&self) -> TargetState {
         match (self.leaving, self.up) {
             (true, _) => TargetState::Leaving,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns the versions that take new work.
+    /// Returns the versions that accept new work.
     pub fn versions(&self) -> Versions {
         let mut versions = self.versions.clone();
         for (model, version) in &self.unloading {
@@ -77,7 +77,7 @@
         versions
     }
 
-    /// Returns why the target does not take new work, if it does not.
+    /// Returns the reason to refuse the work, if the target does not accept it.
     pub fn refusal(&self, work: &Work) -> Option<Reason> {
         if self.leaving {
             return Some(Reason::Leaving);
@@ -89,8 +89,9 @@
             return None;
         };
         let key = (work.model.clone(), work.version.clone());
-        let held = self.versions.get(&key.0);
-        let ready = held.is_some_and(|set| set.contains(&key.1)) && !self.unloading.contains(&key);
+        let loaded = self.versions.get(&key.0);
+        let ready =
+            loaded.is_some_and(|set| set.contains(&key.1)) && !self.unloading.contains(&key);
         (!ready).then_some(Reason::WrongVersion)
     }
 }
--- a/crates/cw_policy/tests/admission.rs
+++ b/crates/cw_policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission to one target.
+//! Tests of admission to one target: control, adaptive limit and fair queue.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use cw_wire::Load;
 use rstest::rstest;
 
-/// The wanted time between tokens.
-const TARGET: Duration = Duration::from_millis(78);
+/// The limit on the time between tokens.
+const STEP_LIMIT: Duration = Duration::from_millis(78);
 
 fn limits() -> AdmissionLimits {
     AdmissionLimits {
@@ -27,7 +27,7 @@
         max_waiting: 4,
         queue_bytes: ByteSize(10_000),
         reserved_slots: 2,
-        step_limit: TARGET,
+        step_limit: STEP_LIMIT,
     }
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-fn of(number: u128, workspace: &str, weight: u32) -> Ticket {
+fn ticket_of(number: u128, workspace: &str, weight: u32) -> Ticket {
     Ticket {
         workspace: workspace.parse().unwrap(),
         weight,
@@ -59,8 +59,8 @@
     }
 }
 
-/// Fills all slots that ordinary attempts may take.
-fn full() -> AdmissionControl {
+/// Returns a control whose slots for ordinary attempts are all taken.
+fn full_control() -> AdmissionControl {
     let mut control = AdmissionControl::new(limits());
     for number in 0..6 {
         assert_eq!(
@@ -72,8 +72,8 @@
 }
 
 #[rstest]
-fn the_reserve_is_for_resumed_attempts() {
-    let mut control = full();
+fn reserved_slots_admit_only_resumed_attempts() {
+    let mut control = full_control();
     let resumed = Ticket {
         resumed: true,
         ..ticket(11)
@@ -90,24 +90,24 @@
 }
 
 #[rstest]
-fn a_full_queue_refuses_at_once_with_a_hint() {
-    let mut control = full();
+fn a_full_queue_refuses_with_a_retry_delay() {
+    let mut control = full_control();
     for number in 10..14 {
         control.submit(Time(0), ticket(number));
     }
 
-    let offer = control.submit(Time(0), ticket(20));
+    let outcome = control.submit(Time(0), ticket(20));
 
-    let AdmissionOutcome::Busy { retry } = offer else {
-        panic!("expected a refusal, found {offer:?}");
+    let AdmissionOutcome::Busy { retry } = outcome else {
+        panic!("expected a refusal, found {outcome:?}");
     };
     assert!(retry > Duration::ZERO);
     assert_eq!(control.load(Time(0)).waiting, 4);
 }
 
 #[rstest]
-fn what_waits_is_bounded_in_bytes() {
-    let mut control = full();
+fn waiting_attempts_are_bounded_in_bytes() {
+    let mut control = full_control();
     let large = |number| Ticket {
         bytes: 6000,
         ..ticket(number)
@@ -124,8 +124,8 @@
 }
 
 #[rstest]
-fn a_higher_rank_displaces_the_newest_of_the_lowest() {
-    let mut control = full();
+fn a_higher_rank_displaces_the_newest_ticket_of_the_lowest() {
+    let mut control = full_control();
     for number in 10..14 {
         control.submit(Time(0), ticket(number));
     }
@@ -134,28 +134,28 @@
         ..ticket(20)
     };
 
-    let offer = control.submit(Time(0), urgent);
+    let outcome = control.submit(Time(0), urgent);
 
     let displaced = Some(id(13));
-    assert_eq!(offer, AdmissionOutcome::Wait { displaced });
+    assert_eq!(outcome, AdmissionOutcome::Wait { displaced });
 }
 
 #[rstest]
-fn an_attempt_without_patience_does_not_wait() {
-    let mut control = full();
+fn an_attempt_at_its_deadline_is_not_queued() {
+    let mut control = full_control();
     let now = Time(5);
-    let hasty = Ticket {
+    let expired = Ticket {
         deadline: now,
         ..ticket(10)
     };
 
-    let offer = control.submit(now, hasty);
+    let outcome = control.submit(now, expired);
 
-    assert!(matches!(offer, AdmissionOutcome::Busy { .. }));
+    assert!(matches!(outcome, AdmissionOutcome::Busy { .. }));
 }
 
 #[rstest]
-fn the_cache_bounds_what_runs_but_never_the_only_one() {
+fn the_cache_bounds_running_attempts_but_not_a_single_one() {
     let mut control = AdmissionControl::new(limits());
     control.observe(Load {
         capacity: TokenCount(1000),
@@ -166,14 +166,14 @@
         ..ticket(number)
     };
 
-    let alone = control.submit(Time(0), large(1));
-    let beside = control.submit(Time(0), ticket(2));
+    let single = control.submit(Time(0), large(1));
+    let second = control.submit(Time(0), ticket(2));
     control.release(Time(0), id(1));
-    let after = control.admit_next();
+    let admitted = control.admit_next();
 
-    assert_eq!(alone, AdmissionOutcome::Start);
-    assert_eq!(beside, AdmissionOutcome::Wait { displaced: None });
-    assert_eq!(after, Some(id(2)));
+    assert_eq!(single, AdmissionOutcome::Start);
+    assert_eq!(second, AdmissionOutcome::Wait { displaced: None });
+    assert_eq!(admitted, Some(id(2)));
 }
 
 #[rstest]
@@ -185,23 +185,23 @@
     });
     control.submit(Time(0), ticket(1));
 
-    control.grow(id(1), 800);
-    let offer = control.submit(Time(0), ticket(2));
+    control.add_output(id(1), 800);
+    let outcome = control.submit(Time(0), ticket(2));
 
-    assert_eq!(offer, AdmissionOutcome::Wait { displaced: None });
+    assert_eq!(outcome, AdmissionOutcome::Wait { displaced: None });
 }
 
 // ---- The limit
 
 #[rstest]
-fn slow_steps_lower_the_limit_once_for_each_number_of_attempts() {
-    let mut limit = AdaptiveLimit::new(TARGET, 3, 64);
+fn slow_steps_lower_the_limit_once_per_number_of_running_attempts() {
+    let mut limit = AdaptiveLimit::new(STEP_LIMIT, 3, 64);
 
-    limit.observe(2 * TARGET, 40, 0);
+    limit.observe(2 * STEP_LIMIT, 40, 0);
     let first = limit.get();
-    limit.observe(2 * TARGET, 40, 0);
+    limit.observe(2 * STEP_LIMIT, 40, 0);
     let repeated = limit.get();
-    limit.observe(2 * TARGET, first, 0);
+    limit.observe(2 * STEP_LIMIT, first, 0);
 
     assert!(first < 40);
     assert_eq!(repeated, first);
@@ -210,14 +210,14 @@
 
 #[rstest]
 fn the_limit_stays_between_its_bounds() {
-    let mut limit = AdaptiveLimit::new(TARGET, 3, 64);
+    let mut limit = AdaptiveLimit::new(STEP_LIMIT, 3, 64);
 
     for _ in 0..100 {
-        limit.observe(4 * TARGET, limit.get(), 0);
+        limit.observe(4 * STEP_LIMIT, limit.get(), 0);
     }
     let low = limit.get();
     for _ in 0..1000 {
-        limit.observe(TARGET / 4, limit.get(), 0);
+        limit.observe(STEP_LIMIT / 4, limit.get(), 0);
     }
 
     assert_eq!(low, 3);
@@ -226,29 +226,29 @@
 
 #[rstest]
 fn the_limit_rises_only_when_it_is_reached() {
-    let mut limit = AdaptiveLimit::new(TARGET, 3, 64);
+    let mut limit = AdaptiveLimit::new(STEP_LIMIT, 3, 64);
     for _ in 0..20 {
-        limit.observe(2 * TARGET, limit.get(), 0);
+        limit.observe(2 * STEP_LIMIT, limit.get(), 0);
     }
     let low = limit.get();
 
     for _ in 0..20 {
-        limit.observe(TARGET / 4, low - 1, 0);
+        limit.observe(STEP_LIMIT / 4, low - 1, 0);
     }
 
     assert_eq!(limit.get(), low);
 }
 
 #[test]
-fn the_limit_rises_again_although_the_reserve_stays_free() {
-    let mut limit = AdaptiveLimit::new(TARGET, 5, 64).with_reserve(4);
+fn the_limit_rises_while_the_reserved_slots_stay_free() {
+    let mut limit = AdaptiveLimit::new(STEP_LIMIT, 5, 64).with_reserved_slots(4);
     for _ in 0..20 {
-        limit.observe(2 * TARGET, limit.get(), 0);
+        limit.observe(2 * STEP_LIMIT, limit.get(), 0);
     }
     let low = limit.get();
 
     for _ in 0..200 {
-        limit.observe(TARGET / 4, limit.get() - 4, 0);
+        limit.observe(STEP_LIMIT / 4, limit.get() - 4, 0);
     }
 
     assert_eq!(low, 5);
@@ -258,30 +258,27 @@
 #[rstest]
 #[case::for_the_next_step(&[6, 0, 6], 8)]
 #[case::for_room(&[6, 6], 5)]
-fn what_the_engine_queues_counts_when_it_is_seen_again(
-    #[case] readings: &[u32],
-    #[case] expected: u32,
-) {
+fn an_engine_queue_counts_once_two_samples_show_it(#[case] samples: &[u32], #[case] expected: u32) {
     let mut control = AdmissionControl::new(limits());
-    let reading = |waiting| Load {
+    let sample = |waiting| Load {
         running: 5,
         waiting,
-        step: TARGET / 4,
+        step: STEP_LIMIT / 4,
         ..Load::default()
     };
 
-    for waiting in readings {
-        control.observe(reading(*waiting));
+    for waiting in samples {
+        control.observe(sample(*waiting));
     }
 
     assert_eq!(control.load(Time(0)).limit, expected);
 }
 
 #[rstest]
-fn attempts_that_the_engine_queues_lower_the_limit_to_what_it_runs() {
-    let mut limit = AdaptiveLimit::new(TARGET, 3, 64);
+fn an_engine_queue_lowers_the_limit_to_the_running_attempts() {
+    let mut limit = AdaptiveLimit::new(STEP_LIMIT, 3, 64);
 
-    limit.observe(TARGET / 4, 20, 6);
+    limit.observe(STEP_LIMIT / 4, 20, 6);
 
     assert_eq!(limit.get(), 20);
 }
@@ -292,11 +289,11 @@
 fn workspaces_share_by_weight_whatever_their_demand() {
     let mut queue = FairQueue::default();
     for number in 0..300 {
-        queue.push(of(number, "flood", 1));
+        queue.push(ticket_of(number, "flood", 1));
     }
     for number in 300..400 {
-        queue.push(of(number, "heavy", 3));
-        queue.push(of(number + 1000, "light", 1));
+        queue.push(ticket_of(number, "heavy", 3));
+        queue.push(ticket_of(number + 1000, "light", 1));
     }
 
     let mut starts: BTreeMap<String, u32> = BTreeMap::new();
@@ -305,7 +302,7 @@
         *starts.entry(ticket.workspace.to_string()).or_default() += 1;
     }
 
-    // An eighth of the starts goes by age, here all to the flood.
+    // An eighth of the starts goes to the oldest tickets, which are all of `flood`.
     let [flood, heavy, light] = ["flood", "heavy", "light"].map(|name| starts[name]);
     assert!(heavy >= 2 * light, "{starts:?}");
     assert!(light >= 15, "{starts:?}");
@@ -313,7 +310,7 @@
 }
 
 #[rstest]
-fn the_lowest_rank_starts_within_eight_turns_of_its_elders() {
+fn the_lowest_rank_starts_within_eight_starts_per_older_ticket() {
     let mut queue = FairQueue::default();
     for number in 0..3 {
         queue.push(Ticket {
@@ -329,7 +326,7 @@
     let mut starts = 0;
     loop {
         starts += 1;
-        // The flood of higher ranks never ends.
+        // Tickets of a higher rank keep arriving.
         queue.push(Ticket {
             rank: 9,
             ..ticket(1000 + starts)
@@ -343,7 +340,7 @@
 }
 
 #[rstest]
-fn higher_ranks_go_first_and_resumed_attempts_before_all() {
+fn higher_ranks_start_first_and_resumed_attempts_before_all() {
     let mut queue = FairQueue::default();
     let ranked = |number, rank, resumed| Ticket {
         rank,
--- a/crates/cw_policy/tests/admission_queue.rs
+++ b/crates/cw_policy/tests/admission_queue.rs
@@ -1,6 +1,6 @@
-//! The bound on waiting in the fair queue, under random arrivals.
+//! A property test of the bound on waiting in the fair queue, under random arrivals.
 //!
-//! `PROPTEST_CASES=100000` makes a longer run, `CYCLAMENWHARF_SEED=2` another one.
+//! `PROPTEST_CASES=100000` runs more cases, `CYCLAMENWHARF_SEED=2` uses another seed.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +17,10 @@
 use proptest::test_runner::TestRunner;
 use rstest::rstest;
 
-/// Every how many starts the oldest ticket goes first.
-const TURNS: u64 = 8;
+/// One in this many starts goes to the oldest ticket.
+const OLDEST_FIRST_PERIOD: u64 = 8;
 
-/// One step: a ticket of a rank and workspace arrives, or one starts.
+/// One step: a ticket arrives (rank, workspace, whether it resumes), or the next one starts.
 type Step = Option<(u8, u8, bool)>;
 
 fn ticket(number: u64, (rank, workspace, resumed): (u8, u8, bool)) -> Ticket {
@@ -39,19 +39,19 @@
     }
 }
 
-/// Checks that each ticket starts once, within eight turns of those older than it.
+/// Checks that each ticket starts once, within eight starts for itself and each older ticket.
 fn check(steps: &[Step]) -> Result<(), TestCaseError> {
     let mut queue = FairQueue::default();
-    let mut latest: BTreeMap<AttemptId, u64> = BTreeMap::new();
+    let mut bounds: BTreeMap<AttemptId, u64> = BTreeMap::new();
     let mut starts = 0;
-    // All that is left starts at the end.
+    // As many starts as there are steps empty the queue at the end.
     let steps = steps.iter().chain(std::iter::repeat_n(&None, steps.len()));
     for (number, step) in steps.enumerate() {
         match step {
             Some(kind) => {
                 let ticket = ticket(number as u64, *kind);
                 let older = queue.len() as u64;
-                latest.insert(ticket.id, starts + TURNS * (older + 1));
+                bounds.insert(ticket.id, starts + OLDEST_FIRST_PERIOD * (older + 1));
                 queue.push(ticket);
             }
             None => {
@@ -59,13 +59,17 @@
                     continue;
                 };
                 starts += 1;
-                let bound = latest.remove(&ticket.id);
+                let bound = bounds.remove(&ticket.id);
                 prop_assert!(bound.is_some(), "{} started twice", ticket.id);
-                prop_assert!(bound >= Some(starts), "{} starved", ticket.id);
+                prop_assert!(
+                    bound >= Some(starts),
+                    "{} started after its bound",
+                    ticket.id
+                );
             }
         }
     }
-    prop_assert!(latest.is_empty());
+    prop_assert!(bounds.is_empty());
     prop_assert_eq!(queue.bytes(), 0);
     Ok(())
 }
--- a/crates/cw_policy/tests/attempt/cases.rs
+++ b/crates/cw_policy/tests/attempt/cases.rs
@@ -1,4 +1,4 @@
-//! What entries do, case by case.
+//! Cases of entries' requests.
 
 use std::time::Duration;
 
@@ -25,21 +25,21 @@
 
 use super::fixtures::at;
 use super::fixtures::attempt;
+use super::fixtures::call_dispatch;
 use super::fixtures::chunk;
 use super::fixtures::dispatch;
 use super::fixtures::limits;
-use super::fixtures::notice;
 use super::fixtures::stamp;
 use super::fixtures::table;
 
-/// The life of the tables here.
-pub(crate) const LIFE: u64 = 1;
+/// The incarnation of the tables in these tests.
+pub(crate) const INCARNATION: u64 = 1;
 
 pub(crate) fn ordinary(generation: u128) -> Dispatch {
-    dispatch(attempt(generation, 1), stamp(LIFE, at(0)))
+    dispatch(attempt(generation, 1), stamp(INCARNATION, at(0)))
 }
 
-/// Gives a dispatch to the table, and returns the reader of its answer.
+/// Dispatches an attempt, and returns the reader of its stream.
 pub(crate) fn open(table: &mut AttemptTable, now: Time, dispatch: Dispatch) -> Reader {
     match table.on_dispatch(now, dispatch).0 {
         AttemptAnswer::Read(reader) => reader,
@@ -47,16 +47,16 @@
     }
 }
 
-/// Gives a dispatch to the table, and returns the frame that answers it or ends its stream.
-fn ask(table: &mut AttemptTable, now: Time, dispatch: Dispatch) -> Frame {
+/// Dispatches an attempt, and returns the last frame of the answer.
+fn dispatch_to_end(table: &mut AttemptTable, now: Time, dispatch: Dispatch) -> Frame {
     match table.on_dispatch(now, dispatch).0 {
-        AttemptAnswer::Read(mut reader) => last(table, now, &mut reader),
+        AttemptAnswer::Read(mut reader) => last_frame(table, now, &mut reader),
         AttemptAnswer::Frame(frame) => *frame,
     }
 }
 
-/// Reads a stream to its end.
-pub(crate) fn last(table: &mut AttemptTable, now: Time, reader: &mut Reader) -> Frame {
+/// Reads all available frames of a stream, and returns the last one.
+pub(crate) fn last_frame(table: &mut AttemptTable, now: Time, reader: &mut Reader) -> Frame {
     let mut last = None;
     while let (ReadStep::Frame(frame), _) = table.read(now, reader) {
         last = Some(frame);
@@ -71,9 +71,9 @@
     }
 }
 
-/// Fills the slots that ordinary attempts may take.
-pub(crate) fn full() -> AttemptTable {
-    let mut table = table(at(0), LIFE);
+/// Returns a table whose slots for ordinary attempts are all taken.
+pub(crate) fn full_table() -> AttemptTable {
+    let mut table = table(at(0), INCARNATION);
     open(&mut table, at(0), ordinary(1));
     open(&mut table, at(0), ordinary(2));
     table
@@ -85,37 +85,37 @@
     })
 }
 
-// ---- Promises
+// ---- Refusals and cancellation
 
 #[rstest]
-fn impatience_is_told_as_soon_as_it_is_over() {
-    let mut table = full();
+fn a_waiting_attempt_is_refused_once_its_patience_ends() {
+    let mut table = full_table();
     let mut reader = open(&mut table, at(0), ordinary(3));
 
     table.on_tick(at(4_999));
     let early = table.read(at(4_999), &mut reader).0;
     table.on_tick(at(5_000));
-    let late = last(&mut table, at(5_000), &mut reader);
+    let late = last_frame(&mut table, at(5_000), &mut reader);
 
     assert_eq!(early, ReadStep::Wait);
     assert_eq!(reason(&late), Some(Reason::Expired));
 }
 
 #[rstest]
-fn a_refusal_is_a_promise_also_when_there_is_room_later() {
-    let mut table = full();
-    let hasty = Dispatch {
+fn a_refusal_is_permanent_even_if_there_is_room_later() {
+    let mut table = full_table();
+    let impatient = Dispatch {
         patience: Duration::ZERO,
         ..ordinary(3)
     };
-    let refused = ask(&mut table, at(0), hasty.clone());
+    let refused = dispatch_to_end(&mut table, at(0), impatient.clone());
     table.on_end(at(1), attempt(1, 1), AttemptEnd::Done(Finish::Stop));
 
     let repeated = Dispatch {
         repeat: true,
-        ..hasty
+        ..impatient
     };
-    let again = ask(&mut table, at(2), repeated);
+    let again = dispatch_to_end(&mut table, at(2), repeated);
 
     assert_eq!(reason(&refused), Some(Reason::Busy));
     assert_eq!(reason(&again), Some(Reason::Busy));
@@ -125,31 +125,31 @@
 #[case(99_999, Reason::Cancelled)]
 #[case(100_000, Reason::Unknown)]
 #[case(500_000, Reason::Unknown)]
-fn a_cancelled_attempt_never_runs_however_late_it_comes(
+fn a_cancelled_attempt_never_runs_however_late_it_arrives(
     #[case] millis: u64,
     #[case] expected: Reason,
 ) {
-    let mut table = table(at(0), LIFE);
+    let mut table = table(at(0), INCARNATION);
     let late = ordinary(1);
     let (id, stamp) = (late.id, late.stamp);
     let (cancelled, _) = table.on_cancel(at(0), &Cancel { id, stamp });
     table.on_tick(at(millis));
 
-    let frame = ask(&mut table, at(millis), late);
+    let frame = dispatch_to_end(&mut table, at(millis), late);
 
     assert_eq!(cancelled.ran, Ran::No);
     assert_eq!(reason(&frame), Some(expected));
 }
 
 #[rstest]
-fn a_repeat_that_is_too_old_to_know_leaves_the_outcome_open() {
-    let mut table = table(at(0), LIFE);
+fn the_outcome_of_a_repeat_from_another_incarnation_is_unknown() {
+    let mut table = table(at(0), INCARNATION);
     let old = Dispatch {
         repeat: true,
-        ..notice(attempt(2, 1), stamp(LIFE - 1, at(0)))
+        ..call_dispatch(attempt(2, 1), stamp(INCARNATION - 1, at(0)))
     };
 
-    let frame = ask(&mut table, at(10), old.clone());
+    let frame = dispatch_to_end(&mut table, at(10), old.clone());
     let (cancelled, _) = table.on_cancel(
         at(10),
         &Cancel {
@@ -158,20 +158,20 @@
         },
     );
 
-    let open = matches!(
+    let is_unknown = matches!(
         frame,
         Frame::Failed {
             ran: Ran::Unknown,
             ..
         }
     );
-    assert!(open, "{frame:?}");
+    assert!(is_unknown, "{frame:?}");
     assert_eq!(cancelled.ran, Ran::Unknown);
 }
 
 #[rstest]
-fn another_run_is_never_joined_to_output_that_the_entry_has() {
-    let mut table = table(at(0), LIFE);
+fn a_new_run_never_continues_output_of_another_run() {
+    let mut table = table(at(0), INCARNATION);
     let repeated = Dispatch {
         repeat: true,
         from: TokenIndex(7),
@@ -188,21 +188,21 @@
 }
 
 #[rstest]
-fn a_dispatch_of_another_workspace_sees_nothing() {
-    let mut table = full();
+fn a_dispatch_of_another_workspace_is_refused() {
+    let mut table = full_table();
     let foreign = Dispatch {
         workspace: "office".parse().unwrap(),
         ..ordinary(1)
     };
 
-    let frame = ask(&mut table, at(0), foreign);
+    let frame = dispatch_to_end(&mut table, at(0), foreign);
 
     assert_eq!(reason(&frame), Some(Reason::Unknown));
 }
 
 #[rstest]
-fn a_caller_finds_the_attempt_with_output_not_the_one_refused_later() {
-    let mut table = full();
+fn an_attach_prefers_the_attempt_with_output_to_a_newer_refused_one() {
+    let mut table = full_table();
     let hedge = Dispatch {
         id: attempt(1, 2),
         ..ordinary(1)
@@ -222,15 +222,19 @@
     assert_eq!(found, AttemptAnswer::Read(reader));
 }
 
-// ---- Callers that are gone
+// ---- Disconnected callers
 
 #[rstest]
-fn an_unread_generation_is_cancelled_after_a_while_but_never_a_notice() {
-    let mut table = table(at(0), LIFE);
+fn an_unread_generation_is_cancelled_after_the_retention_but_a_call_never() {
+    let mut table = table(at(0), INCARNATION);
     let generation = open(&mut table, at(0), ordinary(1));
-    let once = open(&mut table, at(0), notice(attempt(2, 1), stamp(LIFE, at(0))));
+    let call = open(
+        &mut table,
+        at(0),
+        call_dispatch(attempt(2, 1), stamp(INCARNATION, at(0))),
+    );
     table.on_detach(at(1_000), &generation);
-    table.on_detach(at(1_000), &once);
+    table.on_detach(at(1_000), &call);
 
     let early = table.on_tick(at(10_999));
     let late = table.on_tick(at(11_000));
@@ -238,14 +242,14 @@
 
     assert_eq!(early, Vec::new());
     assert!(late.contains(&AttemptStep::Abort(generation.id)));
-    assert!(!late.contains(&AttemptStep::Abort(once.id)));
+    assert!(!late.contains(&AttemptStep::Abort(call.id)));
     assert_eq!(much_later, Vec::new());
     assert_eq!(table.live(), 1);
 }
 
 #[rstest]
-fn an_end_that_nobody_has_read_holds_up_a_drain_until_it_expires() {
-    let mut table = table(at(0), LIFE);
+fn an_undelivered_end_delays_the_drain_until_it_expires() {
+    let mut table = table(at(0), INCARNATION);
     let reader = open(&mut table, at(0), ordinary(1));
     table.on_detach(at(0), &reader);
     table.on_leaving(at(0), true);
@@ -261,8 +265,8 @@
 // ---- Output
 
 #[rstest]
-fn acknowledged_output_is_forgotten_and_the_end_is_not() {
-    let mut table = table(at(0), LIFE);
+fn acknowledged_output_is_discarded_but_the_end_is_kept() {
+    let mut table = table(at(0), INCARNATION);
     let reader = open(&mut table, at(0), ordinary(1));
     let id = reader.id;
     produce(&mut table, id, 5);
@@ -275,8 +279,8 @@
         from: TokenIndex(from),
         ..ordinary(1)
     };
-    let whole = ask(&mut table, at(0), again(5));
-    let behind = ask(&mut table, at(0), again(4));
+    let whole = dispatch_to_end(&mut table, at(0), again(5));
+    let behind = dispatch_to_end(&mut table, at(0), again(4));
 
     let finish = Finish::Stop;
     assert_eq!(whole, Frame::Done { finish, next });
@@ -292,8 +296,8 @@
 }
 
 #[rstest]
-fn a_stream_that_is_not_read_holds_its_target_back_and_nothing_is_quiet() {
-    let mut table = table(at(0), LIFE);
+fn an_unread_stream_pauses_its_target_and_does_not_count_as_idle() {
+    let mut table = table(at(0), INCARNATION);
     let mut reader = open(&mut table, at(0), ordinary(1));
     let id = reader.id;
 
@@ -317,26 +321,26 @@
 }
 
 #[rstest]
-fn delivered_output_makes_room_before_output_that_is_still_waited_for() {
-    let mut table = table(at(0), LIFE);
+fn delivered_output_is_evicted_before_undelivered_output() {
+    let mut table = table(at(0), INCARNATION);
     let mut ends = Vec::new();
     for generation in 1..=6 {
         let mut reader = open(&mut table, at(0), ordinary(generation));
         produce(&mut table, reader.id, 60);
         table.on_end(at(0), reader.id, AttemptEnd::Done(Finish::Stop));
         if generation != 1 {
-            last(&mut table, at(0), &mut reader);
+            last_frame(&mut table, at(0), &mut reader);
         }
         table.on_detach(at(0), &reader);
         ends.push(reader.id);
     }
 
     let mut first = open(&mut table, at(0), ordinary(1));
-    let end = last(&mut table, at(0), &mut first);
+    let end = last_frame(&mut table, at(0), &mut first);
 
     assert!(table.output_bytes() <= limits().output_bytes.as_usize());
     assert!(matches!(end, Frame::Done { .. }), "{end:?}");
     let mut second = open(&mut table, at(0), ordinary(2));
-    let end = last(&mut table, at(0), &mut second);
+    let end = last_frame(&mut table, at(0), &mut second);
     assert!(matches!(end, Frame::Failed { .. }), "{end:?}");
 }
--- a/crates/cw_policy/tests/attempt/fixtures.rs
+++ b/crates/cw_policy/tests/attempt/fixtures.rs
@@ -1,4 +1,4 @@
-//! Messages and tables that the tests share.
+//! Messages and tables shared by the tests.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,7 +32,7 @@
 use cw_wire::Token;
 use cw_wire::Work;
 
-/// The limits of the tests: small, so that all of them are met.
+/// Returns limits small enough for the tests to reach all of them.
 pub(crate) fn limits() -> AttemptLimits {
     AttemptLimits {
         admission: AdmissionLimits {
@@ -48,33 +48,33 @@
     }
 }
 
-/// Returns the versions that the target holds.
+/// Returns the versions loaded at the target.
 pub(crate) fn versions() -> BTreeMap<ModelName, BTreeSet<VersionName>> {
     let version = "v1".parse().unwrap();
     BTreeMap::from([("ledger".parse().unwrap(), BTreeSet::from([version]))])
 }
 
-/// Returns the table of one life, whose target is up.
-pub(crate) fn table(now: Time, life: u64) -> AttemptTable {
-    let mut table = AttemptTable::new(Incarnation(life), limits());
+/// Returns the table of one incarnation, whose target is up.
+pub(crate) fn table(now: Time, incarnation: u64) -> AttemptTable {
+    let mut table = AttemptTable::new(Incarnation(incarnation), limits());
     table.on_load(now, now, Load::default(), versions());
     table
 }
 
-/// Returns a moment, in milliseconds.
+/// Returns the time at `millis` milliseconds.
 pub(crate) fn at(millis: u64) -> Time {
     Time(millis * 1000)
 }
 
-/// Returns the stamp of an attempt made in `life` at `now`.
-pub(crate) fn stamp(life: u64, now: Time) -> Stamp {
+/// Returns the stamp of an attempt made in `incarnation` at `now`.
+pub(crate) fn stamp(incarnation: u64, now: Time) -> Stamp {
     Stamp {
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         age: now.since(Time::default()),
     }
 }
 
-/// Returns the id of an attempt.
+/// Returns the ID of an attempt.
 pub(crate) fn attempt(generation: u128, attempt: u32) -> AttemptId {
     AttemptId {
         generation: GenerationId(generation),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns a dispatch of a generation.
+/// Returns the dispatch of a generation, which is idempotent.
 pub(crate) fn dispatch(id: AttemptId, stamp: Stamp) -> Dispatch {
     Dispatch {
         id,
@@ -113,8 +113,8 @@
     }
 }
 
-/// Returns a dispatch of a call that may run once.
-pub(crate) fn notice(id: AttemptId, stamp: Stamp) -> Dispatch {
+/// Returns the dispatch of a call that is not idempotent.
+pub(crate) fn call_dispatch(id: AttemptId, stamp: Stamp) -> Dispatch {
     Dispatch {
         idempotent: false,
         work: Work::Call(Call {
@@ -129,7 +129,7 @@
     }
 }
 
-/// Returns the token that an attempt produces at an index.
+/// Returns the token that an attempt produces at `index`.
 pub(crate) fn token(id: AttemptId, index: u64) -> Token {
     let number = (id.generation.0 as u32) << 20 | id.attempt.0 << 16 | index as u32;
     Token {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Returns one token as output.
+/// Returns a chunk of one token.
 pub(crate) fn chunk(id: AttemptId, index: u64) -> Chunk {
     Chunk::Tokens(vec![token(id, index)])
 }
--- a/crates/cw_policy/tests/attempt/main.rs
+++ b/crates/cw_policy/tests/attempt/main.rs
@@ -1,4 +1,4 @@
-//! The attempt table: focused cases, and random histories against an oracle.
+//! Tests of the attempt table: single cases, and random histories checked against an oracle.
 
 mod fixtures;
 mod oracle;
--- a/crates/cw_policy/tests/attempt/target_cases.rs
+++ b/crates/cw_policy/tests/attempt/target_cases.rs
@@ -1,8 +1,8 @@
-//! What the target does, case by case.
+//! Cases of events at the target.
 
-use super::cases::LIFE;
-use super::cases::full;
-use super::cases::last;
+use super::cases::INCARNATION;
+use super::cases::full_table;
+use super::cases::last_frame;
 use super::cases::open;
 use super::cases::ordinary;
 use super::cases::reason;
@@ -22,21 +22,21 @@
 use std::time::Duration;
 
 #[rstest]
-fn what_waits_is_refused_when_the_target_leaves_and_what_runs_goes_on() {
-    let mut table = full();
+fn waiting_attempts_are_refused_when_the_target_leaves_and_running_ones_continue() {
+    let mut table = full_table();
     let mut reader = open(&mut table, at(0), ordinary(3));
 
     let steps = table.on_leaving(at(1), true);
 
-    let frame = last(&mut table, at(1), &mut reader);
+    let frame = last_frame(&mut table, at(1), &mut reader);
     assert_eq!(reason(&frame), Some(Reason::Leaving));
     assert_eq!(steps, vec![AttemptStep::Wake(reader.id)]);
     assert_eq!(table.live(), 2);
 }
 
 #[rstest]
-fn heartbeats_tell_a_quiet_target() {
-    let mut table = table(at(0), LIFE);
+fn heartbeats_report_how_long_the_target_was_idle() {
+    let mut table = table(at(0), INCARNATION);
     let reader = open(&mut table, at(0), ordinary(1));
     table.on_output(at(1_000), reader.id, chunk(reader.id, 0));
 
@@ -47,8 +47,8 @@
 }
 
 #[rstest]
-fn a_crash_names_what_ran_and_what_just_broke_but_not_what_ended() {
-    let mut table = table(at(0), LIFE);
+fn a_crash_suspects_running_and_disconnected_attempts_but_not_ended_ones() {
+    let mut table = table(at(0), INCARNATION);
     for generation in 1..=2 {
         open(&mut table, at(0), ordinary(generation));
     }
@@ -64,16 +64,16 @@
 }
 
 #[rstest]
-fn nothing_starts_at_a_target_that_may_have_died() {
-    let mut table = full();
+fn nothing_starts_at_a_target_that_may_have_crashed() {
+    let mut table = full_table();
     let waiting = open(&mut table, at(0), ordinary(3));
 
-    let broken = table.on_disconnect(at(2), attempt(1, 1));
+    let disconnected = table.on_disconnect(at(2), attempt(1, 1));
     let stale = table.on_load(at(3), at(1), Load::default(), versions());
     let alive = table.on_load(at(4), at(3), Load::default(), versions());
 
     let is_start = |step: &AttemptStep| matches!(step, AttemptStep::Start(_));
-    assert!(!broken.iter().any(is_start), "{broken:?}");
+    assert!(!disconnected.iter().any(is_start), "{disconnected:?}");
     assert!(!stale.iter().any(is_start), "{stale:?}");
     assert!(alive.iter().any(is_start), "{alive:?}");
     assert_eq!(table.live(), 2);
@@ -81,8 +81,8 @@
 }
 
 #[rstest]
-fn what_waited_at_a_crash_is_no_suspect() {
-    let mut table = full();
+fn an_attempt_that_waits_during_a_crash_is_no_suspect() {
+    let mut table = full_table();
     open(&mut table, at(0), ordinary(3));
 
     table.on_disconnect(at(2), attempt(1, 1));
@@ -93,8 +93,8 @@
 }
 
 #[rstest]
-fn what_broke_before_the_target_answered_again_is_no_suspect() {
-    let mut table = full();
+fn an_attempt_disconnected_before_the_target_answered_is_no_suspect() {
+    let mut table = full_table();
     table.on_disconnect(at(2), attempt(1, 1));
     table.on_load(at(5), at(4), Load::default(), versions());
 
@@ -104,8 +104,8 @@
 }
 
 #[rstest]
-fn the_loss_of_an_idle_target_accuses_nobody() {
-    let mut table = table(at(0), LIFE);
+fn a_crash_of_an_idle_target_has_no_suspects() {
+    let mut table = table(at(0), INCARNATION);
 
     table.on_crash(at(1));
 
--- a/crates/cw_policy/tests/attempt/world/entries.rs
+++ b/crates/cw_policy/tests/attempt/world/entries.rs
@@ -1,14 +1,14 @@
-//! What entries and callers do.
+//! Actions of entries and callers.
 
+use super::super::fixtures::call_dispatch;
 use super::super::fixtures::dispatch;
-use super::super::fixtures::notice;
 use super::super::oracle::Stream;
-use super::Checked;
+use super::CheckResult;
 use super::Message;
 use super::World;
 use super::id;
-use super::is_once;
-use super::pick;
+use super::pick_index;
+use super::runs_once;
 use cw_policy::AttemptAnswer;
 use cw_policy::ReadStep;
 use cw_types::AttemptId;
@@ -24,17 +24,17 @@
 impl World {
     pub(super) fn send(&mut self, n: u8) {
         let id = id(n);
-        let again = self.sent.contains_key(&id);
-        if again {
+        let repeated = self.sent.contains_key(&id);
+        if repeated {
             self.repeated.insert(id);
         }
-        let stamp = *self.sent.entry(id).or_insert(self.known);
-        let message = match is_once(id) {
-            true => notice(id, stamp),
+        let stamp = *self.sent.entry(id).or_insert(self.known_stamp);
+        let message = match runs_once(id) {
+            true => call_dispatch(id, stamp),
             false => dispatch(id, stamp),
         };
-        self.flying.push(Message::Dispatch(Box::new(Dispatch {
-            repeat: again,
+        self.in_flight.push(Message::Dispatch(Box::new(Dispatch {
+            repeat: repeated,
             resumed: id.attempt.0 > 1,
             rank: n % 3,
             patience: Duration::from_secs(u64::from(n % 4)),
@@ -44,19 +44,19 @@
 
     pub(super) fn cancel(&mut self, n: u8) {
         let id = id(n);
-        let stamp = *self.sent.entry(id).or_insert(self.known);
+        let stamp = *self.sent.entry(id).or_insert(self.known_stamp);
         self.oracles.entry(id).or_default().cancelled = true;
-        self.flying.push(Message::Cancel(Cancel { id, stamp }));
+        self.in_flight.push(Message::Cancel(Cancel { id, stamp }));
     }
 
-    pub(super) fn message(&mut self, n: u8) -> Option<Message> {
-        let at = pick(n, self.flying.len())?;
-        Some(self.flying.remove(at))
+    pub(super) fn take_message(&mut self, n: u8) -> Option<Message> {
+        let at = pick_index(n, self.in_flight.len())?;
+        Some(self.in_flight.remove(at))
     }
 
-    pub(super) fn deliver(&mut self, n: u8) -> Checked {
-        let now = self.local();
-        match self.message(n) {
+    pub(super) fn deliver(&mut self, n: u8) -> CheckResult {
+        let now = self.agent_time();
+        match self.take_message(n) {
             None => Ok(()),
             Some(Message::Dispatch(dispatch)) => {
                 let (id, from) = (dispatch.id, dispatch.from);
@@ -69,32 +69,34 @@
                         Ok(())
                     }
                     AttemptAnswer::Frame(_) if superseded => Ok(()),
-                    AttemptAnswer::Frame(frame) => self.hear(id, &frame),
+                    AttemptAnswer::Frame(frame) => self.receive(id, &frame),
                 }
             }
             Some(Message::Cancel(cancel)) => {
                 let (answer, steps) = self.table.on_cancel(now, &cancel);
                 self.apply(steps);
                 let oracle = self.oracles.entry(cancel.id).or_default();
-                oracle.promised |= answer.ran == Ran::No;
+                oracle.reported_not_run |= answer.ran == Ran::No;
                 Ok(())
             }
         }
     }
 
-    /// An entry gets a frame that says how an attempt ended.
-    pub(super) fn hear(&mut self, id: AttemptId, frame: &Frame) -> Checked {
+    /// Records and checks a frame that an entry received.
+    pub(super) fn receive(&mut self, id: AttemptId, frame: &Frame) -> CheckResult {
         let oracle = self.oracles.entry(id).or_default();
         match frame {
-            Frame::NotRun { .. } | Frame::Failed { ran: Ran::No, .. } => oracle.promised = true,
+            Frame::NotRun { .. } | Frame::Failed { ran: Ran::No, .. } => {
+                oracle.reported_not_run = true
+            }
             _ => {}
         }
         oracle.check(id)
     }
 
-    pub(super) fn read(&mut self, n: u8) -> Checked {
-        let now = self.local();
-        let Some(at) = pick(n, self.readers.len()) else {
+    pub(super) fn read(&mut self, n: u8) -> CheckResult {
+        let now = self.agent_time();
+        let Some(at) = pick_index(n, self.readers.len()) else {
             return Ok(());
         };
         let (reader, stream) = &mut self.readers[at];
@@ -103,22 +105,22 @@
         if let ReadStep::Frame(frame) = &step {
             let oracle = self.oracles.entry(id).or_default();
             let running = self.target.contains_key(&id);
-            stream.take(id, frame, oracle, running)?;
-            self.hear(id, frame)?;
+            stream.check_frame(id, frame, oracle, running)?;
+            self.receive(id, frame)?;
         }
         self.apply(steps);
         Ok(())
     }
 
-    pub(super) fn leave(&mut self, n: u8) {
-        if let Some(at) = pick(n, self.readers.len()) {
+    pub(super) fn detach(&mut self, n: u8) {
+        if let Some(at) = pick_index(n, self.readers.len()) {
             let (reader, _) = self.readers.remove(at);
-            self.table.on_detach(self.local(), &reader);
+            self.table.on_detach(self.agent_time(), &reader);
         }
     }
 
     pub(super) fn ack(&mut self, n: u8) {
-        if let Some(at) = pick(n, self.readers.len()) {
+        if let Some(at) = pick_index(n, self.readers.len()) {
             let reader = self.readers[at].0;
             let (id, next) = (reader.id, TokenIndex(reader.next));
             let steps = self.table.on_ack(self.now, &Ack { id, next });
@@ -126,10 +128,10 @@
         }
     }
 
-    pub(super) fn attach(&mut self, n: u8, own: bool) -> Checked {
+    pub(super) fn attach(&mut self, n: u8, own: bool) -> CheckResult {
         let id = id(n);
         let workspace = match own {
-            true => dispatch(id, self.known).workspace,
+            true => dispatch(id, self.known_stamp).workspace,
             false => "office".parse().unwrap(),
         };
         let from = TokenIndex(0);
@@ -139,8 +141,8 @@
             workspace,
             from,
         };
-        match self.table.on_attach(self.local(), &attach) {
-            AttemptAnswer::Read(_) if !own => Err(format!("{id} was given to another workspace")),
+        match self.table.on_attach(self.agent_time(), &attach) {
+            AttemptAnswer::Read(_) if !own => Err(format!("{id} was exposed to another workspace")),
             AttemptAnswer::Read(reader) => {
                 self.readers.push((reader, Stream::new(from.0)));
                 Ok(())
--- a/crates/cw_policy/tests/attempt/world/mod.rs
+++ b/crates/cw_policy/tests/attempt/world/mod.rs
@@ -1,4 +1,4 @@
-//! One agent, its target, and the messages of entries on their way.
+//! A simulation of one agent, its target, and the entries' messages in flight.
 
 mod entries;
 mod target;
@@ -26,51 +26,54 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How much a running attempt may keep beyond its share: one token and its bookkeeping.
-const SLACK: usize = 256;
+/// How far a running attempt may exceed its share of the output buffer, in bytes: one token and
+/// its overhead.
+const SHARE_SLACK: usize = 256;
 
-/// One step of a history; numbers choose among what there is.
+/// One step of a history.
+///
+/// A number selects one of the attempts, messages or streams that exist, modulo their count.
 #[derive(Clone, Debug)]
 pub(crate) enum Op {
-    /// An entry sends an attempt, first or again.
+    /// An entry dispatches an attempt, for the first time or again.
     Send(u8),
     /// An entry cancels an attempt.
     Cancel(u8),
-    /// A message arrives, late or crossed.
+    /// A message arrives, possibly late or out of order.
     Deliver(u8),
     /// A message is lost.
-    Lose(u8),
-    /// The target takes up an attempt.
+    Drop(u8),
+    /// The target accepts an attempt.
     Accept(u8),
-    /// The target refuses an attempt before taking it up.
+    /// The target refuses an attempt that it has not accepted.
     Refuse(u8),
     /// The target produces tokens.
     Produce(u8, u8),
     /// The target finishes an attempt.
     Finish(u8),
     /// An attempt's connection to the target breaks.
-    Break(u8),
-    /// The target dies.
+    Disconnect(u8),
+    /// The target crashes.
     Crash,
     /// The target answers again.
     Up,
-    /// The target starts to leave, or stays.
+    /// Sets whether the target is leaving.
     Leaving(bool),
-    /// A stream reads on.
+    /// A stream reads its next frame.
     Read(u8),
-    /// A stream is dropped.
-    Leave(u8),
-    /// An entry acknowledges what it has.
+    /// A stream is closed.
+    Detach(u8),
+    /// An entry acknowledges the output that it has received.
     Ack(u8),
     /// Time passes, in milliseconds.
-    Pass(u32),
-    /// A caller comes back for a generation, its own or another's.
+    Wait(u32),
+    /// A caller attaches to a generation, of its own workspace (`true`) or another.
     Attach(u8, bool),
-    /// A planner has the version unloaded if nothing is pinned to it, or kept.
+    /// A planner orders the version to be unloaded, if no attempt is pinned to it, or to stay.
     Unload(bool),
-    /// Entries learn the agent's life and age.
+    /// Entries learn the incarnation and age of the agent.
     Report,
-    /// The agent dies and starts anew.
+    /// The agent crashes and restarts.
     Restart,
 }
 
@@ -80,21 +83,21 @@
     Cancel(Cancel),
 }
 
-/// The world.
+/// The simulated system and the oracles of its attempts.
 pub(crate) struct World {
     table: AttemptTable,
-    life: u64,
-    /// When this life began, on the world's clock.
-    born: Time,
+    incarnation: u64,
+    /// When this incarnation started, on the simulation's clock.
+    started: Time,
     now: Time,
-    /// What entries know of the agent.
-    known: Stamp,
+    /// The last stamp of the agent that entries know.
+    known_stamp: Stamp,
     sent: BTreeMap<AttemptId, Stamp>,
-    /// Attempts whose dispatch was repeated, so that the answer to the first no longer counts.
+    /// Attempts whose dispatch was repeated, so that the answer to the first is ignored.
     repeated: BTreeSet<AttemptId>,
-    flying: Vec<Message>,
+    in_flight: Vec<Message>,
     oracles: BTreeMap<AttemptId, Oracle>,
-    /// What the target has, and whether it is read from.
+    /// The attempts at the target, and whether each is being read.
     target: BTreeMap<AttemptId, bool>,
     readers: Vec<(Reader, Stream)>,
     down: bool,
@@ -102,20 +105,20 @@
     unloading: bool,
 }
 
-type Checked = Result<(), String>;
+type CheckResult = Result<(), String>;
 
 impl World {
-    /// Returns a world in which nothing has happened.
+    /// Returns the initial state.
     pub(crate) fn new() -> Self {
         Self {
             table: table(Time(0), 1),
-            life: 1,
-            born: Time(0),
+            incarnation: 1,
+            started: Time(0),
             now: Time(0),
-            known: stamp(1, Time(0)),
+            known_stamp: stamp(1, Time(0)),
             sent: BTreeMap::new(),
             repeated: BTreeSet::new(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             oracles: BTreeMap::new(),
             target: BTreeMap::new(),
             readers: Vec::new(),
@@ -125,35 +128,35 @@
         }
     }
 
-    /// Does one step and checks what must hold.
-    pub(crate) fn step(&mut self, op: &Op) -> Checked {
+    /// Applies one step and checks the invariants.
+    pub(crate) fn step(&mut self, op: &Op) -> CheckResult {
         match *op {
             Op::Send(n) => self.send(n),
             Op::Cancel(n) => self.cancel(n),
             Op::Deliver(n) => self.deliver(n)?,
-            Op::Lose(n) => drop(self.message(n)),
+            Op::Drop(n) => drop(self.take_message(n)),
             Op::Accept(n) => self.accept(n),
             Op::Refuse(n) => self.refuse(n),
             Op::Produce(n, count) => self.produce(n, count)?,
             Op::Finish(n) => self.finish(n),
-            Op::Break(n) => self.break_off(n),
+            Op::Disconnect(n) => self.disconnect(n),
             Op::Crash => self.crash(),
             Op::Up => self.up(),
             Op::Leaving(leaving) => self.set_leaving(leaving),
             Op::Read(n) => self.read(n)?,
-            Op::Leave(n) => self.leave(n),
+            Op::Detach(n) => self.detach(n),
             Op::Ack(n) => self.ack(n),
-            Op::Pass(millis) => self.pass(millis),
+            Op::Wait(millis) => self.wait(millis),
             Op::Attach(n, own) => self.attach(n, own)?,
             Op::Unload(unload) => self.unload(unload),
-            Op::Report => self.known = stamp(self.life, self.local()),
+            Op::Report => self.known_stamp = stamp(self.incarnation, self.agent_time()),
             Op::Restart => self.restart(),
         }
         self.check()
     }
 
-    /// Reads and ends everything in progress; then a leaving agent must be drained.
-    pub(crate) fn settle(&mut self) -> Checked {
+    /// Ends and reads everything in progress, and checks that the leaving agent is drained.
+    pub(crate) fn drain(&mut self) -> CheckResult {
         self.catch_up()?;
         self.set_leaving(true);
         let running: Vec<AttemptId> = self.target.keys().copied().collect();
@@ -161,37 +164,37 @@
             self.target.remove(&id);
             let steps = self
                 .table
-                .on_end(self.local(), id, AttemptEnd::Done(Finish::Stop));
+                .on_end(self.agent_time(), id, AttemptEnd::Done(Finish::Stop));
             self.apply(steps);
         }
         while !self.readers.is_empty() {
             for _ in 0..1000 {
                 self.read(0)?;
             }
-            self.leave(0);
+            self.detach(0);
         }
-        self.pass(limits().retention.as_millis() as u32);
+        self.wait(limits().retention.as_millis() as u32);
         self.check()?;
         match self.table.is_drained() {
             true => Ok(()),
-            false => Err("nothing is in progress, and yet it is not drained".to_owned()),
+            false => Err("nothing is in progress, but the table is not drained".to_owned()),
         }
     }
 
-    /// Reads all output; then every target must be read from again.
-    fn catch_up(&mut self) -> Checked {
+    /// Reads all output, and checks that reading from the target has resumed for every attempt.
+    fn catch_up(&mut self) -> CheckResult {
         let running: Vec<AttemptId> = self.target.keys().copied().collect();
         for id in running {
             let from = TokenIndex(self.oracles[&id].reached);
-            let again = Dispatch {
+            let repeated = Dispatch {
                 repeat: true,
                 from,
-                ..dispatch(id, self.known)
+                ..dispatch(id, self.known_stamp)
             };
-            let (answer, steps) = self.table.on_dispatch(self.local(), again);
+            let (answer, steps) = self.table.on_dispatch(self.agent_time(), repeated);
             self.apply(steps);
             let AttemptAnswer::Read(reader) = answer else {
-                return Err(format!("{id} runs and is not found"));
+                return Err(format!("{id} runs but is not found"));
             };
             self.readers.push((reader, Stream::new(from.0)));
         }
@@ -201,31 +204,34 @@
             }
         }
         match self.target.iter().find(|(_, reads)| !**reads) {
-            Some((id, _)) => Err(format!("{id} is not read from although all was read")),
+            Some((id, _)) => Err(format!("{id} is paused although all its output was read")),
             None => Ok(()),
         }
     }
 
     // ---- Checks
 
-    fn check(&self) -> Checked {
+    fn check(&self) -> CheckResult {
         for (id, oracle) in &self.oracles {
             oracle.check(*id)?;
         }
         if self.target.len() > limits().admission.max_running as usize {
-            return Err(format!("{} attempts run", self.target.len()));
+            return Err(format!("{} attempts run at the target", self.target.len()));
         }
-        let room =
-            limits().output_bytes.as_usize() + SLACK * limits().admission.max_running as usize;
-        if self.table.output_bytes() > room {
-            return Err(format!("{} bytes are kept", self.table.output_bytes()));
+        let max_bytes = limits().output_bytes.as_usize()
+            + SHARE_SLACK * limits().admission.max_running as usize;
+        if self.table.output_bytes() > max_bytes {
+            return Err(format!(
+                "{} bytes of output are buffered",
+                self.table.output_bytes()
+            ));
         }
         Ok(())
     }
 
-    /// Returns the time on the agent's own clock.
-    fn local(&self) -> Time {
-        Time::default() + self.now.since(self.born)
+    /// Returns the time on the agent's own clock, which starts at 0 with each incarnation.
+    fn agent_time(&self) -> Time {
+        Time::default() + self.now.since(self.started)
     }
 
     fn apply(&mut self, steps: Vec<AttemptStep>) {
@@ -234,22 +240,28 @@
                 AttemptStep::Start(dispatch) => {
                     assert!(
                         !self.down && !self.leaving,
-                        "work for a target that takes none"
+                        "an attempt started at a target that takes no work"
+                    );
+                    let is_unloading = self.unloading && !runs_once(dispatch.id);
+                    assert!(
+                        !is_unloading,
+                        "an attempt started for a version that is being unloaded"
                     );
-                    let closed = self.unloading && !is_once(dispatch.id);
-                    assert!(!closed, "work for a version that is being unloaded");
                     self.oracles.entry(dispatch.id).or_default().starts += 1;
                     self.target.insert(dispatch.id, true);
                 }
                 AttemptStep::Abort(id) => {
                     let oracle = &self.oracles[&id];
-                    let once = is_once(id);
-                    assert!(!once || oracle.cancelled, "{id} was aborted unasked");
+                    let only_once = runs_once(id);
+                    assert!(
+                        !only_once || oracle.cancelled,
+                        "{id} was aborted although nobody cancelled it"
+                    );
                     self.target.remove(&id);
                 }
                 AttemptStep::Resume(id) => {
                     if let Some(reads) = self.target.get_mut(&id) {
-                        assert!(!*reads, "{id} is read from already");
+                        assert!(!*reads, "{id} was resumed although it is not paused");
                         *reads = true;
                     }
                 }
@@ -262,25 +274,25 @@
 
     fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
-        let steps = self.table.on_leaving(self.local(), leaving);
+        let steps = self.table.on_leaving(self.agent_time(), leaving);
         self.apply(steps);
     }
 
-    fn pass(&mut self, millis: u32) {
+    fn wait(&mut self, millis: u32) {
         self.now = self.now + Duration::from_millis(millis.into());
-        let steps = self.table.on_tick(self.local());
+        let steps = self.table.on_tick(self.agent_time());
         self.apply(steps);
     }
 
     fn restart(&mut self) {
-        self.life += 1;
-        self.born = self.now;
-        self.table = table(Time(0), self.life);
+        self.incarnation += 1;
+        self.started = self.now;
+        self.table = table(Time(0), self.incarnation);
         self.readers.clear();
         let lost: BTreeSet<AttemptId> = self.target.keys().copied().collect();
         self.target.clear();
         for id in lost {
-            // Its work at the target may have been done.
+            // The target may have run it.
             self.oracles.entry(id).or_default().ran = true;
         }
         self.down = false;
@@ -289,16 +301,16 @@
     }
 }
 
-/// Returns the attempt that a number stands for.
+/// Returns the attempt that a number selects.
 fn id(n: u8) -> AttemptId {
     attempt(u128::from(n % 5), 1 + u32::from(n / 5 % 2))
 }
 
-/// Returns whether an attempt may run once.
-fn is_once(id: AttemptId) -> bool {
+/// Returns whether an attempt is not idempotent, so that it may run only once.
+fn runs_once(id: AttemptId) -> bool {
     id.generation.0.is_multiple_of(2)
 }
 
-fn pick(n: u8, len: usize) -> Option<usize> {
+fn pick_index(n: u8, len: usize) -> Option<usize> {
     (len > 0).then(|| usize::from(n) % len)
 }
--- a/crates/cw_policy/tests/attempt/world/target.rs
+++ b/crates/cw_policy/tests/attempt/world/target.rs
@@ -1,10 +1,10 @@
-//! What the target does.
+//! Actions of the target.
 
 use super::super::fixtures::chunk;
 use super::super::fixtures::versions;
-use super::Checked;
+use super::CheckResult;
 use super::World;
-use super::pick;
+use super::pick_index;
 use cw_policy::AttemptEnd;
 use cw_policy::FlowControl;
 use cw_types::AttemptId;
@@ -14,40 +14,40 @@
 use cw_wire::Reason;
 
 impl World {
-    pub(super) fn running(&self, n: u8) -> Option<AttemptId> {
-        let at = pick(n, self.target.len())?;
+    pub(super) fn pick_running(&self, n: u8) -> Option<AttemptId> {
+        let at = pick_index(n, self.target.len())?;
         self.target.keys().nth(at).copied()
     }
 
     pub(super) fn accept(&mut self, n: u8) {
-        if let Some(id) = self.running(n) {
+        if let Some(id) = self.pick_running(n) {
             self.oracles.entry(id).or_default().ran = true;
-            let steps = self.table.on_accepted(self.local(), id, TokenCount(0));
+            let steps = self.table.on_accepted(self.agent_time(), id, TokenCount(0));
             self.apply(steps);
         }
     }
 
     pub(super) fn refuse(&mut self, n: u8) {
-        let Some(id) = self.running(n) else {
+        let Some(id) = self.pick_running(n) else {
             return;
         };
         if !self.oracles[&id].ran {
             self.target.remove(&id);
             let end = AttemptEnd::NotRun(Reason::Busy);
-            let steps = self.table.on_end(self.local(), id, end);
+            let steps = self.table.on_end(self.agent_time(), id, end);
             self.apply(steps);
         }
     }
 
-    pub(super) fn produce(&mut self, n: u8, count: u8) -> Checked {
-        let Some(id) = self.running(n) else {
+    pub(super) fn produce(&mut self, n: u8, count: u8) -> CheckResult {
+        let Some(id) = self.pick_running(n) else {
             return Ok(());
         };
         for _ in 0..count {
             if self.target.get(&id) != Some(&true) {
                 return Ok(());
             }
-            let now = self.local();
+            let now = self.agent_time();
             let oracle = self.oracles.entry(id).or_default();
             oracle.ran = true;
             let index = oracle.produced;
@@ -57,7 +57,7 @@
                 FlowControl::Continue => {}
                 FlowControl::Pause => drop(self.target.insert(id, false)),
                 FlowControl::Stop => {
-                    return Err(format!("{id} ended without the target hearing of it"));
+                    return Err(format!("{id} ended without an abort at the target"));
                 }
             }
             self.apply(steps);
@@ -66,21 +66,21 @@
     }
 
     pub(super) fn finish(&mut self, n: u8) {
-        if let Some(id) = self.running(n) {
+        if let Some(id) = self.pick_running(n) {
             self.target.remove(&id);
             self.oracles.entry(id).or_default().ran = true;
             let end = AttemptEnd::Done(Finish::Stop);
-            let steps = self.table.on_end(self.local(), id, end);
+            let steps = self.table.on_end(self.agent_time(), id, end);
             self.apply(steps);
         }
     }
 
-    pub(super) fn break_off(&mut self, n: u8) {
-        if let Some(id) = self.running(n) {
+    pub(super) fn disconnect(&mut self, n: u8) {
+        if let Some(id) = self.pick_running(n) {
             self.target.remove(&id);
-            // Nobody knows whether the target had taken it up.
+            // The target may have accepted it.
             self.oracles.entry(id).or_default().ran = true;
-            let steps = self.table.on_disconnect(self.local(), id);
+            let steps = self.table.on_disconnect(self.agent_time(), id);
             self.apply(steps);
         }
     }
@@ -96,17 +96,17 @@
     pub(super) fn crash(&mut self) {
         self.down = true;
         self.unloading = false;
-        let steps = self.table.on_down(self.local());
+        let steps = self.table.on_down(self.agent_time());
         self.apply(steps);
         while !self.target.is_empty() {
-            self.break_off(0);
+            self.disconnect(0);
         }
-        self.table.on_crash(self.local());
+        self.table.on_crash(self.agent_time());
     }
 
     pub(super) fn up(&mut self) {
         self.down = false;
-        let now = self.local();
+        let now = self.agent_time();
         let steps = self.table.on_load(now, now, Load::default(), versions());
         self.apply(steps);
     }
