--- a/crates/cw_policy/src/budget/backoff.rs
+++ b/crates/cw_policy/src/budget/backoff.rs
@@ -1,4 +1,4 @@
-//! Backoff with full jitter.
+//! Exponential backoff with full jitter.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 /// Exponential backoff with full jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The longest wait before the first repeat.
+    /// The maximum delay before the first repeat.
     pub base: Duration,
-    /// The longest wait before any.
+    /// The maximum delay before any repeat.
     pub max: Duration,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Backoff {
-    /// Returns how long to wait before repeat number `repeat`, counted from 0.
+    /// Returns a random delay before repeat number `repeat`, counted from 0.
     pub fn delay(&self, repeat: u32, rng: &mut impl Rng) -> Duration {
         let factor = 2_u32.saturating_pow(repeat);
         let longest = self.base.saturating_mul(factor).min(self.max);
--- a/crates/cw_policy/src/budget/bucket.rs
+++ b/crates/cw_policy/src/budget/bucket.rs
@@ -1,21 +1,21 @@
-//! One bucket of sends that may be added.
+//! A token bucket for extra sends.
 
-/// A bucket that first tries fill and further sends empty.
+/// A token bucket that first sends fill and extra sends drain; a token is one extra send.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Bucket {
     level: f64,
 }
 
 impl Bucket {
-    pub(super) fn full(most: f64) -> Self {
-        Self { level: most }
+    pub(super) fn full(capacity: f64) -> Self {
+        Self { level: capacity }
     }
 
-    pub(super) fn fill(&mut self, ratio: f64, most: f64) {
-        self.level = (self.level + ratio).min(most);
+    pub(super) fn fill(&mut self, ratio: f64, capacity: f64) {
+        self.level = (self.level + ratio).min(capacity);
     }
 
-    pub(super) fn has(&self) -> bool {
+    pub(super) fn has_token(&self) -> bool {
         self.level >= 1.0
     }
 
--- a/crates/cw_policy/src/budget/budgets.rs
+++ b/crates/cw_policy/src/budget/budgets.rs
@@ -1,4 +1,4 @@
-//! The budgets of all routes and targets.
+//! The budgets of the routes and targets of one entry.
 
 use std::collections::BTreeMap;
 
@@ -7,32 +7,32 @@
 
 use super::bucket::Bucket;
 
-/// A send beyond a request's first.
+/// The kind of a send beyond a request's first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExtraSend {
-    /// The same work again after a failure before it ran.
+    /// The same work again, after it failed without running.
     Retry,
-    /// Another target, after one refused.
+    /// Another target, after one refused the work.
     Redirect,
-    /// A second attempt beside one that may still answer.
+    /// A second attempt while the first may still answer.
     Hedge,
 }
 
-/// How much may be sent beyond first tries, as parts of them.
+/// The extra sends that are allowed, as ratios of the first sends.
 ///
-/// The sum of the three parts of a route bounds its sends: after `n` first tries there were at
-/// most `n * (1 + retry + redirect + hedge) + 3 * burst` in all.
+/// The three ratios of a route bound its sends: `n` first sends lead to at most
+/// `n * (1 + retry + redirect + hedge) + 3 * burst` sends in all.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Retries of a route.
+    /// The ratio of retries of a route.
     pub retry: f64,
-    /// Redirects of a route.
+    /// The ratio of redirects of a route.
     pub redirect: f64,
-    /// Hedges of a route.
+    /// The ratio of hedges of a route.
     pub hedge: f64,
-    /// Further sends to a target, of any kind and route.
+    /// The ratio of extra sends to a target, of all kinds and routes together.
     pub target: f64,
-    /// The most further sends that can be saved up, and what a new bucket holds.
+    /// The capacity of each bucket in extra sends; a new bucket is full.
     pub burst: f64,
 }
 
@@ -58,11 +58,11 @@
     }
 }
 
-/// The budgets of all routes and targets of an entry.
+/// The budgets of the routes and targets of one entry.
 ///
-/// Replacing an attempt that was lost while it ran spends nothing here: a lost availability zone
-/// must be replaced whole. Those are bounded by the most attempts of a generation and queue at the
-/// entry like others.
+/// Replacing an attempt that was lost while it ran spends nothing, because all attempts of a lost
+/// availability zone must be replaced. Such replacements are bounded by the maximum number of
+/// attempts of a generation, and queue at the entry like other attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     settings: BudgetSettings,
@@ -79,27 +79,30 @@
         }
     }
 
-    /// Records the first try of a request.
+    /// Records the first send of a request.
     pub fn record_first(&mut self, route: &RouteName, target: &TargetId) {
         let settings = self.settings;
         for extra in [ExtraSend::Retry, ExtraSend::Redirect, ExtraSend::Hedge] {
-            self.bucket(route, extra)
+            self.route_bucket(route, extra)
                 .fill(settings.ratio(extra), settings.burst);
         }
-        self.target(target).fill(settings.target, settings.burst);
+        self.target_bucket(target)
+            .fill(settings.target, settings.burst);
     }
 
-    /// Returns whether a further send is allowed, and spends it if so.
+    /// Returns whether an extra send is allowed, and spends a token of its route and of its target if
+    /// so.
     pub fn try_spend(&mut self, extra: ExtraSend, route: &RouteName, target: &TargetId) -> bool {
-        let allowed = self.bucket(route, extra).has() && self.target(target).has();
+        let allowed =
+            self.route_bucket(route, extra).has_token() && self.target_bucket(target).has_token();
         if allowed {
-            self.bucket(route, extra).spend();
-            self.target(target).spend();
+            self.route_bucket(route, extra).spend();
+            self.target_bucket(target).spend();
         }
         allowed
     }
 
-    /// Forgets the routes and targets that are no more.
+    /// Removes the budgets of all routes and targets for which the functions return `false`.
     pub fn retain(
         &mut self,
         route: impl Fn(&RouteName) -> bool,
@@ -109,19 +112,19 @@
         self.targets.retain(|id, _| target(id));
     }
 
-    fn bucket(&mut self, route: &RouteName, extra: ExtraSend) -> &mut Bucket {
-        let most = self.settings.burst;
+    fn route_bucket(&mut self, route: &RouteName, extra: ExtraSend) -> &mut Bucket {
+        let capacity = self.settings.burst;
         self.routes
             .entry(route.clone())
             .or_default()
             .entry(extra)
-            .or_insert_with(|| Bucket::full(most))
+            .or_insert_with(|| Bucket::full(capacity))
     }
 
-    fn target(&mut self, target: &TargetId) -> &mut Bucket {
-        let most = self.settings.burst;
+    fn target_bucket(&mut self, target: &TargetId) -> &mut Bucket {
+        let capacity = self.settings.burst;
         self.targets
             .entry(target.clone())
-            .or_insert_with(|| Bucket::full(most))
+            .or_insert_with(|| Bucket::full(capacity))
     }
 }
--- a/crates/cw_policy/src/budget/mod.rs
+++ b/crates/cw_policy/src/budget/mod.rs
@@ -1,7 +1,7 @@
 //! Budgets for sending a request more than once, and backoff.
 //!
-//! First tries feed the budgets of their route and target; each further send spends from both, so
-//! refusals cannot multiply load.
+//! The first send of a request adds to the budgets of its route and target; each extra send spends
+//! from both, so that refusals cannot multiply the load.
 
 mod backoff;
 mod bucket;
--- a/crates/cw_policy/src/budget/service_budgets.rs
+++ b/crates/cw_policy/src/budget/service_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets that all entries share, one for each service.
+//! Budgets of services, each shared by all entries.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -7,47 +7,49 @@
 use cw_types::ServiceName;
 use cw_types::Time;
 
-/// How many spans a window is counted in.
-const SPANS: u32 = 20;
+/// The number of intervals that a window is divided into for counting.
+const INTERVALS: u32 = 20;
 
-/// How much may be sent to a service beyond the first send of each request, over all entries.
+/// The extra sends to a service that are allowed over all entries.
+///
+/// An extra send is one beyond the first send of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedBudget {
-    /// Further sends as a part of the requests of a window.
+    /// The extra sends in a window, as a ratio of the requests in it.
     pub ratio: f64,
-    /// Further sends beside those, in each window.
+    /// The extra sends that are allowed in each window in addition.
     pub slack: f64,
-    /// The length of the window, which may begin at any moment.
+    /// The length of a window; the bound holds for each window, whenever it starts.
     pub window: Duration,
 }
 
-/// This entry's part of the budgets of all services.
+/// One entry's share of the budgets of all services.
 ///
-/// Each entry counts its own requests and has a part of the slack, so the sum over all entries keeps
-/// to the shared budget in any window, whatever the others know.
+/// Each entry counts its own requests and has an equal share of the slack, so the sum over all
+/// entries stays within the shared budget in any window, whatever the others know.
 #[derive(Clone, Debug)]
 pub struct ServiceBudgets {
     budget: SharedBudget,
     entries: u32,
-    services: BTreeMap<ServiceName, Counts>,
+    services: BTreeMap<ServiceName, WindowCounts>,
 }
 
-/// What one span of a window has seen.
+/// The sends in one interval of a window.
 #[derive(Clone, Copy, Debug)]
-struct Span {
-    begin: Time,
+struct Interval {
+    start: Time,
     firsts: u32,
-    further: u32,
+    extras: u32,
 }
 
-/// What the last window has seen.
+/// The sends to one service in the last window.
 #[derive(Clone, Debug, Default)]
-struct Counts {
-    spans: VecDeque<Span>,
+struct WindowCounts {
+    intervals: VecDeque<Interval>,
 }
 
 impl ServiceBudgets {
-    /// Returns the part of one among `entries` entries.
+    /// Returns the share of one of `entries` entries.
     pub fn new(budget: SharedBudget, entries: u32) -> Self {
         Self {
             budget,
@@ -63,67 +65,70 @@
 
     /// Records the first send of a request.
     pub fn record_first(&mut self, now: Time, service: &ServiceName) {
-        self.span(now, service).firsts += 1;
+        self.current_interval(now, service).firsts += 1;
     }
 
-    /// Returns whether a further send is allowed, and counts it if so.
+    /// Returns whether an extra send is allowed, and counts it if so.
     pub fn try_spend(&mut self, now: Time, service: &ServiceName) -> bool {
         let budget = self.budget;
         let slack = budget.slack / f64::from(self.entries);
-        self.span(now, service);
+        self.current_interval(now, service);
         let Some(counts) = self.services.get_mut(service) else {
             return false;
         };
         let allowed = slack + budget.ratio * f64::from(counts.firsts(now.before(budget.window)));
-        let spent = f64::from(counts.further());
+        let spent = f64::from(counts.extras());
         let is_allowed = spent + 1.0 <= allowed;
-        if is_allowed && let Some(span) = counts.spans.back_mut() {
-            span.further += 1;
+        if is_allowed && let Some(interval) = counts.intervals.back_mut() {
+            interval.extras += 1;
         }
         is_allowed
     }
 
-    /// Forgets the services that are no more.
+    /// Removes the budgets of all services for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.services.retain(|name, _| keep(name));
     }
 
-    /// Returns the span of the present moment.
-    fn span(&mut self, now: Time, service: &ServiceName) -> &mut Span {
-        let length = self.budget.window / SPANS;
-        // One span more than the window has: the oldest one may reach into it.
-        let memory = self.budget.window + length;
+    /// Returns the current interval of a service, and drops those that are too old.
+    fn current_interval(&mut self, now: Time, service: &ServiceName) -> &mut Interval {
+        let length = self.budget.window / INTERVALS;
+        // One more interval than a window has, because the oldest one may overlap the window.
+        let retention = self.budget.window + length;
         let counts = self.services.entry(service.clone()).or_default();
-        while let Some(oldest) = counts.spans.front()
-            && now.since(oldest.begin) > memory
+        while let Some(oldest) = counts.intervals.front()
+            && now.since(oldest.start) > retention
         {
-            counts.spans.pop_front();
+            counts.intervals.pop_front();
         }
         let is_new = counts
-            .spans
+            .intervals
             .back()
-            .is_none_or(|span| now.since(span.begin) >= length);
+            .is_none_or(|interval| now.since(interval.start) >= length);
         if is_new {
-            counts.spans.push_back(Span {
-                begin: now,
+            counts.intervals.push_back(Interval {
+                start: now,
                 firsts: 0,
-                further: 0,
+                extras: 0,
             });
         }
-        let last = counts.spans.len() - 1;
-        &mut counts.spans[last]
+        let last = counts.intervals.len() - 1;
+        &mut counts.intervals[last]
     }
 }
 
-impl Counts {
-    /// Returns the first sends that surely lie within the window that begins at `begin`.
-    fn firsts(&self, begin: Time) -> u32 {
-        let spans = self.spans.iter().filter(|span| span.begin >= begin);
-        spans.map(|span| span.firsts).sum()
+impl WindowCounts {
+    /// Returns the first sends that certainly lie within the window that starts at `start`.
+    fn firsts(&self, start: Time) -> u32 {
+        let intervals = self
+            .intervals
+            .iter()
+            .filter(|interval| interval.start >= start);
+        intervals.map(|interval| interval.firsts).sum()
     }
 
-    /// Returns the further sends that may lie within the window.
-    fn further(&self) -> u32 {
-        self.spans.iter().map(|span| span.further).sum()
+    /// Returns the extra sends that may lie within the window.
+    fn extras(&self) -> u32 {
+        self.intervals.iter().map(|interval| interval.extras).sum()
     }
 }
--- a/crates/cw_policy/src/quota/bucket.rs
+++ b/crates/cw_policy/src/quota/bucket.rs
@@ -1,35 +1,38 @@
-//! A token bucket whose rate changes.
+//! A token bucket with a variable rate.
 
 use std::time::Duration;
 
 use cw_types::Time;
 
-/// A token bucket that may be in debt.
+/// A token bucket whose level may be negative.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Bucket {
     level: f64,
-    at: Time,
+    filled_at: Time,
 }
 
 impl Bucket {
-    /// Returns a bucket that holds `level` now.
+    /// Returns a bucket with this level at `now`.
     pub(super) fn new(now: Time, level: f64) -> Self {
-        Self { level, at: now }
+        Self {
+            level,
+            filled_at: now,
+        }
     }
 
-    /// Fills at `rate` a second up to `most`.
-    pub(super) fn fill(&mut self, now: Time, rate: f64, most: f64) {
-        let span = now.since(self.at).as_secs_f64();
-        self.level = (self.level + rate * span).min(most);
-        self.at = now;
+    /// Refills the bucket at `rate` per second up to `capacity`.
+    pub(super) fn fill(&mut self, now: Time, rate: f64, capacity: f64) {
+        let elapsed = now.since(self.filled_at).as_secs_f64();
+        self.level = (self.level + rate * elapsed).min(capacity);
+        self.filled_at = now;
     }
 
     pub(super) fn spend(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Returns how long it takes until `amount` is there.
-    pub(super) fn time(&self, amount: f64, rate: f64) -> Duration {
+    /// Returns the time until the level reaches `amount` at `rate` per second.
+    pub(super) fn time_until(&self, amount: f64, rate: f64) -> Duration {
         let seconds = (amount - self.level).max(0.0) / rate;
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
--- a/crates/cw_policy/src/quota/mod.rs
+++ b/crates/cw_policy/src/quota/mod.rs
@@ -1,14 +1,14 @@
-//! The quotas of workspaces, which hold over all entries.
+//! The quotas of workspaces, each enforced over all entries together.
 //!
-//! Each entry tells the others, through relays, which part of each quota it wants, and takes a
-//! share in proportion. See [`Quotas`] for the bounds.
+//! Each entry announces its demand for each quota to the others, through relays, and uses a share
+//! in proportion to it. See [`Quotas`] for the bounds.
 
 mod bucket;
-mod heard;
+mod peer_demands;
+mod quota_settings;
 mod quotas;
-mod settings;
 mod usage;
 
+pub use quota_settings::QuotaSettings;
 pub use quotas::QuotaDecision;
 pub use quotas::Quotas;
-pub use settings::QuotaSettings;
--- a/crates/cw_policy/src/quota/quotas.rs
+++ b/crates/cw_policy/src/quota/quotas.rs
@@ -1,4 +1,4 @@
-//! The quotas at one entry.
+//! The enforcement of quotas at one entry.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,41 +13,43 @@
 use rand::RngExt;
 
 use super::QuotaSettings;
-use super::heard::Others;
+use super::peer_demands::PeerDemands;
 use super::usage::Usage;
 
-/// The shortest time after which a caller over quota is asked to call again.
+/// The shortest retry delay given to a caller over quota.
 const RETRY_MIN: Duration = Duration::from_secs(1);
 
-/// The longest time that is added to it.
+/// The longest jitter that is added to [`RETRY_MIN`].
 const RETRY_MAX: Duration = Duration::from_secs(30);
 
-/// Whether a request is within its workspace's quota.
+/// The decision whether a request is within its workspace's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// It is, and counts until it ends.
+    /// The request is admitted, and counts as in progress until it ends.
     Admit,
-    /// It is not.
+    /// The request is refused.
     Refuse {
-        /// When the caller should call again.
+        /// The delay after which the caller should retry.
         retry: Duration,
     },
 }
 
 /// The quotas of all workspaces at one of several entries.
 ///
-/// An entry's share of a quota is its own demand over the demand of all. Stated demand falls at
-/// once, but grows by at most [`QuotaSettings::growth`] within [`QuotaSettings::stale`], which is
-/// the age of the oldest message that counts. So while all entries hear each other, the sum of the
-/// shares is at most `1 + growth`. An entry that misses any other takes an equal share: when all
-/// do, the sum is 1, and while some do, it is at most `2 + growth`.
+/// An entry's share of a quota is its own demand divided by the demand of all entries. Announced
+/// demand falls at once, but grows by at most [`QuotaSettings::growth`] within
+/// [`QuotaSettings::stale`], the maximum age of a demand that counts. While all entries receive
+/// each other's demands, the shares therefore add up to at most `1 + growth`. An entry that lacks
+/// the demand of any other takes an equal share: if all do, the shares add up to 1; while only some
+/// do, they add up to at most `2 + growth`.
 ///
-/// Of a quota that one entry alone wants, it gets at least `1 / (1 + floor)` once its demand has
-/// grown, which takes `ln(entries / floor) / ln(1 + growth)` times [`QuotaSettings::stale`].
+/// An entry that alone has demand for a quota gets at least `1 / (1 + floor)` of it once its
+/// announced demand has grown, which takes `ln(entries / floor) / ln(1 + growth)` times
+/// [`QuotaSettings::stale`].
 ///
 /// Each entry admits at least one generation at a time, whatever its share, so that small quotas
-/// are usable; tokens are spent when they are produced, so a bucket may be in debt, which is paid
-/// before the next request.
+/// are usable. Tokens are spent as they are produced, so a bucket may become negative; it must be
+/// refilled before the next request is admitted.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     host: HostId,
@@ -55,11 +57,11 @@
     entries: usize,
     sequence: u64,
     usages: BTreeMap<WorkspaceId, Usage>,
-    others: Others,
+    peers: PeerDemands,
 }
 
 impl Quotas {
-    /// Returns the quotas at the entry on `host`, as the only entry.
+    /// Returns the quotas at the entry on `host`, which is the only known entry at first.
     pub fn new(host: HostId, settings: QuotaSettings) -> Self {
         Self {
             host,
@@ -67,17 +69,19 @@
             entries: 1,
             sequence: 0,
             usages: BTreeMap::new(),
-            others: Others::default(),
+            peers: PeerDemands::default(),
         }
     }
 
-    /// Sets the entries that are known, this one included.
+    /// Sets the known entries, this one included.
     pub fn set_entries(&mut self, entries: &BTreeSet<HostId>) {
         self.entries = entries.len().max(1);
-        self.others.retain(|host| entries.contains(host));
+        self.peers.retain(|host| entries.contains(host));
     }
 
-    /// Sets how old a message may be that counts: at least its whole way, with one loss.
+    /// Sets [`QuotaSettings::stale`].
+    ///
+    /// It must cover the delay of a message over all relays when one message is lost.
     pub fn set_stale(&mut self, stale: Duration) {
         self.settings.stale = stale;
     }
@@ -94,10 +98,10 @@
         let share = self.share(now, workspace);
         let usage = self.usage(now, workspace, quota);
         let amount = tokens as f64;
-        usage.want(now, amount);
-        let concurrent = (f64::from(quota.concurrent) * share).floor().max(1.0);
-        if f64::from(usage.concurrent) >= concurrent {
-            usage.crowded(now);
+        usage.record_request(now, amount);
+        let max_concurrent = (f64::from(quota.concurrent) * share).floor().max(1.0);
+        if f64::from(usage.concurrent) >= max_concurrent {
+            usage.record_refusal(now);
             return refuse(RETRY_MIN, rng);
         }
         let wait = self.wait(now, workspace, share);
@@ -114,7 +118,7 @@
     /// Records that a request produced `tokens`.
     pub fn record_output(&mut self, now: Time, workspace: &WorkspaceId, tokens: u64) {
         if let Some(usage) = self.usages.get_mut(workspace) {
-            usage.produce(now, tokens as f64);
+            usage.record_output(now, tokens as f64);
         }
     }
 
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Returns what this entry wants, to be sent several times within [`QuotaSettings::stale`].
+    /// Returns the demand of this entry, to be sent several times within [`QuotaSettings::stale`].
     pub fn demand(&mut self, now: Time) -> Demand {
         let equal = 1.0 / self.entries as f64;
         self.usages.retain(|_, usage| !usage.is_idle(now));
@@ -134,7 +138,7 @@
         let parts = self
             .usages
             .iter_mut()
-            .map(|(id, usage)| (id.clone(), usage.state(now, equal, settings)));
+            .map(|(id, usage)| (id.clone(), usage.announce(now, equal, settings)));
         Demand {
             from: self.host.clone(),
             sequence: self.sequence,
@@ -143,12 +147,12 @@
         }
     }
 
-    /// Takes in what others want, as of `age` ago.
+    /// Handles the demand that another entry announced `age` ago.
     pub fn on_demand(&mut self, now: Time, age: Duration, demand: Demand) {
         if demand.from != self.host && age <= self.settings.stale {
             let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
             let at = Time(now.0.saturating_sub(micros));
-            self.others.insert(at, self.settings.stale, demand);
+            self.peers.insert(at, self.settings.stale, demand);
         }
     }
 
@@ -157,15 +161,15 @@
         let equal = 1.0 / self.entries as f64;
         let floor = self.settings.floor * equal;
         let stale = self.settings.stale;
-        let (wanted, heard) = self.others.wanted(now, stale, workspace, floor);
-        if heard + 1 < self.entries {
+        let (others, peers) = self.peers.total(now, stale, workspace, floor);
+        if peers + 1 < self.entries {
             return equal;
         }
-        let own = self.usages.get(workspace).map_or(floor, Usage::stated);
-        own / (own + wanted)
+        let own = self.usages.get(workspace).map_or(floor, Usage::announced);
+        own / (own + others)
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Buckets
 
     fn usage(&mut self, now: Time, workspace: &WorkspaceId, quota: &Quota) -> &mut Usage {
         let equal = 1.0 / self.entries as f64;
@@ -180,7 +184,7 @@
         usage
     }
 
-    /// Returns how long a request must wait for the workspace's rates.
+    /// Refills the workspace's buckets and returns how long a request must wait for them.
     fn wait(&mut self, now: Time, workspace: &WorkspaceId, share: f64) -> Duration {
         let burst = self.settings.burst.as_secs_f64();
         let Some(usage) = self.usages.get_mut(workspace) else {
@@ -192,13 +196,13 @@
             .requests
             .fill(now, requests, (requests * burst).max(1.0));
         usage.tokens.fill(now, tokens, (tokens * burst).max(1.0));
-        let requests = usage.requests.time(1.0, requests);
-        let tokens = usage.tokens.time(1.0, tokens);
+        let requests = usage.requests.time_until(1.0, requests);
+        let tokens = usage.tokens.time_until(1.0, tokens);
         requests.max(tokens)
     }
 }
 
-/// Refuses with a jitter as long as the wait itself.
+/// Refuses a request with a random jitter of up to `wait` on its retry delay.
 fn refuse(wait: Duration, rng: &mut impl Rng) -> QuotaDecision {
     let wait = wait.clamp(RETRY_MIN, RETRY_MAX);
     let retry = RETRY_MIN + wait.mul_f64(rng.random::<f64>());
--- a/crates/cw_policy/tests/budget.rs
+++ b/crates/cw_policy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Tests of budgets and backoff.
+//! Tests of route and target budgets, and of backoff.
 
 use std::time::Duration;
 
@@ -12,22 +12,23 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-const OFFERED: u32 = 10_000;
+/// The number of requests.
+const REQUESTS: u32 = 10_000;
 
 fn target(number: u32) -> TargetId {
     format!("t{number}").parse().unwrap()
 }
 
 #[test]
-fn total_refusal_does_not_multiply_load() {
+fn refused_requests_do_not_multiply_the_load() {
     let route: RouteName = "r".parse().unwrap();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut budgets = Budgets::default();
     let mut sends = 0;
-    for _ in 0..OFFERED {
+    for _ in 0..REQUESTS {
         budgets.record_first(&route, &target(rng.random_range(0..40)));
         sends += 1;
-        // Each path on which a request is sent once more is tried to its end.
+        // Every kind of extra send is used until its budget is empty.
         for extra in [ExtraSend::Redirect, ExtraSend::Retry, ExtraSend::Hedge] {
             while budgets.try_spend(extra, &route, &target(rng.random_range(0..40))) {
                 sends += 1;
@@ -35,34 +36,37 @@
         }
     }
     let burst = 3.0 * BudgetSettings::default().burst;
-    let bound = 1.2 * f64::from(OFFERED) + burst;
-    assert!(f64::from(sends) <= bound, "{sends} sends of {OFFERED}");
-    assert!(sends > OFFERED, "budgets allow nothing");
+    let bound = 1.2 * f64::from(REQUESTS) + burst;
+    assert!(
+        f64::from(sends) <= bound,
+        "{sends} sends for {REQUESTS} requests"
+    );
+    assert!(sends > REQUESTS, "no extra sends were allowed");
 }
 
 #[test]
-fn one_target_does_not_take_all_that_a_route_may_add() {
+fn extra_sends_to_one_target_are_bounded_below_the_budget_of_its_route() {
     let route: RouteName = "r".parse().unwrap();
     let mut budgets = Budgets::default();
-    let mut taken = 0;
-    for number in 0..OFFERED {
+    let mut extra_sends = 0;
+    for number in 0..REQUESTS {
         budgets.record_first(&route, &target(number % 40));
-        taken += u32::from(budgets.try_spend(ExtraSend::Redirect, &route, &target(0)));
+        extra_sends += u32::from(budgets.try_spend(ExtraSend::Redirect, &route, &target(0)));
     }
     let settings = BudgetSettings::default();
-    let bound = settings.target * f64::from(OFFERED / 40) + settings.burst;
-    assert!(f64::from(taken) <= bound, "{taken} sends");
+    let bound = settings.target * f64::from(REQUESTS / 40) + settings.burst;
+    assert!(f64::from(extra_sends) <= bound, "{extra_sends} extra sends");
 }
 
 #[test]
-fn backoff_spreads_over_the_whole_of_a_growing_span() {
+fn backoff_delays_cover_the_whole_of_a_growing_range() {
     let backoff = Backoff::default();
     let mut rng = SmallRng::seed_from_u64(2);
     for repeat in [0, 1, 2, 40] {
         let longest = (backoff.base * 2_u32.saturating_pow(repeat.min(10))).min(backoff.max);
-        let waits: Vec<Duration> = (0..200).map(|_| backoff.delay(repeat, &mut rng)).collect();
-        assert!(waits.iter().all(|wait| *wait <= longest));
-        assert!(waits.iter().any(|wait| *wait < longest / 4));
-        assert!(waits.iter().any(|wait| *wait > longest / 4 * 3));
+        let delays: Vec<Duration> = (0..200).map(|_| backoff.delay(repeat, &mut rng)).collect();
+        assert!(delays.iter().all(|delay| *delay <= longest));
+        assert!(delays.iter().any(|delay| *delay < longest / 4));
+        assert!(delays.iter().any(|delay| *delay > longest / 4 * 3));
     }
 }
--- a/crates/cw_policy/tests/quota.rs
+++ b/crates/cw_policy/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Tests of quotas over several entries that exchange messages late or not at all.
+//! Tests of quotas over several entries whose messages are delayed or lost.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// How often entries state their demand.
+/// The interval at which entries announce their demand.
 const PERIOD: Duration = Duration::from_millis(250);
 
-/// The steps of the loop in one period.
-const STEPS: u32 = 5;
+/// The number of simulation steps in one period.
+const PERIOD_STEPS: u32 = 5;
 
 fn workspace() -> WorkspaceId {
     "w".parse().unwrap()
@@ -40,7 +40,7 @@
     }
 }
 
-/// A message on its way.
+/// A message in flight.
 struct Message {
     to: usize,
     sent: Time,
@@ -48,16 +48,16 @@
     demand: Demand,
 }
 
-/// Some entries, and the messages between them.
+/// A simulation of several entries and the messages between them.
 struct Fixture {
     now: Time,
     entries: Vec<Quotas>,
     messages: Vec<Message>,
     rng: SmallRng,
-    /// The longest way of a message.
+    /// The maximum delay of a message.
     delay: Duration,
-    /// The pairs that hear nothing of each other, by receiver and sender.
-    cut: BTreeSet<(usize, usize)>,
+    /// The pairs (receiver, sender) whose messages are lost.
+    partitioned: BTreeSet<(usize, usize)>,
 }
 
 impl Fixture {
@@ -74,20 +74,20 @@
             messages: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             delay,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
         }
     }
 
-    /// Goes on for one period, in which each entry is offered its number of requests, and returns
-    /// how many were admitted at each.
-    fn period(&mut self, offered: &[u32]) -> Vec<u32> {
+    /// Simulates one period in which each entry receives its number of requests, and returns how
+    /// many each of them admitted.
+    fn run_period(&mut self, offered: &[u32]) -> Vec<u32> {
         let mut admitted = vec![0; self.entries.len()];
-        for step in 0..STEPS {
-            self.now = self.now + PERIOD / STEPS;
+        for step in 0..PERIOD_STEPS {
+            self.now = self.now + PERIOD / PERIOD_STEPS;
             self.deliver();
             for (number, count) in offered.iter().enumerate() {
                 let entry = &mut self.entries[number];
-                for _ in 0..count / STEPS {
+                for _ in 0..count / PERIOD_STEPS {
                     let step = entry.admit(self.now, &workspace(), &quota(), 1, &mut self.rng);
                     if step == QuotaDecision::Admit {
                         admitted[number] += 1;
@@ -106,12 +106,12 @@
         for from in 0..self.entries.len() {
             let demand = self.entries[from].demand(self.now);
             for to in 0..self.entries.len() {
-                let late = self.delay.mul_f64(self.rng.random::<f64>());
-                if to != from && !self.cut.contains(&(to, from)) {
+                let delay = self.delay.mul_f64(self.rng.random::<f64>());
+                if to != from && !self.partitioned.contains(&(to, from)) {
                     self.messages.push(Message {
                         to,
                         sent: self.now,
-                        arrives: self.now + late,
+                        arrives: self.now + delay,
                         demand: demand.clone(),
                     });
                 }
@@ -137,12 +137,12 @@
         self.entries.iter().map(share).collect()
     }
 
-    fn sum(&self) -> f64 {
+    fn share_sum(&self) -> f64 {
         self.shares().iter().sum()
     }
 }
 
-/// Returns a configuration with a fixed seed, which `PROPTEST_RNG_SEED` replaces.
+/// Returns a configuration with a fixed seed, which `PROPTEST_RNG_SEED` overrides.
 fn config() -> ProptestConfig {
     let mut config = ProptestConfig::with_cases(32);
     if config.rng_seed == RngSeed::Random {
@@ -155,10 +155,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// While all hear each other within the stated time, the sum of shares overshoots by at most
-    /// the growth, and what is admitted by no more than that and what was saved up.
+    /// While all messages arrive within `stale`, the sum of the shares exceeds 1 by at most
+    /// `growth`, and the number of admitted requests exceeds the quota by at most that and the
+    /// bursts.
     #[test]
-    fn overshoot_is_bounded_while_messages_are_late(
+    fn overshoot_is_bounded_while_messages_are_delayed(
         seed: u64,
         count in 2..9_usize,
         loads in prop::collection::vec(prop::collection::vec(0..400_u32, 8), 6),
@@ -169,9 +170,9 @@
         let mut periods = 0;
         for load in &loads {
             for _ in 0..8 {
-                admitted += fixture.period(&load[..count]).iter().sum::<u32>();
+                admitted += fixture.run_period(&load[..count]).iter().sum::<u32>();
                 periods += 1;
-                let sum = fixture.sum();
+                let sum = fixture.share_sum();
                 prop_assert!(sum <= 1.0 + settings.growth + 1e-9, "shares sum to {}", sum);
             }
         }
@@ -182,21 +183,24 @@
         prop_assert!(f64::from(admitted) <= bound, "{} admitted, bound {}", admitted, bound);
     }
 
-    /// Whoever is cut off from whom, the sum of shares stays below the stated bound.
+    /// The sum of the shares stays within `2 + growth` under any network partition.
     #[test]
-    fn overshoot_is_bounded_whatever_is_cut_off(
+    fn overshoot_is_bounded_under_any_partition(
         seed: u64,
         count in 2..9_usize,
         load in prop::collection::vec(0..400_u32, 8),
-        cuts in prop::collection::vec(prop::collection::btree_set((0..8_usize, 0..8_usize), 0..40), 4),
+        partitions in prop::collection::vec(
+            prop::collection::btree_set((0..8_usize, 0..8_usize), 0..40),
+            4,
+        ),
     ) {
         let settings = QuotaSettings::default();
         let mut fixture = Fixture::new(count, seed, PERIOD);
-        for cut in cuts {
-            fixture.cut = cut;
+        for partition in partitions {
+            fixture.partitioned = partition;
             for _ in 0..10 {
-                fixture.period(&load[..count]);
-                let sum = fixture.sum();
+                fixture.run_period(&load[..count]);
+                let sum = fixture.share_sum();
                 prop_assert!(sum <= 2.0 + settings.growth, "shares sum to {}", sum);
             }
         }
@@ -204,7 +208,7 @@
 }
 
 #[test]
-fn a_quota_that_one_entry_wants_is_not_wasted() {
+fn an_entry_that_alone_has_demand_gets_almost_the_whole_quota() {
     let settings = QuotaSettings::default();
     let count = 8;
     let mut fixture = Fixture::new(count, 1, PERIOD);
@@ -214,9 +218,9 @@
     let span = settings.stale.mul_f64(growth) + settings.stale;
     let periods = span.as_secs_f64() / PERIOD.as_secs_f64();
     for _ in 0..periods.ceil() as u32 {
-        fixture.period(&load);
+        fixture.run_period(&load);
     }
-    let admitted: u32 = (0..40).map(|_| fixture.period(&load)[3]).sum();
+    let admitted: u32 = (0..40).map(|_| fixture.run_period(&load)[3]).sum();
     let whole = quota().requests.0 * 40.0 * PERIOD.as_secs_f64();
     let bound = whole / (1.0 + settings.floor);
 
@@ -225,28 +229,28 @@
 }
 
 #[test]
-fn an_entry_that_is_cut_off_takes_an_equal_share() {
+fn a_partitioned_entry_takes_an_equal_share() {
     let count = 4;
     let mut fixture = Fixture::new(count, 2, PERIOD);
     let load = [1000, 10, 10, 10];
     for _ in 0..80 {
-        fixture.period(&load);
+        fixture.run_period(&load);
     }
     let before = fixture.shares();
-    fixture.cut = (0..count)
+    fixture.partitioned = (0..count)
         .flat_map(|to| (0..count).map(move |from| (to, from)))
         .collect();
     for _ in 0..10 {
-        fixture.period(&load);
+        fixture.run_period(&load);
     }
 
-    // The demands are 1 and three times 0.1 of the quota.
+    // The demand of entry 0 is 1 of the quota, that of each other entry 0.1 of it.
     assert!(before[0] > 0.75 && before[1] < 0.1, "{before:?}");
     assert_eq!(fixture.shares(), vec![0.25; count]);
 }
 
 #[test]
-fn generations_in_progress_are_counted_until_they_end() {
+fn generations_count_as_in_progress_until_they_end() {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut quotas = Quotas::new(host(0), QuotaSettings::default());
     let quota = Quota {
