--- a/crates/cw_policy/src/admission/mod.rs
+++ b/crates/cw_policy/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! What a target's agent lets run, and in which order.
+//! Admission control at a target's agent: which attempts run, and in which order.
 
 mod adaptive_limit;
 mod admission_control;
@@ -7,6 +7,6 @@
 pub use adaptive_limit::AdaptiveLimit;
 pub use admission_control::AdmissionControl;
 pub use admission_control::AdmissionLimits;
-pub use admission_control::Offer;
+pub use admission_control::AdmissionOutcome;
 pub use fair_queue::FairQueue;
 pub use fair_queue::Ticket;
