--- a/crates/cw_policy/benches/rounds/main.rs
+++ b/crates/cw_policy/benches/rounds/main.rs
@@ -4,21 +4,21 @@
 //! alone. The same seed gives the same figures.
 
 mod engine;
-mod fleet;
 mod outcome;
+mod scenario;
 mod scheduled;
-mod shape;
+mod simulation;
 
 use std::time::Duration;
 
-use cw_policy::routing::Costs;
 use cw_policy::routing::Policy;
+use cw_policy::routing::RoutingCosts;
 use serde_json::Value;
 use serde_json::json;
 
-use fleet::Fleet;
 use outcome::Outcome;
-use shape::Shape;
+use scenario::Scenario;
+use simulation::Simulation;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
@@ -29,12 +29,12 @@
     Policy::PowerOfTwo,
 ];
 
-fn shapes() -> Vec<(&'static str, Shape)> {
-    let base = Shape::default;
+fn scenarios() -> Vec<(&'static str, Scenario)> {
+    let base = Scenario::default;
     vec![
         (
             "load 0.5",
-            Shape {
+            Scenario {
                 rate: 90.0,
                 ..base()
             },
@@ -42,14 +42,14 @@
         ("load 0.8", base()),
         (
             "load 0.9",
-            Shape {
+            Scenario {
                 rate: 160.0,
                 ..base()
             },
         ),
         (
             "herd: 8 entries, reports 1 s late, no common prompts",
-            Shape {
+            Scenario {
                 entries: 8,
                 lag: Duration::from_secs(1),
                 shared: 0,
@@ -59,7 +59,7 @@
         ),
         (
             "prompts shared by few workspaces",
-            Shape {
+            Scenario {
                 workspaces: 3,
                 shared: 16,
                 sessions: 20_000,
@@ -68,7 +68,7 @@
         ),
         (
             "documents of 2 KiB, asked about again and again",
-            Shape {
+            Scenario {
                 shared: 0,
                 added: 2,
                 turns: 1,
@@ -79,7 +79,7 @@
         ),
         (
             "long and short work",
-            Shape {
+            Scenario {
                 long: 0.1,
                 hold: Duration::from_millis(1500),
                 hold_long: Duration::from_secs(15),
@@ -88,7 +88,7 @@
         ),
         (
             "an availability zone is lost",
-            Shape {
+            Scenario {
                 rate: 90.0,
                 loss: Some(Duration::from_secs(50)),
                 ..base()
@@ -148,11 +148,12 @@
     let default_only = std::env::args().any(|arg| arg == "default");
     let count = if default_only { 1 } else { POLICIES.len() };
     let mut reports = Vec::new();
-    for (name, shape) in shapes() {
+    for (name, scenario) in scenarios() {
         let results: Vec<Value> = POLICIES[..count]
             .iter()
             .map(|&policy| {
-                let run = |seed| Fleet::run(shape.clone(), policy, Costs::default(), seed);
+                let run =
+                    |seed| Simulation::run(scenario.clone(), policy, RoutingCosts::default(), seed);
                 describe(policy, merge(SEEDS.into_iter().map(run).collect()))
             })
             .collect();
--- a/crates/cw_policy/benches/rounds/shape.rs
+++ b/crates/cw_policy/benches/rounds/scenario.rs
@@ -10,7 +10,7 @@
 
 /// What is offered to a fleet, and what the fleet is.
 #[derive(Clone, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct Scenario {
     pub(crate) targets: usize,
     pub(crate) entries: usize,
     pub(crate) slots: usize,
@@ -45,7 +45,7 @@
     pub(crate) loss: Option<Duration>,
 }
 
-impl Default for Shape {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             targets: 36,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Shape {
+impl Scenario {
     /// Returns the prompt of a turn of a session, as blocks; `request` is the number of the request.
     pub(crate) fn blocks(
         &self,
--- a/crates/cw_policy/benches/rounds/fleet.rs
+++ b/crates/cw_policy/benches/rounds/simulation.rs
@@ -13,11 +13,11 @@
 use cw_policy::TargetView;
 use cw_policy::View;
 use cw_policy::routing::Choice;
-use cw_policy::routing::Costs;
-use cw_policy::routing::Index;
-use cw_policy::routing::Ledger;
+use cw_policy::routing::DispatchLog;
 use cw_policy::routing::Policy;
 use cw_policy::routing::RouteRequest;
+use cw_policy::routing::RoutingCosts;
+use cw_policy::routing::TargetIndex;
 use cw_types::Incarnation;
 use cw_types::Recovery;
 use cw_types::RouteTarget;
@@ -34,8 +34,8 @@
 use crate::engine::Engine;
 use crate::engine::Job;
 use crate::outcome::Outcome;
+use crate::scenario::Scenario;
 use crate::scheduled::Scheduled;
-use crate::shape::Shape;
 
 /// When the loop starts, so that targets have ramped up.
 const START: Time = Time(1_000_000_000);
@@ -60,15 +60,15 @@
 }
 
 struct Entry {
-    ledger: Ledger,
-    index: Index,
+    dispatches: DispatchLog,
+    index: TargetIndex,
 }
 
 /// The loop.
-pub(crate) struct Fleet {
-    shape: Shape,
+pub(crate) struct Simulation {
+    scenario: Scenario,
     policy: Policy,
-    costs: Costs,
+    costs: RoutingCosts,
     now: Time,
     queue: BinaryHeap<Reverse<Scheduled<Event>>>,
     sequence: u64,
@@ -81,11 +81,16 @@
     outcome: Outcome,
 }
 
-impl Fleet {
-    /// Runs `policy` on `shape` and returns what was measured.
-    pub(crate) fn run(shape: Shape, policy: Policy, costs: Costs, seed: u64) -> Outcome {
-        let count = shape.targets;
-        let mut fleet = Self {
+impl Simulation {
+    /// Runs `policy` on `scenario` and returns what was measured.
+    pub(crate) fn run(
+        scenario: Scenario,
+        policy: Policy,
+        costs: RoutingCosts,
+        seed: u64,
+    ) -> Outcome {
+        let count = scenario.targets;
+        let mut simulation = Self {
             policy,
             costs,
             now: START,
@@ -95,32 +100,32 @@
             ids: (0..count).map(|n| name(&format!("t{n:03}"))).collect(),
             engines: vec![Engine::default(); count],
             entries: Vec::new(),
-            turns: vec![0; shape.sessions],
+            turns: vec![0; scenario.sessions],
             rng: SmallRng::seed_from_u64(seed),
             outcome: Outcome::default(),
-            shape,
+            scenario,
         };
-        let view = fleet.view();
-        for _ in 0..fleet.shape.entries {
-            fleet.entries.push(Entry {
-                ledger: Ledger::default(),
-                index: Index::new(&view).with_costs(fleet.costs.clone()),
+        let view = simulation.view();
+        for _ in 0..simulation.scenario.entries {
+            simulation.entries.push(Entry {
+                dispatches: DispatchLog::default(),
+                index: TargetIndex::new(&view).with_costs(simulation.costs.clone()),
             });
         }
-        fleet.schedule(Duration::ZERO, Event::Arrive);
-        fleet.schedule(Duration::ZERO, Event::Report);
-        if let Some(loss) = fleet.shape.loss {
-            fleet.schedule(loss, Event::Loss);
+        simulation.schedule(Duration::ZERO, Event::Arrive);
+        simulation.schedule(Duration::ZERO, Event::Report);
+        if let Some(loss) = simulation.scenario.loss {
+            simulation.schedule(loss, Event::Loss);
         }
-        let end = START + fleet.shape.span;
-        while let Some(Reverse(next)) = fleet.queue.pop() {
+        let end = START + simulation.scenario.span;
+        while let Some(Reverse(next)) = simulation.queue.pop() {
             if next.at > end {
                 break;
             }
-            fleet.now = next.at;
-            fleet.on_event(next.event);
+            simulation.now = next.at;
+            simulation.on_event(next.event);
         }
-        fleet.outcome
+        simulation.outcome
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
@@ -144,31 +149,33 @@
     }
 
     fn is_warm(&self) -> bool {
-        self.now >= START + self.shape.span / 4
+        self.now >= START + self.scenario.span / 4
     }
 
     // -----------------------------------------------------------------------------------------
 
     fn arrive(&mut self) {
-        let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.shape.rate;
+        let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.scenario.rate;
         self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
         // Squaring makes some sessions, and so some workspaces, much busier than others.
-        let pick = self.rng.random::<f64>().powi(2) * self.shape.sessions as f64;
+        let pick = self.rng.random::<f64>().powi(2) * self.scenario.sessions as f64;
         let session = pick as usize;
-        let workspace = session * self.shape.workspaces / self.shape.sessions;
+        let workspace = session * self.scenario.workspaces / self.scenario.sessions;
         let turn = self.turns[session];
-        self.turns[session] = (turn + 1) % self.shape.turns;
-        let blocks = self.shape.blocks(workspace, session, turn, self.sequence);
+        self.turns[session] = (turn + 1) % self.scenario.turns;
+        let blocks = self
+            .scenario
+            .blocks(workspace, session, turn, self.sequence);
         let bytes = blocks.last().map_or(0, |block| block.end);
         let tokens = TokenCount(u64::from(bytes / TOKEN_BYTES));
-        let long = self.rng.random::<f64>() < self.shape.long;
+        let long = self.rng.random::<f64>() < self.scenario.long;
         let mean = if long {
-            self.shape.hold_long
+            self.scenario.hold_long
         } else {
-            self.shape.hold
+            self.scenario.hold
         };
         let hold = mean.mul_f64(-self.rng.random::<f64>().max(1e-12).ln());
-        let entry = self.rng.random_range(0..self.shape.entries);
+        let entry = self.rng.random_range(0..self.scenario.entries);
         let to = RouteTarget::Model {
             model: name("m"),
             version: name("v"),
@@ -193,24 +200,28 @@
                 self.now,
                 self.policy,
                 &job.request,
-                &entry.ledger,
+                &entry.dispatches,
                 &mut self.rng,
             );
             let Choice::Target(id) = choice else {
                 break;
             };
             let target = self.ids.binary_search(&id).expect("a known target");
-            entry.ledger.sent(self.now, &id, &job.request);
-            if self.engines[target].lost || self.engines[target].running.len() >= self.shape.slots {
+            entry
+                .dispatches
+                .record_dispatch(self.now, &id, &job.request);
+            if self.engines[target].lost
+                || self.engines[target].running.len() >= self.scenario.slots
+            {
                 let retry = Duration::from_millis(200);
-                entry.ledger.refused(self.now, &id, retry);
+                entry.dispatches.record_refusal(self.now, &id, retry);
                 job.request.excluded.insert(id);
                 self.outcome.busy += u32::from(self.is_warm());
                 continue;
             }
             return self.start(target, job);
         }
-        if self.now.since(job.since) > self.shape.patience {
+        if self.now.since(job.since) > self.scenario.patience {
             self.outcome.refused += u32::from(self.is_warm());
             return;
         }
@@ -220,11 +231,11 @@
 
     fn start(&mut self, target: usize, job: Job) {
         let engine = &mut self.engines[target];
-        let most = self.shape.cache_blocks;
+        let most = self.scenario.cache_blocks;
         let cached = engine.cache(&job.request.blocks, &mut self.clock, most);
         let cached = TokenCount(u64::from(cached / TOKEN_BYTES));
         let tokens = job.request.tokens;
-        let prefill = self.shape.prefill * u32::try_from(tokens.0 - cached.0).unwrap_or(0);
+        let prefill = self.scenario.prefill * u32::try_from(tokens.0 - cached.0).unwrap_or(0);
         engine.free = engine.free.max(self.now) + prefill;
         let first = engine.free;
         self.sequence += 1;
@@ -232,9 +243,9 @@
         engine.running.insert(number, (self.now, job.clone()));
         let after = self.now.until(first + job.hold);
         self.schedule(after, Event::End { target, number });
-        let ledger = &mut self.entries[job.entry].ledger;
-        ledger
-            .overlap
+        let dispatches = &mut self.entries[job.entry].dispatches;
+        dispatches
+            .cache_index
             .learn(&self.ids[target], &job.request.blocks, cached, tokens);
         if self.is_warm() {
             let wait = first.since(job.since).as_secs_f64();
@@ -253,14 +264,14 @@
             return;
         };
         let held = self.now.since(began);
-        let ledger = &mut self.entries[job.entry].ledger;
-        ledger.ended(self.now, &self.ids[target], held);
+        let dispatches = &mut self.entries[job.entry].dispatches;
+        dispatches.record_end(self.now, &self.ids[target], held);
     }
 
     // -----------------------------------------------------------------------------------------
 
     fn report(&mut self) {
-        self.schedule(self.shape.period, Event::Report);
+        self.schedule(self.scenario.period, Event::Report);
         let view = self.view();
         if self.is_warm() {
             let loads = self.engines.iter().filter(|engine| !engine.lost);
@@ -269,13 +280,13 @@
             let max = loads.iter().max().copied().unwrap_or_default();
             self.outcome.peaks.push(max as f64 / mean.max(1.0));
         }
-        self.schedule(self.shape.lag, Event::Reports(view));
+        self.schedule(self.scenario.lag, Event::Reports(view));
     }
 
     fn observe(&mut self, view: &View) {
         for entry in &mut self.entries {
-            entry.ledger.observe(self.now, view);
-            entry.index = Index::new(view).with_costs(self.costs.clone());
+            entry.dispatches.observe(self.now, view);
+            entry.index = TargetIndex::new(view).with_costs(self.costs.clone());
         }
     }
 
@@ -307,7 +318,7 @@
 
     fn target(&self, number: usize, engine: &Engine) -> TargetView {
         let backlog = self.now.until(engine.free).as_secs_f64();
-        let prefill = backlog / self.shape.prefill.as_secs_f64().max(1e-9);
+        let prefill = backlog / self.scenario.prefill.as_secs_f64().max(1e-9);
         TargetView {
             target: Target {
                 agent: "127.0.0.1:1".parse().expect("a valid address"),
@@ -326,7 +337,7 @@
             incarnation: Incarnation(1),
             load: Load {
                 running: u32::try_from(engine.running.len()).unwrap_or(u32::MAX),
-                limit: u32::try_from(self.shape.slots).unwrap_or(u32::MAX),
+                limit: u32::try_from(self.scenario.slots).unwrap_or(u32::MAX),
                 prefill: TokenCount(prefill as u64),
                 ..Load::default()
             },
--- a/crates/cw_policy/src/prefix/follower.rs
+++ b/crates/cw_policy/src/prefix/cache_follower.rs
@@ -34,14 +34,14 @@
 /// It may think that too little is cached, never that more is than the events say: a gap, a
 /// repetition that does not fit or a new life of the engine forgets everything.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Follower {
+pub struct CacheFollower {
     boot: u64,
     next: u64,
     blocks: BTreeSet<u64>,
     gaps: u64,
 }
 
-impl Follower {
+impl CacheFollower {
     /// Takes in a page of events.
     pub fn on_page(&mut self, page: &CachePage) {
         let restarted = page.boot != self.boot;
@@ -91,7 +91,7 @@
     }
 
     /// Returns how many leading blocks of a prompt are known to be cached.
-    pub fn held(&self, prompt: &[u64]) -> usize {
+    pub fn cached_prefix(&self, prompt: &[u64]) -> usize {
         prompt
             .iter()
             .take_while(|block| self.blocks.contains(block))
--- a/crates/cw_policy/src/prefix/overlap.rs
+++ b/crates/cw_policy/src/prefix/cache_index.rs
@@ -36,7 +36,7 @@
 /// The table is bounded: when its younger half is full, the older half is forgotten. What targets
 /// answer corrects how far their part of the table is trusted, since their caches evict.
 #[derive(Clone, Debug, Default)]
-pub struct Overlap {
+pub struct CacheIndex {
     young: BTreeMap<u64, Vec<u32>>,
     old: BTreeMap<u64, Vec<u32>>,
     numbers: BTreeMap<TargetId, u32>,
@@ -47,7 +47,7 @@
     rate: f64,
 }
 
-impl Overlap {
+impl CacheIndex {
     /// Learns from the answer of `target` to a prompt that it now has whole.
     ///
     /// `cached` is how many of the prompt's `tokens` it had before.
--- a/crates/cw_policy/src/queue/flow.rs
+++ b/crates/cw_policy/src/queue/flow.rs
@@ -6,7 +6,7 @@
 use cw_types::Time;
 use cw_types::WorkspaceId;
 
-use super::Waiter;
+use super::QueuedRequest;
 
 /// The order of one workspace's requests.
 pub(super) type Order = (Time, GenerationId);
@@ -17,18 +17,18 @@
     /// The virtual time at which its next request may start.
     start: f64,
     weight: u32,
-    waiters: BTreeMap<Order, Waiter>,
+    requests: BTreeMap<Order, QueuedRequest>,
 }
 
 impl Flow {
     /// Returns how many requests wait, per weight.
     pub(super) fn length(&self) -> f64 {
-        self.waiters.len() as f64 / f64::from(self.weight)
+        self.requests.len() as f64 / f64::from(self.weight)
     }
 
     /// Returns the request that would go last.
-    pub(super) fn last(&self) -> Option<&Waiter> {
-        self.waiters.values().next_back()
+    pub(super) fn last(&self) -> Option<&QueuedRequest> {
+        self.requests.values().next_back()
     }
 }
 
@@ -41,27 +41,32 @@
 }
 
 impl Rank {
-    pub(super) fn insert(&mut self, waiter: Waiter) {
+    pub(super) fn insert(&mut self, request: QueuedRequest) {
         let start = self.virtual_time;
-        let weight = waiter.weight.max(1);
+        let weight = request.weight.max(1);
         let flow = self
             .flows
-            .entry(waiter.workspace.clone())
+            .entry(request.workspace.clone())
             .or_insert_with(|| Flow {
                 start,
                 weight,
-                waiters: BTreeMap::new(),
+                requests: BTreeMap::new(),
             });
         flow.weight = weight;
-        if flow.waiters.is_empty() {
+        if flow.requests.is_empty() {
             flow.start = flow.start.max(self.virtual_time);
         }
-        flow.waiters.insert((waiter.deadline, waiter.id), waiter);
+        flow.requests
+            .insert((request.deadline, request.id), request);
     }
 
-    pub(super) fn remove(&mut self, workspace: &WorkspaceId, order: Order) -> Option<Waiter> {
+    pub(super) fn remove(
+        &mut self,
+        workspace: &WorkspaceId,
+        order: Order,
+    ) -> Option<QueuedRequest> {
         let flow = self.flows.get_mut(workspace)?;
-        flow.waiters.remove(&order)
+        flow.requests.remove(&order)
     }
 
     /// Takes back the charge for a start.
@@ -72,47 +77,49 @@
     }
 
     /// Takes the first request of the workspace that is due.
-    pub(super) fn take(&mut self) -> Option<Waiter> {
+    pub(super) fn take(&mut self) -> Option<QueuedRequest> {
         let (_, flow) = self
             .flows
             .iter_mut()
-            .filter(|(_, flow)| !flow.waiters.is_empty())
+            .filter(|(_, flow)| !flow.requests.is_empty())
             .min_by(|a, b| a.1.start.total_cmp(&b.1.start))?;
         let now = flow.start;
         flow.start += 1.0 / f64::from(flow.weight);
-        let (_, waiter) = flow.waiters.pop_first()?;
+        let (_, request) = flow.requests.pop_first()?;
         self.virtual_time = self.virtual_time.max(now);
         // An empty flow stays until its last start is paid for, or else a workspace with one
         // request at a time would always go first.
         self.flows
-            .retain(|_, flow| !flow.waiters.is_empty() || flow.start > now);
-        Some(waiter)
+            .retain(|_, flow| !flow.requests.is_empty() || flow.start > now);
+        Some(request)
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.flows.values().all(|flow| flow.waiters.is_empty())
+        self.flows.values().all(|flow| flow.requests.is_empty())
     }
 
     pub(super) fn len(&self) -> usize {
-        self.flows.values().map(|flow| flow.waiters.len()).sum()
+        self.flows.values().map(|flow| flow.requests.len()).sum()
     }
 
     /// Returns how many requests surely go before a new one.
     ///
     /// Those of its workspace with an earlier deadline do, and for each of them, and for itself,
     /// the other workspaces get their shares, as far as they have requests.
-    pub(super) fn ahead(&self, waiter: &Waiter) -> usize {
-        let own = self.flows.get(&waiter.workspace).map_or(0, |flow| {
-            flow.waiters.range(..(waiter.deadline, waiter.id)).count()
+    pub(super) fn ahead(&self, request: &QueuedRequest) -> usize {
+        let own = self.flows.get(&request.workspace).map_or(0, |flow| {
+            flow.requests
+                .range(..(request.deadline, request.id))
+                .count()
         });
-        let rounds = own as f64 / f64::from(waiter.weight.max(1));
+        let rounds = own as f64 / f64::from(request.weight.max(1));
         let others: usize = self
             .flows
             .iter()
-            .filter(|(workspace, _)| **workspace != waiter.workspace)
+            .filter(|(workspace, _)| **workspace != request.workspace)
             .map(|(_, flow)| {
                 let turns = (rounds * f64::from(flow.weight)) as usize;
-                flow.waiters.len().min(turns)
+                flow.requests.len().min(turns)
             })
             .sum();
         own + others
@@ -128,10 +135,10 @@
         self.flows.get(workspace).map_or(0.0, Flow::length)
     }
 
-    pub(super) fn oldest(&self) -> Option<&Waiter> {
+    pub(super) fn oldest(&self) -> Option<&QueuedRequest> {
         self.flows
             .values()
-            .flat_map(|flow| flow.waiters.values())
-            .min_by_key(|waiter| (waiter.arrived, waiter.id))
+            .flat_map(|flow| flow.requests.values())
+            .min_by_key(|request| (request.arrived, request.id))
     }
 }
--- a/crates/cw_policy/src/queue/event.rs
+++ b/crates/cw_policy/src/queue/queue_event.rs
@@ -5,20 +5,20 @@
 use cw_types::ErrorKind;
 use cw_types::GenerationId;
 
-use super::Lane;
-use super::Waiter;
+use super::QueuedRequest;
+use super::TargetPool;
 
 /// What happens to a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueEvent {
     /// A request wants to wait.
-    Offered(Waiter),
+    Offered(QueuedRequest),
     /// A target of this lane seems to have room for one request.
-    Room(Lane),
+    CapacityAvailable(TargetPool),
     /// A request that was started found no target after all and waits on in its old place.
-    Returned(Waiter),
+    Returned(QueuedRequest),
     /// The caller of a request has gone.
-    Gone(GenerationId),
+    CallerGone(GenerationId),
     /// Time has passed.
     Tick,
 }
@@ -27,11 +27,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueStep {
     /// Choose a target for the request.
-    Start(Waiter),
+    Start(QueuedRequest),
     /// Answer the request, which was not run.
     Refuse {
         /// The request.
-        waiter: Waiter,
+        request: QueuedRequest,
         /// Why.
         kind: ErrorKind,
         /// When the caller should call again.
--- a/crates/cw_policy/src/queue/limits.rs
+++ b/crates/cw_policy/src/queue/queue_limits.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
     /// The most requests.
-    pub items: usize,
+    pub max_requests: usize,
     /// The most bytes.
-    pub bytes: ByteSize,
+    pub max_bytes: ByteSize,
     /// One start in this many goes to a rank below the highest, to the request there that came
-    /// first. A request with `k` others of lower ranks before it starts within `lower * (k + 1)`
+    /// first. A request with `k` others of lower ranks before it starts within `lower_interval * (k + 1)`
     /// starts of its lane.
-    pub lower: u32,
+    pub lower_interval: u32,
     /// The shortest time after which a refused caller is asked to call again.
     pub retry_min: Duration,
     /// The longest time that the drain of the queue adds to it.
@@ -24,9 +24,9 @@
 impl Default for QueueLimits {
     fn default() -> Self {
         Self {
-            items: 1024,
-            bytes: ByteSize::mib(64),
-            lower: 16,
+            max_requests: 1024,
+            max_bytes: ByteSize::mib(64),
+            lower_interval: 16,
             retry_min: Duration::from_secs(1),
             retry_max: Duration::from_secs(30),
         }
--- a/crates/cw_policy/src/queue/waiter.rs
+++ b/crates/cw_policy/src/queue/queued_request.rs
@@ -5,15 +5,15 @@
 use cw_types::Time;
 use cw_types::WorkspaceId;
 
-use super::Lane;
+use super::TargetPool;
 
 /// A request that waits for a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiter {
+pub struct QueuedRequest {
     /// The generation.
     pub id: GenerationId,
     /// What it waits for.
-    pub lane: Lane,
+    pub pool: TargetPool,
     /// The workspace that asks.
     pub workspace: WorkspaceId,
     /// The weight of that workspace.
--- a/crates/cw_policy/src/queue/lane.rs
+++ b/crates/cw_policy/src/queue/target_pool.rs
@@ -7,43 +7,43 @@
 use cw_types::RouteTarget;
 use cw_types::VersionName;
 
-use super::Waiter;
-use super::drain::Drain;
+use super::QueuedRequest;
+use super::drain_rate::Drain;
 use super::flow::Flow;
 use super::flow::Rank;
-use super::waiting::Place;
+use super::request_queue::Place;
 
 /// What requests wait for: those of one lane can run on the same targets.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lane {
+pub enum TargetPool {
     /// A model, in a version, with an adapter or none.
     Model(ModelName, VersionName, Option<AdapterName>),
     /// A plain service.
     Service(String),
 }
 
-impl From<&RouteTarget> for Lane {
+impl From<&RouteTarget> for TargetPool {
     fn from(to: &RouteTarget) -> Self {
         match to {
             RouteTarget::Model {
                 model,
                 version,
                 adapter,
-            } => Lane::Model(model.clone(), version.clone(), adapter.clone()),
-            RouteTarget::Service { service } => Lane::Service(service.clone()),
+            } => TargetPool::Model(model.clone(), version.clone(), adapter.clone()),
+            RouteTarget::Service { service } => TargetPool::Service(service.clone()),
         }
     }
 }
 
-impl From<&Lane> for RouteTarget {
-    fn from(lane: &Lane) -> Self {
-        match lane.clone() {
-            Lane::Model(model, version, adapter) => RouteTarget::Model {
+impl From<&TargetPool> for RouteTarget {
+    fn from(pool: &TargetPool) -> Self {
+        match pool.clone() {
+            TargetPool::Model(model, version, adapter) => RouteTarget::Model {
                 model,
                 version,
                 adapter,
             },
-            Lane::Service(service) => RouteTarget::Service { service },
+            TargetPool::Service(service) => RouteTarget::Service { service },
         }
     }
 }
@@ -57,25 +57,25 @@
 }
 
 impl Line {
-    pub(super) fn insert(&mut self, waiter: Waiter) {
-        self.ranks.entry(waiter.rank).or_default().insert(waiter);
+    pub(super) fn insert(&mut self, request: QueuedRequest) {
+        self.ranks.entry(request.rank).or_default().insert(request);
     }
 
     /// Takes back that a request was started.
-    pub(super) fn refund(&mut self, waiter: &Waiter) {
+    pub(super) fn refund(&mut self, request: &QueuedRequest) {
         self.drain.refund();
-        if let Some(rank) = self.ranks.get_mut(&waiter.rank) {
-            rank.refund(&waiter.workspace);
+        if let Some(rank) = self.ranks.get_mut(&request.rank) {
+            rank.refund(&request.workspace);
         }
     }
 
-    pub(super) fn remove(&mut self, place: &Place) -> Option<Waiter> {
+    pub(super) fn remove(&mut self, place: &Place) -> Option<QueuedRequest> {
         let rank = self.ranks.get_mut(&place.rank)?;
-        let waiter = rank.remove(&place.workspace, place.order);
+        let request = rank.remove(&place.workspace, place.order);
         if rank.is_empty() {
             self.ranks.remove(&place.rank);
         }
-        waiter
+        request
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -87,7 +87,7 @@
     }
 
     /// Takes the request that goes next; one in `lower` comes from below the highest rank.
-    pub(super) fn take(&mut self, lower: u32) -> Option<Waiter> {
+    pub(super) fn take(&mut self, lower: u32) -> Option<QueuedRequest> {
         self.starts = self.starts.wrapping_add(1);
         let highest = *self.ranks.keys().next_back()?;
         let oldest = if self.starts.is_multiple_of(lower.max(1)) {
@@ -97,27 +97,27 @@
         };
         let number = oldest.as_ref().map_or(highest, |place| place.rank);
         let rank = self.ranks.get_mut(&number)?;
-        let waiter = match oldest {
+        let request = match oldest {
             Some(place) => rank.remove(&place.workspace, place.order),
             None => rank.take(),
         };
         if rank.is_empty() {
             self.ranks.remove(&number);
         }
-        waiter
+        request
     }
 
     /// Returns how many requests surely go before a new one of this rank, workspace and deadline.
     ///
     /// Of the starts that go to lower ranks, the first may be the next one.
-    pub(super) fn ahead(&self, waiter: &Waiter, lower: u32) -> usize {
-        let own = self.ranks.get(&waiter.rank);
-        let own = own.map_or(0, |rank| rank.ahead(waiter));
+    pub(super) fn ahead(&self, request: &QueuedRequest, lower: u32) -> usize {
+        let own = self.ranks.get(&request.rank);
+        let own = own.map_or(0, |rank| rank.ahead(request));
         let highest = self.ranks.keys().next_back().copied().unwrap_or_default();
-        if waiter.rank >= highest {
+        if request.rank >= highest {
             return own;
         }
-        let higher = self.ranks.iter().filter(|(rank, _)| **rank > waiter.rank);
+        let higher = self.ranks.iter().filter(|(rank, _)| **rank > request.rank);
         let higher: usize = higher.map(|(_, rank)| rank.len()).sum();
         let below = self.ranks.range(..highest).map(|(_, rank)| rank.len());
         let by_age = below.sum::<usize>() * lower as usize;
@@ -135,17 +135,17 @@
     }
 
     /// Returns the length of a workspace's flow, in requests per weight, with one more request.
-    pub(super) fn length_with(&self, waiter: &Waiter) -> f64 {
-        let rank = self.ranks.get(&waiter.rank);
-        rank.map_or(0.0, |rank| rank.length(&waiter.workspace))
-            + 1.0 / f64::from(waiter.weight.max(1))
+    pub(super) fn length_with(&self, request: &QueuedRequest) -> f64 {
+        let rank = self.ranks.get(&request.rank);
+        rank.map_or(0.0, |rank| rank.length(&request.workspace))
+            + 1.0 / f64::from(request.weight.max(1))
     }
 
     fn oldest_below(&self, highest: u8) -> Option<Place> {
         self.ranks
             .range(..highest)
             .filter_map(|(_, rank)| rank.oldest())
-            .min_by_key(|waiter| (waiter.arrived, waiter.id))
+            .min_by_key(|request| (request.arrived, request.id))
             .map(Place::of)
     }
 }
--- a/crates/cw_policy/src/routing/affinity.rs
+++ b/crates/cw_policy/src/routing/affinity_key.rs
@@ -4,8 +4,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::RouteRequest;
-use super::index::Member;
 use super::shortlist::Shortlist;
+use super::target_index::Member;
 
 /// How much of a prompt makes its affinity, in bytes: more than most workspaces begin all their
 /// prompts with, so that their work is spread, and less than a conversation.
--- a/crates/cw_policy/src/routing/choice.rs
+++ b/crates/cw_policy/src/routing/choice.rs
@@ -4,10 +4,10 @@
 use cw_types::Time;
 use rand::Rng;
 
-use super::Index;
-use super::Ledger;
+use super::DispatchLog;
 use super::Policy;
 use super::RouteRequest;
+use super::TargetIndex;
 use crate::View;
 
 /// What to do with an attempt.
@@ -24,13 +24,13 @@
     NoTarget,
 }
 
-/// Chooses a target by the default policy, with an [`Index`] made for this one decision.
+/// Chooses a target by the default policy, with an [`TargetIndex`] made for this one decision.
 pub fn choose(
     now: Time,
     view: &View,
     request: &RouteRequest,
-    ledger: &Ledger,
+    dispatches: &DispatchLog,
     rng: &mut impl Rng,
 ) -> Choice {
-    Index::new(view).choose(now, Policy::default(), request, ledger, rng)
+    TargetIndex::new(view).choose(now, Policy::default(), request, dispatches, rng)
 }
--- a/crates/cw_policy/src/routing/decide.rs
+++ b/crates/cw_policy/src/routing/decision.rs
@@ -5,17 +5,17 @@
 use rand::RngExt;
 
 use super::Choice;
-use super::Index;
-use super::Ledger;
+use super::DispatchLog;
 use super::Policy;
 use super::RouteRequest;
-use super::affinity::Key;
+use super::TargetIndex;
+use super::affinity_key::Key;
+use super::cached_shares::Shares;
 use super::estimate::estimate;
-use super::index::Candidate;
-use super::index::Group;
-use super::index::Member;
-use super::shares::Shares;
 use super::shortlist::Shortlist;
+use super::target_index::Candidate;
+use super::target_index::Group;
+use super::target_index::Member;
 
 /// How many targets of the rendezvous order are weighed.
 const WALK: usize = 4;
@@ -31,16 +31,16 @@
 
 /// One decision in progress.
 struct Decision<'a> {
-    index: &'a Index,
+    index: &'a TargetIndex,
     now: Time,
     request: &'a RouteRequest,
-    ledger: &'a Ledger,
+    dispatches: &'a DispatchLog,
     group: &'a Group,
     /// The utilisation beyond which a cache is not worth its queue.
     bound: f64,
 }
 
-impl Index {
+impl TargetIndex {
     /// Chooses a target for `request`.
     ///
     /// A suspect target is chosen only when no other is left.
@@ -49,7 +49,7 @@
         now: Time,
         policy: Policy,
         request: &RouteRequest,
-        ledger: &Ledger,
+        dispatches: &DispatchLog,
         rng: &mut impl Rng,
     ) -> Choice {
         let group = self.group(&request.to);
@@ -57,7 +57,7 @@
             index: self,
             now,
             request,
-            ledger,
+            dispatches,
             group,
             bound: group.utilisation + self.costs.bound,
         };
@@ -112,7 +112,7 @@
 
     /// Lists the candidates that are known or likely to have a part of the prompt cached.
     fn prefer(&self, members: &[Member], list: &mut Shortlist, shares: &mut Shares) {
-        for holder in self.ledger.overlap.holders(&self.request.blocks) {
+        for holder in self.dispatches.cache_index.holders(&self.request.blocks) {
             if let Some(at) = self.index.place(members, holder.target) {
                 shares.add(at, holder.share);
             }
@@ -131,7 +131,7 @@
     fn cost(&self, at: usize, shares: &Shares) -> f64 {
         let candidate = &self.index.candidates[at];
         let costs = &self.index.costs;
-        let estimate = estimate(self.now, candidate, self.ledger, costs, self.group);
+        let estimate = estimate(self.now, candidate, self.dispatches, costs, self.group);
         let share = if estimate.utilisation > self.bound {
             0.0
         } else {
@@ -156,7 +156,7 @@
     // -----------------------------------------------------------------------------------------
 
     fn round_robin(&self, members: &[Member]) -> Option<usize> {
-        let turn = usize::try_from(self.ledger.turn()).unwrap_or_default();
+        let turn = usize::try_from(self.dispatches.turn()).unwrap_or_default();
         (0..members.len())
             .map(|step| members[(turn + step) % members.len()].at)
             .find(|&at| self.is_open(at))
@@ -191,7 +191,7 @@
             if self.request.excluded.contains(&candidate.id) {
                 continue;
             }
-            let busy = self.ledger.busy_until(&candidate.id);
+            let busy = self.dispatches.busy_until(&candidate.id);
             if busy > self.now {
                 until = Some(until.map_or(busy, |time: Time| time.min(busy)));
                 continue;
@@ -199,7 +199,7 @@
             let wait = estimate(
                 self.now,
                 candidate,
-                self.ledger,
+                self.dispatches,
                 &self.index.costs,
                 self.group,
             )
@@ -219,6 +219,6 @@
 
     fn is_open(&self, at: usize) -> bool {
         let id = &self.index.candidates[at].id;
-        !self.request.excluded.contains(id) && self.ledger.busy_until(id) <= self.now
+        !self.request.excluded.contains(id) && self.dispatches.busy_until(id) <= self.now
     }
 }
--- a/crates/cw_policy/src/routing/ledger.rs
+++ b/crates/cw_policy/src/routing/dispatch_log.rs
@@ -7,34 +7,34 @@
 use cw_types::Time;
 
 use super::RouteRequest;
-use super::account::Account;
-use super::account::Delta;
+use super::target_log::Account;
+use super::target_log::Delta;
 use crate::View;
-use crate::prefix::Overlap;
+use crate::prefix::CacheIndex;
 
 /// The weight of the newest attempt in the mean time that attempts take.
 const HOLD_WEIGHT: f64 = 0.05;
 
 /// This entry's own record of what it sent to targets, which their reports do not show yet.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct DispatchLog {
     accounts: BTreeMap<TargetId, Account>,
     hold: Option<Duration>,
     turn: u64,
     /// Which prompts the targets are known to have cached.
-    pub overlap: Overlap,
+    pub cache_index: CacheIndex,
 }
 
-impl Ledger {
+impl DispatchLog {
     /// Records that an attempt without a prompt was sent to `target`.
-    pub fn dispatched(&mut self, now: Time, target: &TargetId) {
+    pub fn record_service_dispatch(&mut self, now: Time, target: &TargetId) {
         self.begin(now, target, 0);
     }
 
     /// Records that the attempt of `request` was sent to `target`, which has to process what it
     /// does not have of the prompt.
-    pub fn sent(&mut self, now: Time, target: &TargetId, request: &RouteRequest) {
-        let mut holders = self.overlap.holders(&request.blocks);
+    pub fn record_dispatch(&mut self, now: Time, target: &TargetId, request: &RouteRequest) {
+        let mut holders = self.cache_index.holders(&request.blocks);
         let share = holders
             .find(|holder| holder.target == target)
             .map_or(0.0, |holder| holder.share);
@@ -44,14 +44,14 @@
     }
 
     /// Records that an attempt that was sent to `target` has ended, `held` after it was sent.
-    pub fn ended(&mut self, now: Time, target: &TargetId, held: Duration) {
+    pub fn record_end(&mut self, now: Time, target: &TargetId, held: Duration) {
         self.account(target).end(now);
         let mean = self.hold.unwrap_or(held);
         self.hold = Some(mean.mul_f64(1.0 - HOLD_WEIGHT) + held.mul_f64(HOLD_WEIGHT));
     }
 
     /// Records that `target` refused an attempt and asked for `retry` before the next one.
-    pub fn refused(&mut self, now: Time, target: &TargetId, retry: Duration) {
+    pub fn record_refusal(&mut self, now: Time, target: &TargetId, retry: Duration) {
         self.account(target).refuse(now + retry);
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Returns the mean time that an attempt takes, once one has ended.
-    pub fn hold(&self) -> Option<Duration> {
+    pub fn mean_service_time(&self) -> Option<Duration> {
         self.hold
     }
 
--- a/crates/cw_policy/src/routing/estimate.rs
+++ b/crates/cw_policy/src/routing/estimate.rs
@@ -4,10 +4,10 @@
 
 use cw_types::Time;
 
-use super::Costs;
-use super::Ledger;
-use super::index::Candidate;
-use super::index::Group;
+use super::DispatchLog;
+use super::RoutingCosts;
+use super::target_index::Candidate;
+use super::target_index::Group;
 
 /// The smallest share of its limit that a returned target takes.
 const RAMP_FLOOR: f64 = 0.1;
@@ -37,16 +37,19 @@
 pub(super) fn estimate(
     now: Time,
     candidate: &Candidate,
-    ledger: &Ledger,
-    costs: &Costs,
+    dispatches: &DispatchLog,
+    costs: &RoutingCosts,
     group: &Group,
 ) -> Estimate {
     let load = &candidate.load;
     let reported = f64::from(load.running) + f64::from(load.waiting);
     let cost = costs.prefill.as_secs_f64();
     let backlog = cost * load.prefill.0 as f64;
-    let delta = ledger.delta(now, &candidate.id, candidate.reported, backlog, cost);
-    let hold = ledger.hold().unwrap_or(costs.hold).as_secs_f64();
+    let delta = dispatches.delta(now, &candidate.id, candidate.reported, backlog, cost);
+    let hold = dispatches
+        .mean_service_time()
+        .unwrap_or(costs.hold)
+        .as_secs_f64();
     let hold = hold.max(HOLD_MIN);
     let limit = f64::from(load.limit.max(1));
     // Other entries see the same report and act on it too, so it says less as it ages.
--- a/crates/cw_policy/src/routing/request.rs
+++ b/crates/cw_policy/src/routing/route_request.rs
@@ -61,7 +61,7 @@
 
     /// Excludes one more target.
     #[must_use]
-    pub fn without(mut self, target: TargetId) -> Self {
+    pub fn excluding(mut self, target: TargetId) -> Self {
         self.excluded.insert(target);
         self
     }
--- a/crates/cw_policy/src/routing/costs.rs
+++ b/crates/cw_policy/src/routing/routing_costs.rs
@@ -4,7 +4,7 @@
 
 /// What the parts of a decision weigh, as time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Costs {
+pub struct RoutingCosts {
     /// The time to process one prompt token that is not cached.
     pub prefill: Duration,
     /// How long an attempt holds its place, until some have ended.
@@ -27,7 +27,7 @@
     pub bound: f64,
 }
 
-impl Default for Costs {
+impl Default for RoutingCosts {
     fn default() -> Self {
         Self {
             prefill: Duration::from_micros(100),
--- a/crates/cw_policy/src/routing/index.rs
+++ b/crates/cw_policy/src/routing/target_index.rs
@@ -14,8 +14,8 @@
 use cw_wire::Load;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::Costs;
-use super::Ledger;
+use super::DispatchLog;
+use super::RoutingCosts;
 use super::estimate::estimate;
 use crate::Liveness;
 use crate::TargetView;
@@ -54,16 +54,16 @@
 
 /// The live targets of a view, by what they can run.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct TargetIndex {
     pub(super) candidates: Vec<Candidate>,
-    pub(super) costs: Costs,
+    pub(super) costs: RoutingCosts,
     models: BTreeMap<ModelName, BTreeMap<VersionName, Group>>,
     services: BTreeMap<String, Group>,
     adapters: BTreeMap<ModelName, BTreeMap<VersionName, Vec<AdapterName>>>,
     empty: Group,
 }
 
-impl Index {
+impl TargetIndex {
     /// Works out what decisions need of `view`.
     pub fn new(view: &View) -> Self {
         let mut index = Self::default();
@@ -85,14 +85,19 @@
 
     /// Sets what the parts of a decision weigh.
     #[must_use]
-    pub fn with_costs(mut self, costs: Costs) -> Self {
+    pub fn with_costs(mut self, costs: RoutingCosts) -> Self {
         self.costs = costs;
         self
     }
 
     /// Returns about how many more attempts the targets can take now, or nothing when there are no
     /// targets. It is at least one while any has not asked for patience, since reports are late.
-    pub fn room(&self, now: Time, to: &RouteTarget, ledger: &Ledger) -> Option<usize> {
+    pub fn spare_capacity(
+        &self,
+        now: Time,
+        to: &RouteTarget,
+        dispatches: &DispatchLog,
+    ) -> Option<usize> {
         let group = self.group(to);
         let members = match group.alive.is_empty() {
             true => &group.suspect,
@@ -104,8 +109,8 @@
         let open = members
             .iter()
             .map(|member| &self.candidates[member.at])
-            .filter(|candidate| ledger.busy_until(&candidate.id) <= now);
-        let room = |candidate| estimate(now, candidate, ledger, &self.costs, group).room();
+            .filter(|candidate| dispatches.busy_until(&candidate.id) <= now);
+        let room = |candidate| estimate(now, candidate, dispatches, &self.costs, group).room();
         let (any, sum) = open.fold((false, 0), |(_, sum), candidate| {
             (true, sum + room(candidate))
         });
--- a/crates/cw_policy/src/suspicion/verdict.rs
+++ b/crates/cw_policy/src/suspicion/crash_suspicion.rs
@@ -41,30 +41,32 @@
 
 /// What is held against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CrashSuspicion {
     /// Nothing.
-    Clear,
+    Unsuspected,
     /// It was in flight at this many crashes, and others were too.
-    Suspect {
+    Suspected {
         /// The crashes.
         crashes: usize,
     },
     /// It alone was in flight at several crashes, or this entry has found it guilty before.
-    Guilty {
+    Confirmed {
         /// The crashes.
         crashes: usize,
     },
 }
 
-impl Verdict {
+impl CrashSuspicion {
     /// Returns after how many more crashes a new call of the request is judged, of `limit`.
     ///
     /// One earlier crash says nothing: the request may have been there by chance, and may have
     /// run to its end at another entry since. More of them count for the new call too.
     pub fn crashes_left(self, limit: u32) -> u32 {
         let earlier = match self {
-            Verdict::Clear => 0,
-            Verdict::Suspect { crashes } | Verdict::Guilty { crashes } => crashes,
+            CrashSuspicion::Unsuspected => 0,
+            CrashSuspicion::Suspected { crashes } | CrashSuspicion::Confirmed { crashes } => {
+                crashes
+            }
         };
         let counted = u32::try_from(earlier.saturating_sub(1)).unwrap_or(u32::MAX);
         limit.saturating_sub(counted).max(1)
--- a/crates/cw_policy/src/suspicion/mod.rs
+++ b/crates/cw_policy/src/suspicion/mod.rs
@@ -4,9 +4,9 @@
 //! under its living agent. A request is guilty when it alone was in flight at several crashes. It
 //! cannot be told from its companions by one crash, so resumed suspects are spread over targets.
 
-mod table;
-mod verdict;
+mod crash_suspicion;
+mod suspicion_table;
 
-pub use table::SuspicionTable;
-pub use verdict::SuspicionLimits;
-pub use verdict::Verdict;
+pub use crash_suspicion::CrashSuspicion;
+pub use crash_suspicion::SuspicionLimits;
+pub use suspicion_table::SuspicionTable;
--- a/crates/cw_policy/src/suspicion/table.rs
+++ b/crates/cw_policy/src/suspicion/suspicion_table.rs
@@ -10,8 +10,8 @@
 use cw_wire::CrashReport;
 use cw_wire::Fingerprint;
 
+use super::CrashSuspicion;
 use super::SuspicionLimits;
-use super::Verdict;
 use crate::View;
 
 /// One crash of an engine under its living agent.
@@ -63,7 +63,7 @@
     }
 
     /// A request has run to its end: it crashes nothing, whatever it was in flight at.
-    pub fn finished(&mut self, request: Fingerprint) {
+    pub fn record_completion(&mut self, request: Fingerprint) {
         self.convicted.remove(&request);
         let Some(numbers) = self.by_request.remove(&request) else {
             return;
@@ -76,38 +76,38 @@
     }
 
     /// Returns what is held against a request.
-    pub fn verdict(&self, request: Fingerprint) -> Verdict {
+    pub fn assess(&self, request: Fingerprint) -> CrashSuspicion {
         let Some(numbers) = self.by_request.get(&request) else {
-            return Verdict::Clear;
+            return CrashSuspicion::Unsuspected;
         };
         let crashes = self.crashes.iter();
         let evidence: Vec<&Crash> = crashes
             .filter(|crash| numbers.contains(&crash.number) && !self.is_mass(crash))
             .collect();
         let Some((first, others)) = evidence.split_first() else {
-            return Verdict::Clear;
+            return CrashSuspicion::Unsuspected;
         };
         let always = |suspect: &&Fingerprint| others.iter().all(|c| c.suspects.contains(suspect));
         let alone = first.suspects.iter().filter(always).count() == 1;
         let crashes = evidence.len();
         match alone && crashes >= self.limits.crashes {
-            true => Verdict::Guilty { crashes },
-            false => Verdict::Suspect { crashes },
+            true => CrashSuspicion::Confirmed { crashes },
+            false => CrashSuspicion::Suspected { crashes },
         }
     }
 
     /// Returns whether a new call with this request is refused.
     pub fn is_refused(&self, request: Fingerprint) -> bool {
-        match self.verdict(request) {
-            Verdict::Guilty { crashes } => {
+        match self.assess(request) {
+            CrashSuspicion::Confirmed { crashes } => {
                 self.convicted.contains(&request) || crashes >= self.limits.foreign
             }
-            Verdict::Clear | Verdict::Suspect { .. } => false,
+            CrashSuspicion::Unsuspected | CrashSuspicion::Suspected { .. } => false,
         }
     }
 
     /// This entry has found a request guilty.
-    pub fn convict(&mut self, request: Fingerprint) {
+    pub fn confirm(&mut self, request: Fingerprint) {
         self.convicted.insert(request);
     }
 
@@ -124,12 +124,12 @@
     // ---- Spreading ----
 
     /// A suspect is dispatched to a target.
-    pub fn place(&mut self, target: &TargetId) {
+    pub fn add_suspect(&mut self, target: &TargetId) {
         *self.placed.entry(target.clone()).or_default() += 1;
     }
 
     /// A suspect has left a target.
-    pub fn unplace(&mut self, target: &TargetId) {
+    pub fn remove_suspect(&mut self, target: &TargetId) {
         if let Some(count) = self.placed.get_mut(target) {
             *count -= 1;
             if *count == 0 {
@@ -139,7 +139,7 @@
     }
 
     /// Returns the targets that have a suspect of this entry already.
-    pub fn placed(&self) -> impl Iterator<Item = &TargetId> {
+    pub fn targets_with_suspects(&self) -> impl Iterator<Item = &TargetId> {
         self.placed.keys()
     }
 
--- a/crates/cw_policy/tests/prefix.rs
+++ b/crates/cw_policy/tests/prefix.rs
@@ -4,9 +4,9 @@
 
 use cw_policy::prefix::Block;
 use cw_policy::prefix::CacheEvent;
+use cw_policy::prefix::CacheFollower;
+use cw_policy::prefix::CacheIndex;
 use cw_policy::prefix::CachePage;
-use cw_policy::prefix::Follower;
-use cw_policy::prefix::Overlap;
 use cw_policy::prefix::blocks;
 use cw_types::TargetId;
 use cw_types::TokenCount;
@@ -69,24 +69,29 @@
     let target: TargetId = "t".parse().unwrap();
     let half = cut("a", &text(8192));
     let whole = cut("a", &text(16_384));
-    let share = |overlap: &Overlap| overlap.holders(&whole).next().map(|holder| holder.share);
-    let mut overlap = Overlap::default();
+    let share = |cache_index: &CacheIndex| {
+        cache_index
+            .holders(&whole)
+            .next()
+            .map(|holder| holder.share)
+    };
+    let mut cache_index = CacheIndex::default();
 
-    let before = share(&overlap);
-    overlap.learn(&target, &half, TokenCount(0), TokenCount(1000));
-    let learned = share(&overlap).unwrap();
+    let before = share(&cache_index);
+    cache_index.learn(&target, &half, TokenCount(0), TokenCount(1000));
+    let learned = share(&cache_index).unwrap();
     for _ in 0..20 {
-        overlap.learn(&target, &half, TokenCount(0), TokenCount(1000));
+        cache_index.learn(&target, &half, TokenCount(0), TokenCount(1000));
     }
-    let evicted = share(&overlap).unwrap();
-    overlap.forget(&target);
+    let evicted = share(&cache_index).unwrap();
+    cache_index.forget(&target);
 
     assert_eq!(before, None);
     assert!(learned > 0.25 && learned <= 0.5, "{learned}");
     assert!(evicted < 0.05, "{evicted}");
-    assert_eq!(share(&overlap), None);
-    overlap.learn(&target, &half, TokenCount(0), TokenCount(1000));
-    assert_eq!(share(&overlap), Some(learned));
+    assert_eq!(share(&cache_index), None);
+    cache_index.learn(&target, &half, TokenCount(0), TokenCount(1000));
+    assert_eq!(share(&cache_index), Some(learned));
 }
 
 /// An entry does not know how many tokens a prompt has, only about how many.
@@ -94,23 +99,23 @@
 fn a_wrong_guess_of_the_prompts_length_does_not_cost_trust() {
     let target: TargetId = "t".parse().unwrap();
     let prompt = cut("a", &text(8192));
-    let mut overlap = Overlap::default();
+    let mut cache_index = CacheIndex::default();
     for _ in 0..30 {
-        overlap.learn(&target, &prompt, TokenCount(400), TokenCount(1000));
+        cache_index.learn(&target, &prompt, TokenCount(400), TokenCount(1000));
     }
-    let share = overlap.holders(&prompt).next().unwrap().share;
+    let share = cache_index.holders(&prompt).next().unwrap().share;
     assert!(share > 0.95, "{share}");
 }
 
 #[test]
 fn what_is_remembered_is_bounded() {
     let target: TargetId = "t".parse().unwrap();
-    let mut overlap = Overlap::default();
+    let mut cache_index = CacheIndex::default();
     for number in 0..10_000 {
         let blocks = cut(&format!("w{number}"), &text(4096));
-        overlap.learn(&target, &blocks, TokenCount(0), TokenCount(1000));
+        cache_index.learn(&target, &blocks, TokenCount(0), TokenCount(1000));
     }
-    assert!(overlap.len() <= 32_768, "{}", overlap.len());
+    assert!(cache_index.len() <= 32_768, "{}", cache_index.len());
 }
 
 /// What the fake channel does with one page of events.
@@ -153,7 +158,7 @@
         ),
     ) {
         let mut engine = BTreeSet::new();
-        let mut follower = Follower::default();
+        let mut follower = CacheFollower::default();
         let (mut boot, mut first) = (1, 0);
         for (fate, changes) in pages {
             if matches!(fate, Fate::Restart) {
@@ -183,7 +188,7 @@
                 Fate::Deliver | Fate::Restart => follower.on_page(&page),
             }
             for block in 0..20 {
-                let known = follower.held(&[block]) == 1;
+                let known = follower.cached_prefix(&[block]) == 1;
                 prop_assert!(!known || engine.contains(&block), "block {}", block);
             }
             prop_assert_eq!(follower.next(), next);
@@ -200,12 +205,12 @@
         gap,
         events: vec![CacheEvent::Stored(blocks.to_vec())],
     };
-    let mut follower = Follower::default();
+    let mut follower = CacheFollower::default();
     follower.on_page(&page(0, false, &[1, 2, 3]));
-    let before = follower.held(&[1, 2, 3, 4]);
+    let before = follower.cached_prefix(&[1, 2, 3, 4]);
     follower.on_page(&page(5, true, &[1, 2]));
 
     assert_eq!(before, 3);
-    assert_eq!(follower.held(&[1, 2, 3, 4]), 2);
+    assert_eq!(follower.cached_prefix(&[1, 2, 3, 4]), 2);
     assert_eq!(follower.gaps(), 1);
 }
--- a/crates/cw_policy/tests/queue.rs
+++ b/crates/cw_policy/tests/queue.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cw_policy::queue::Lane;
-use cw_policy::queue::Queue;
 use cw_policy::queue::QueueEvent;
 use cw_policy::queue::QueueLimits;
 use cw_policy::queue::QueueStep;
-use cw_policy::queue::Waiter;
+use cw_policy::queue::QueuedRequest;
+use cw_policy::queue::RequestQueue;
+use cw_policy::queue::TargetPool;
 use cw_types::ByteSize;
 use cw_types::ErrorKind;
 use cw_types::GenerationId;
@@ -20,14 +20,14 @@
 
 const START: Time = Time(1_000_000);
 
-fn lane() -> Lane {
-    Lane::Service("s".to_owned())
+fn pool() -> TargetPool {
+    TargetPool::Service("s".to_owned())
 }
 
-fn waiter(id: u128, workspace: &str, rank: u8) -> Waiter {
-    Waiter {
+fn request(id: u128, workspace: &str, rank: u8) -> QueuedRequest {
+    QueuedRequest {
         id: GenerationId(id),
-        lane: lane(),
+        pool: pool(),
         workspace: workspace.parse().unwrap(),
         weight: 1,
         rank,
@@ -37,22 +37,22 @@
     }
 }
 
-fn limits(items: usize) -> QueueLimits {
+fn limits(max_requests: usize) -> QueueLimits {
     QueueLimits {
-        items,
+        max_requests,
         ..QueueLimits::default()
     }
 }
 
 struct Fixture {
-    queue: Queue,
+    queue: RequestQueue,
     rng: SmallRng,
 }
 
 impl Fixture {
     fn new(limits: QueueLimits) -> Self {
         Self {
-            queue: Queue::new(limits),
+            queue: RequestQueue::new(limits),
             rng: SmallRng::seed_from_u64(1),
         }
     }
@@ -61,13 +61,13 @@
         self.queue.on_event(now, event, &mut self.rng)
     }
 
-    fn offer(&mut self, waiter: Waiter) -> Vec<QueueStep> {
-        self.on(START, QueueEvent::Offered(waiter))
+    fn offer(&mut self, request: QueuedRequest) -> Vec<QueueStep> {
+        self.on(START, QueueEvent::Offered(request))
     }
 
-    fn start(&mut self) -> Option<Waiter> {
-        match self.on(START, QueueEvent::Room(lane())).pop() {
-            Some(QueueStep::Start(waiter)) => Some(waiter),
+    fn start(&mut self) -> Option<QueuedRequest> {
+        match self.on(START, QueueEvent::CapacityAvailable(pool())).pop() {
+            Some(QueueStep::Start(request)) => Some(request),
             _ => None,
         }
     }
@@ -77,11 +77,11 @@
 fn workspaces_share_by_weight_however_much_one_offers() {
     let mut fixture = Fixture::new(limits(10_000));
     for id in 0..900 {
-        fixture.offer(waiter(id, "flood", 1));
+        fixture.offer(request(id, "flood", 1));
     }
     for id in 1000..1100 {
-        fixture.offer(waiter(id, "one", 1));
-        let mut heavy = waiter(id + 1000, "two", 1);
+        fixture.offer(request(id, "one", 1));
+        let mut heavy = request(id + 1000, "two", 1);
         heavy.weight = 2;
         fixture.offer(heavy);
     }
@@ -99,11 +99,11 @@
 fn a_workspace_with_one_request_at_a_time_does_not_always_go_first() {
     let mut fixture = Fixture::new(limits(100));
     for id in 0..20 {
-        fixture.offer(waiter(id, "b", 1));
+        fixture.offer(request(id, "b", 1));
     }
     let mut others = 0;
     for id in 100..120 {
-        fixture.offer(waiter(id, "a", 1));
+        fixture.offer(request(id, "a", 1));
         others += u32::from(fixture.start().unwrap().workspace.as_str() == "b");
     }
     assert!((9..=11).contains(&others), "{others} of 20 starts");
@@ -112,16 +112,16 @@
 #[test]
 fn a_lower_rank_is_not_starved_beyond_the_stated_bound() {
     let limits = limits(10_000);
-    let lower = limits.lower;
+    let lower = limits.lower_interval;
     let mut fixture = Fixture::new(limits);
     let before = 3;
     for id in 0..=before {
-        fixture.offer(waiter(id, "low", (id % 2) as u8));
+        fixture.offer(request(id, "low", (id % 2) as u8));
     }
     let bound = lower * (u32::try_from(before).unwrap() + 1);
     let mut started = None;
     for turn in 1..=bound {
-        fixture.offer(waiter(1000 + u128::from(turn), "high", 7));
+        fixture.offer(request(1000 + u128::from(turn), "high", 7));
         if fixture.start().unwrap().id == GenerationId(before) {
             started = Some(turn);
         }
@@ -133,9 +133,9 @@
 fn one_workspaces_requests_go_by_deadline_and_are_answered_when_it_passes() {
     let mut fixture = Fixture::new(limits(10));
     for (id, seconds) in [(1, 30), (2, 10), (3, 20)] {
-        let mut waiter = waiter(id, "w", 1);
-        waiter.deadline = START + Duration::from_secs(seconds);
-        fixture.offer(waiter);
+        let mut request = request(id, "w", 1);
+        request.deadline = START + Duration::from_secs(seconds);
+        fixture.offer(request);
     }
     let first = fixture.start().unwrap();
     let late = START + Duration::from_secs(20);
@@ -144,7 +144,7 @@
     assert_eq!(first.id, GenerationId(2));
     assert!(matches!(
         expired.as_slice(),
-        [QueueStep::Refuse { waiter, kind: ErrorKind::Expired, .. }] if waiter.id.0 == 3
+        [QueueStep::Refuse { request, kind: ErrorKind::Expired, .. }] if request.id.0 == 3
     ));
     assert_eq!(
         fixture.queue.next_deadline(),
@@ -157,25 +157,25 @@
     let mut fixture = Fixture::new(limits(1000));
     let mut now = START;
     for id in 0..100 {
-        fixture.offer(waiter(id, "w", 1));
+        fixture.offer(request(id, "w", 1));
     }
-    fixture.offer(waiter(100, "w", 0));
+    fixture.offer(request(100, "w", 0));
     // Ten starts a second are measured.
     for _ in 0..20 {
         now = now + Duration::from_millis(100);
-        fixture.on(now, QueueEvent::Room(lane()));
+        fixture.on(now, QueueEvent::CapacityAvailable(pool()));
     }
     let offer = |fixture: &mut Fixture, id, rank, seconds| {
-        let mut waiter = waiter(id, "w", rank);
-        waiter.deadline = now + Duration::from_secs(seconds);
-        let steps = fixture.on(now, QueueEvent::Offered(waiter));
+        let mut request = request(id, "w", rank);
+        request.deadline = now + Duration::from_secs(seconds);
+        let steps = fixture.on(now, QueueEvent::Offered(request));
         steps.into_iter().next()
     };
     // The rank above has 80 waiting, which take 8 s; but a lower rank without older requests may
     // start next, by the share of the lower ranks.
     let lowest = offer(&mut fixture, 502, 0, 4);
     for id in 600..610 {
-        fixture.offer(waiter(id, "w", 0));
+        fixture.offer(request(id, "w", 0));
     }
     let below = offer(&mut fixture, 503, 0, 4);
     let above = offer(&mut fixture, 501, 2, 1);
@@ -193,15 +193,15 @@
 fn when_full_the_lowest_rank_and_the_longest_flow_give_way() {
     let mut fixture = Fixture::new(limits(4));
     for id in 0..4 {
-        fixture.offer(waiter(id, "flood", 1));
+        fixture.offer(request(id, "flood", 1));
     }
-    let own = fixture.offer(waiter(10, "flood", 1));
-    let other = fixture.offer(waiter(11, "other", 1));
-    let higher = fixture.offer(waiter(12, "flood", 2));
-    let lower = fixture.offer(waiter(13, "third", 0));
+    let own = fixture.offer(request(10, "flood", 1));
+    let other = fixture.offer(request(11, "other", 1));
+    let higher = fixture.offer(request(12, "flood", 2));
+    let lower = fixture.offer(request(13, "third", 0));
 
     let refused = |steps: &[QueueStep]| match steps {
-        [QueueStep::Refuse { waiter, .. }] => waiter.id.0,
+        [QueueStep::Refuse { request, .. }] => request.id.0,
         steps => panic!("{steps:?}"),
     };
     assert_eq!(refused(&own), 10);
@@ -255,27 +255,27 @@
     #[test]
     fn every_request_ends_exactly_once(actions in prop::collection::vec(action(), 1..200)) {
         let bytes = ByteSize(2000);
-        let mut fixture = Fixture::new(QueueLimits { items: 12, bytes, ..QueueLimits::default() });
+        let mut fixture = Fixture::new(QueueLimits { max_requests: 12, max_bytes: bytes, ..QueueLimits::default() });
         let mut now = START;
-        let mut waiting = BTreeMap::<u128, Waiter>::new();
+        let mut waiting = BTreeMap::<u128, QueuedRequest>::new();
         for (number, action) in actions.into_iter().enumerate() {
             let id = number as u128;
             let event = match action {
                 Action::Offer { workspace, rank, patience, bytes } => {
-                    let mut waiter = waiter(id, &format!("w{workspace}"), rank);
-                    waiter.deadline = now + Duration::from_millis(patience);
-                    waiter.bytes = ByteSize(bytes);
-                    waiting.insert(id, waiter.clone());
-                    QueueEvent::Offered(waiter)
+                    let mut request = request(id, &format!("w{workspace}"), rank);
+                    request.deadline = now + Duration::from_millis(patience);
+                    request.bytes = ByteSize(bytes);
+                    waiting.insert(id, request.clone());
+                    QueueEvent::Offered(request)
                 }
-                Action::Room | Action::RoomAndReturn => QueueEvent::Room(lane()),
+                Action::Room | Action::RoomAndReturn => QueueEvent::CapacityAvailable(pool()),
                 Action::Gone(pick) => {
                     let Some(id) = waiting.keys().nth(usize::from(pick) % waiting.len().max(1)) else {
                         continue;
                     };
                     let id = *id;
                     waiting.remove(&id);
-                    QueueEvent::Gone(GenerationId(id))
+                    QueueEvent::CallerGone(GenerationId(id))
                 }
                 Action::Pass(millis) => {
                     now = now + Duration::from_millis(millis);
@@ -284,23 +284,23 @@
             };
             let mut steps = fixture.on(now, event);
             if let (Action::RoomAndReturn, Some(QueueStep::Start(_))) = (&action, steps.last()) {
-                let Some(QueueStep::Start(waiter)) = steps.pop() else { unreachable!() };
-                steps.extend(fixture.on(now, QueueEvent::Returned(waiter)));
+                let Some(QueueStep::Start(request)) = steps.pop() else { unreachable!() };
+                steps.extend(fixture.on(now, QueueEvent::Returned(request)));
             }
             for step in steps {
-                let waiter = match step {
-                    QueueStep::Start(waiter) => {
-                        prop_assert!(waiter.deadline > now);
-                        waiter
+                let request = match step {
+                    QueueStep::Start(request) => {
+                        prop_assert!(request.deadline > now);
+                        request
                     }
-                    QueueStep::Refuse { waiter, .. } => waiter,
+                    QueueStep::Refuse { request, .. } => request,
                 };
-                prop_assert_eq!(waiting.remove(&waiter.id.0), Some(waiter));
+                prop_assert_eq!(waiting.remove(&request.id.0), Some(request));
             }
             prop_assert_eq!(fixture.queue.len(), waiting.len());
             prop_assert!(waiting.len() <= 12);
-            prop_assert!(waiting.values().map(|waiter| waiter.bytes.0).sum::<u64>() <= bytes.0);
-            prop_assert!(waiting.values().all(|waiter| waiter.deadline > now));
+            prop_assert!(waiting.values().map(|request| request.bytes.0).sum::<u64>() <= bytes.0);
+            prop_assert!(waiting.values().all(|request| request.deadline > now));
         }
     }
 }
--- a/crates/cw_policy/tests/routing/filters.rs
+++ b/crates/cw_policy/tests/routing/filters.rs
@@ -9,9 +9,9 @@
 use crate::fixtures::view;
 use cw_policy::Liveness;
 use cw_policy::routing::Choice;
-use cw_policy::routing::Index;
-use cw_policy::routing::Ledger;
+use cw_policy::routing::DispatchLog;
 use cw_policy::routing::Policy;
+use cw_policy::routing::TargetIndex;
 use cw_policy::routing::choose;
 use cw_types::RouteTarget;
 use cw_types::TargetKind;
@@ -35,11 +35,17 @@
     for number in [0, 2] {
         view.targets.get_mut(&id(number)).unwrap().liveness = liveness;
     }
-    let index = Index::new(&view);
+    let index = TargetIndex::new(&view);
     for policy in POLICIES {
         for seed in 0..20 {
             let mut rng = SmallRng::seed_from_u64(seed);
-            let choice = index.choose(now(), policy, &request("w"), &Ledger::default(), &mut rng);
+            let choice = index.choose(
+                now(),
+                policy,
+                &request("w"),
+                &DispatchLog::default(),
+                &mut rng,
+            );
             assert_eq!(choice, Choice::Target(id(1)), "{policy:?}, seed {seed}");
         }
     }
@@ -50,14 +56,14 @@
     let mut view = view(2);
     view.targets.get_mut(&id(0)).unwrap().liveness = Liveness::Suspect;
     let mut rng = SmallRng::seed_from_u64(1);
-    let ledger = Ledger::default();
+    let dispatches = DispatchLog::default();
 
-    let both = choose(now(), &view, &request("w"), &ledger, &mut rng);
+    let both = choose(now(), &view, &request("w"), &dispatches, &mut rng);
     let other = choose(
         now(),
         &view,
-        &request("w").without(id(1)),
-        &ledger,
+        &request("w").excluding(id(1)),
+        &dispatches,
         &mut rng,
     );
 
@@ -75,7 +81,7 @@
     };
     view.targets.insert(id(9), service);
     let mut rng = SmallRng::seed_from_u64(2);
-    let ledger = Ledger::default();
+    let dispatches = DispatchLog::default();
     let to = |version: &str, adapter: Option<&str>| RouteTarget::Model {
         model: "m".parse().unwrap(),
         version: version.parse().unwrap(),
@@ -84,7 +90,7 @@
     let mut ask = |to: RouteTarget| {
         let mut request = request("w");
         request.to = to;
-        choose(now(), &view, &request, &ledger, &mut rng)
+        choose(now(), &view, &request, &dispatches, &mut rng)
     };
 
     assert_eq!(ask(to("v2", None)), Choice::NoTarget);
@@ -100,15 +106,15 @@
 fn busy_targets_are_left_alone_until_they_may_be_tried_again() {
     let view = view(2);
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut ledger = Ledger::default();
+    let mut dispatches = DispatchLog::default();
     let first = Duration::from_millis(200);
     for (number, retry) in [(0, first), (1, Duration::from_millis(500))] {
-        ledger.dispatched(now(), &id(number));
-        ledger.refused(now(), &id(number), retry);
+        dispatches.record_service_dispatch(now(), &id(number));
+        dispatches.record_refusal(now(), &id(number), retry);
     }
 
-    let at_once = choose(now(), &view, &request("w"), &ledger, &mut rng);
-    let later = choose(now() + first, &view, &request("w"), &ledger, &mut rng);
+    let at_once = choose(now(), &view, &request("w"), &dispatches, &mut rng);
+    let later = choose(now() + first, &view, &request("w"), &dispatches, &mut rng);
 
     let until = now() + first;
     assert_eq!(at_once, Choice::Wait { until });
@@ -121,23 +127,23 @@
     for (number, running) in [(0, 10), (1, 16), (2, 20)] {
         view.targets.get_mut(&id(number)).unwrap().load.running = running;
     }
-    let index = Index::new(&view);
-    let mut ledger = Ledger::default();
+    let index = TargetIndex::new(&view);
+    let mut dispatches = DispatchLog::default();
     let to = request("w").to;
     let unknown = RouteTarget::Service {
         service: "loans".to_owned(),
     };
     let retry = Duration::from_millis(200);
-    let room = |ledger: &Ledger, at| index.room(at, &to, ledger).unwrap();
-    let before = room(&ledger, now());
-    ledger.refused(now(), &id(0), retry);
-    let full = room(&ledger, now());
-    ledger.refused(now(), &id(1), retry);
-    ledger.refused(now(), &id(2), retry);
-    let closed = room(&ledger, now());
+    let room = |dispatches: &DispatchLog, at| index.spare_capacity(at, &to, dispatches).unwrap();
+    let before = room(&dispatches, now());
+    dispatches.record_refusal(now(), &id(0), retry);
+    let full = room(&dispatches, now());
+    dispatches.record_refusal(now(), &id(1), retry);
+    dispatches.record_refusal(now(), &id(2), retry);
+    let closed = room(&dispatches, now());
 
     // The report of 6 free places is some 100 ms old and counts for nearly all of it.
     assert!((4..=6).contains(&before), "{before}");
     assert_eq!((full, closed), (1, 0));
-    assert_eq!(index.room(now(), &unknown, &ledger), None);
+    assert_eq!(index.spare_capacity(now(), &unknown, &dispatches), None);
 }
--- a/crates/cw_policy/tests/routing/load.rs
+++ b/crates/cw_policy/tests/routing/load.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use cw_policy::routing::Costs;
 use cw_policy::routing::Policy;
+use cw_policy::routing::RoutingCosts;
 
-use crate::fleet::Fleet;
 use crate::outcome::Outcome;
-use crate::shape::Shape;
+use crate::scenario::Scenario;
+use crate::simulation::Simulation;
 
-fn run(shape: &Shape, policy: Policy) -> Outcome {
-    Fleet::run(shape.clone(), policy, Costs::default(), 11)
+fn run(scenario: &Scenario, policy: Policy) -> Outcome {
+    Simulation::run(scenario.clone(), policy, RoutingCosts::default(), 11)
 }
 
 fn p95(samples: &[f64]) -> f64 {
@@ -25,14 +25,14 @@
 
 #[test]
 fn entries_with_late_reports_do_not_herd() {
-    let shape = Shape {
+    let scenario = Scenario {
         entries: 8,
         lag: Duration::from_secs(1),
         shared: 0,
         sessions: 1_000_000,
-        ..Shape::default()
+        ..Scenario::default()
     };
-    let outcome = run(&shape, Policy::default());
+    let outcome = run(&scenario, Policy::default());
     let peak = outcome.peaks.iter().sum::<f64>() / outcome.peaks.len() as f64;
 
     assert!(
@@ -44,12 +44,12 @@
 
 #[test]
 fn cached_prefixes_are_found_without_making_callers_wait() {
-    let shape = Shape {
+    let scenario = Scenario {
         span: Duration::from_secs(40),
-        ..Shape::default()
+        ..Scenario::default()
     };
-    let outcome = run(&shape, Policy::default());
-    let two = run(&shape, Policy::PowerOfTwo);
+    let outcome = run(&scenario, Policy::default());
+    let two = run(&scenario, Policy::PowerOfTwo);
 
     assert!(hit_rate(&outcome) >= 1.5 * hit_rate(&two));
     for baseline in [
@@ -57,19 +57,19 @@
         Policy::LeastReported,
         Policy::PowerOfTwo,
     ] {
-        let other = p95(&run(&shape, baseline).first[0]);
+        let other = p95(&run(&scenario, baseline).first[0]);
         assert!(p95(&outcome.first[0]) <= other, "{baseline:?}: {other}");
     }
 }
 
 #[test]
 fn short_requests_stay_quick_beside_long_ones() {
-    let mixed = Shape {
+    let mixed = Scenario {
         long: 0.1,
         hold: Duration::from_millis(1500),
         hold_long: Duration::from_secs(15),
         span: Duration::from_secs(40),
-        ..Shape::default()
+        ..Scenario::default()
     };
     let outcome = run(&mixed, Policy::default());
 
@@ -79,13 +79,13 @@
 
 #[test]
 fn streams_of_a_lost_availability_zone_go_on_in_time() {
-    let shape = Shape {
+    let scenario = Scenario {
         rate: 90.0,
         span: Duration::from_secs(40),
         loss: Some(Duration::from_secs(25)),
-        ..Shape::default()
+        ..Scenario::default()
     };
-    let outcome = run(&shape, Policy::default());
+    let outcome = run(&scenario, Policy::default());
     let longest = outcome.resumed.iter().copied().fold(0.0, f64::max);
 
     assert_eq!(outcome.refused, 0);
--- a/crates/cw_policy/tests/routing/main.rs
+++ b/crates/cw_policy/tests/routing/main.rs
@@ -4,13 +4,13 @@
 mod engine;
 mod filters;
 mod fixtures;
-#[path = "../../benches/rounds/fleet.rs"]
-mod fleet;
 mod load;
 #[path = "../../benches/rounds/outcome.rs"]
 mod outcome;
 mod preference;
+#[path = "../../benches/rounds/scenario.rs"]
+mod scenario;
 #[path = "../../benches/rounds/scheduled.rs"]
 mod scheduled;
-#[path = "../../benches/rounds/shape.rs"]
-mod shape;
+#[path = "../../benches/rounds/simulation.rs"]
+mod simulation;
--- a/crates/cw_policy/tests/routing/preference.rs
+++ b/crates/cw_policy/tests/routing/preference.rs
@@ -6,10 +6,10 @@
 use cw_policy::View;
 use cw_policy::prefix::Block;
 use cw_policy::routing::Choice;
-use cw_policy::routing::Index;
-use cw_policy::routing::Ledger;
+use cw_policy::routing::DispatchLog;
 use cw_policy::routing::Policy;
 use cw_policy::routing::RouteRequest;
+use cw_policy::routing::TargetIndex;
 use cw_types::Recovery;
 use cw_types::TargetId;
 use cw_types::TokenCount;
@@ -33,17 +33,17 @@
 
 /// Chooses for `count` prompts, recording each, and counts the choices.
 fn spread(view: &View, count: u64, tokens: u64) -> BTreeMap<TargetId, u32> {
-    let index = Index::new(view);
-    let mut ledger = Ledger::default();
+    let index = TargetIndex::new(view);
+    let mut dispatches = DispatchLog::default();
     let mut rng = SmallRng::seed_from_u64(5);
     let mut counts = BTreeMap::new();
     for number in 0..count {
         let request = prompt(number, tokens);
-        let choice = index.choose(now(), Policy::default(), &request, &ledger, &mut rng);
+        let choice = index.choose(now(), Policy::default(), &request, &dispatches, &mut rng);
         let Choice::Target(target) = choice else {
             panic!("{choice:?}");
         };
-        ledger.sent(now(), &target, &request);
+        dispatches.record_dispatch(now(), &target, &request);
         *counts.entry(target).or_default() += 1;
     }
     counts
@@ -51,14 +51,14 @@
 
 #[test]
 fn entries_that_share_nothing_prefer_the_same_target() {
-    let index = Index::new(&view(40));
+    let index = TargetIndex::new(&view(40));
     let chosen = |seed| {
         let mut rng = SmallRng::seed_from_u64(seed);
         index.choose(
             now(),
             Policy::default(),
             &prompt(7, 4000),
-            &Ledger::default(),
+            &DispatchLog::default(),
             &mut rng,
         )
     };
@@ -69,14 +69,14 @@
 
 #[test]
 fn prompts_that_differ_only_at_their_end_prefer_the_same_target() {
-    let index = Index::new(&view(40));
+    let index = TargetIndex::new(&view(40));
     let chosen = |question: u64| {
         let block = |hash, end| Block { hash, end };
         let blocks = vec![block(1, 1024), block(2, 2048), block(100 + question, 2400)];
         let request = request("w").with_prompt(blocks, TokenCount(600));
         let mut rng = SmallRng::seed_from_u64(question);
-        let ledger = Ledger::default();
-        index.choose(now(), Policy::default(), &request, &ledger, &mut rng)
+        let dispatches = DispatchLog::default();
+        index.choose(now(), Policy::default(), &request, &dispatches, &mut rng)
     };
 
     let first = chosen(0);
@@ -130,15 +130,15 @@
 ) {
     let mut view = view(12);
     view.targets.get_mut(&id(5)).unwrap().load.running = 2;
-    let index = Index::new(&view);
+    let index = TargetIndex::new(&view);
     let request = prompt(3, 8000).resumed(recovery);
-    let mut ledger = Ledger::default();
+    let mut dispatches = DispatchLog::default();
     let tokens = TokenCount(8000);
-    ledger
-        .overlap
+    dispatches
+        .cache_index
         .learn(&id(5), &request.blocks, tokens, tokens);
     let mut rng = SmallRng::seed_from_u64(6);
-    let choice = index.choose(now(), Policy::default(), &request, &ledger, &mut rng);
+    let choice = index.choose(now(), Policy::default(), &request, &dispatches, &mut rng);
 
     assert_eq!(choice == Choice::Target(id(5)), to_cache, "{choice:?}");
 }
--- a/crates/cw_policy/tests/suspicion.rs
+++ b/crates/cw_policy/tests/suspicion.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cw_policy::CrashSuspicion;
 use cw_policy::Liveness;
 use cw_policy::SuspicionLimits;
 use cw_policy::SuspicionTable;
 use cw_policy::TargetView;
-use cw_policy::Verdict;
 use cw_policy::View;
 use cw_types::Incarnation;
 use cw_types::Target;
@@ -83,10 +83,13 @@
     let table = after(&[(1, 0, (0..BATCH).collect())]);
 
     for request in 0..BATCH {
-        let verdict = table.verdict(Fingerprint(request));
-        assert_eq!(verdict, Verdict::Suspect { crashes: 1 });
+        let verdict = table.assess(Fingerprint(request));
+        assert_eq!(verdict, CrashSuspicion::Suspected { crashes: 1 });
     }
-    assert_eq!(table.verdict(Fingerprint(BATCH)), Verdict::Clear);
+    assert_eq!(
+        table.assess(Fingerprint(BATCH)),
+        CrashSuspicion::Unsuspected
+    );
 }
 
 #[rstest]
@@ -97,11 +100,14 @@
 
     let table = after(&[(1, 0, first.clone()), (9, 1, second.clone())]);
 
-    assert_eq!(table.verdict(POISON), Verdict::Guilty { crashes: 2 });
+    assert_eq!(
+        table.assess(POISON),
+        CrashSuspicion::Confirmed { crashes: 2 }
+    );
     let bystanders: BTreeSet<u64> = first.into_iter().chain(second).skip(1).collect();
     for request in bystanders.into_iter().filter(|&request| request != 0) {
-        let verdict = table.verdict(Fingerprint(request));
-        assert!(!matches!(verdict, Verdict::Guilty { .. }));
+        let verdict = table.assess(Fingerprint(request));
+        assert!(!matches!(verdict, CrashSuspicion::Confirmed { .. }));
     }
 }
 
@@ -109,15 +115,21 @@
 fn a_companion_at_both_crashes_is_told_apart_by_the_third() {
     let pair = vec![0, 1, 2];
     let two = after(&[(1, 0, pair.clone()), (9, 1, vec![0, 1, 50])]);
-    assert_eq!(two.verdict(POISON), Verdict::Suspect { crashes: 2 });
-    assert_eq!(two.verdict(Fingerprint(1)), Verdict::Suspect { crashes: 2 });
+    assert_eq!(two.assess(POISON), CrashSuspicion::Suspected { crashes: 2 });
+    assert_eq!(
+        two.assess(Fingerprint(1)),
+        CrashSuspicion::Suspected { crashes: 2 }
+    );
 
     let three = after(&[(1, 0, pair), (9, 1, vec![0, 1, 50]), (15, 2, vec![0, 60])]);
 
-    assert_eq!(three.verdict(POISON), Verdict::Guilty { crashes: 3 });
     assert_eq!(
-        three.verdict(Fingerprint(1)),
-        Verdict::Suspect { crashes: 2 }
+        three.assess(POISON),
+        CrashSuspicion::Confirmed { crashes: 3 }
+    );
+    assert_eq!(
+        three.assess(Fingerprint(1)),
+        CrashSuspicion::Suspected { crashes: 2 }
     );
 }
 
@@ -127,16 +139,16 @@
 
     let table = after(&crashes);
 
-    assert_eq!(table.verdict(POISON), Verdict::Clear);
+    assert_eq!(table.assess(POISON), CrashSuspicion::Unsuspected);
 }
 
 #[rstest]
 fn a_request_that_ran_to_its_end_is_cleared() {
     let mut table = after(&[(1, 0, vec![0, 1]), (9, 1, vec![0, 2])]);
 
-    table.finished(POISON);
+    table.record_completion(POISON);
 
-    assert_eq!(table.verdict(POISON), Verdict::Clear);
+    assert_eq!(table.assess(POISON), CrashSuspicion::Unsuspected);
 }
 
 #[rstest]
@@ -145,7 +157,7 @@
     let elsewhere = after(&[(1, 0, vec![0]), (9, 1, vec![0])]);
     let third = after(&[(1, 0, vec![0]), (9, 1, vec![0]), (20, 2, vec![0])]);
 
-    here.convict(POISON);
+    here.confirm(POISON);
 
     assert!(here.is_refused(POISON));
     assert!(!elsewhere.is_refused(POISON));
@@ -159,7 +171,10 @@
 
     table.observe(Time(2_000_000), &view(&known));
 
-    assert_eq!(table.verdict(POISON), Verdict::Suspect { crashes: 1 });
+    assert_eq!(
+        table.assess(POISON),
+        CrashSuspicion::Suspected { crashes: 1 }
+    );
 }
 
 #[rstest]
@@ -180,12 +195,12 @@
 }
 
 #[rstest]
-#[case(Verdict::Clear, 2)]
-#[case(Verdict::Suspect { crashes: 1 }, 2)]
-#[case(Verdict::Suspect { crashes: 2 }, 1)]
-#[case(Verdict::Guilty { crashes: 3 }, 1)]
+#[case(CrashSuspicion::Unsuspected, 2)]
+#[case(CrashSuspicion::Suspected { crashes: 1 }, 2)]
+#[case(CrashSuspicion::Suspected { crashes: 2 }, 1)]
+#[case(CrashSuspicion::Confirmed { crashes: 3 }, 1)]
 fn one_earlier_crash_does_not_judge_a_new_call_sooner(
-    #[case] verdict: Verdict,
+    #[case] verdict: CrashSuspicion,
     #[case] expected: u32,
 ) {
     assert_eq!(verdict.crashes_left(2), expected);
--- a/crates/cw_testkit/src/experiment/capacity/choice.rs
+++ b/crates/cw_testkit/src/experiment/capacity/choice.rs
@@ -11,10 +11,10 @@
 use cw_policy::View;
 use cw_policy::prefix::blocks;
 use cw_policy::routing::Choice;
-use cw_policy::routing::Index;
-use cw_policy::routing::Ledger;
+use cw_policy::routing::DispatchLog;
 use cw_policy::routing::Policy;
 use cw_policy::routing::RouteRequest;
+use cw_policy::routing::TargetIndex;
 use cw_types::Incarnation;
 use cw_types::RouteTarget;
 use cw_types::Target;
@@ -112,30 +112,33 @@
             .collect(),
         ..View::default()
     };
-    let mut ledger = Ledger::default();
+    let mut dispatches = DispatchLog::default();
     let mut now = NOW;
     let (mut deciding, mut indexing) = (Duration::ZERO, Duration::ZERO);
     for _ in 0..REPEATS {
         for (id, target) in &mut view.targets {
             target.reported = now;
             if all_busy {
-                ledger.refused(now, id, Duration::from_secs(1));
+                dispatches.record_refusal(now, id, Duration::from_secs(1));
             }
         }
-        ledger.observe(now, &view);
+        dispatches.observe(now, &view);
         let start = Instant::now();
-        let index = Index::new(&view);
+        let index = TargetIndex::new(&view);
         indexing += start.elapsed();
         let start = Instant::now();
         for number in 0..DECISIONS {
             now = now + Duration::from_micros(435);
             let request = &requests[number % WORKSPACES];
-            let choice = index.choose(now, Policy::Affinity, request, &ledger, &mut rng);
+            let choice = index.choose(now, Policy::Affinity, request, &dispatches, &mut rng);
             if let Choice::Target(id) = black_box(choice) {
-                ledger.sent(now, &id, request);
-                ledger
-                    .overlap
-                    .learn(&id, &request.blocks, TokenCount(600), TokenCount(1200));
+                dispatches.record_dispatch(now, &id, request);
+                dispatches.cache_index.learn(
+                    &id,
+                    &request.blocks,
+                    TokenCount(600),
+                    TokenCount(1200),
+                );
             }
         }
         deciding += start.elapsed();
--- a/crates/cyclamenwharf/src/entry/driver/mod.rs
+++ b/crates/cyclamenwharf/src/entry/driver/mod.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
+use cw_policy::CrashSuspicion;
 use cw_policy::Event;
 use cw_policy::Generation;
 use cw_policy::Step;
-use cw_policy::Verdict;
 use cw_policy::routing::RouteRequest;
 use cw_types::ErrorKind;
 use cw_types::Time;
@@ -61,8 +61,8 @@
         let mut limits = job.limits(&front.settings);
         limits.crashes = verdict.crashes_left(limits.crashes);
         let known = match verdict {
-            Verdict::Guilty { crashes } => crashes,
-            Verdict::Clear | Verdict::Suspect { .. } => 0,
+            CrashSuspicion::Confirmed { crashes } => crashes,
+            CrashSuspicion::Unsuspected | CrashSuspicion::Suspected { .. } => 0,
         };
         let request = front.router.request(&job);
         Self {
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cw_policy::CrashSuspicion;
 use cw_policy::Event;
-use cw_policy::Verdict;
 use cw_policy::budget::Extra;
-use cw_policy::queue::Lane;
-use cw_policy::queue::Waiter;
+use cw_policy::queue::QueuedRequest;
+use cw_policy::queue::TargetPool;
 use cw_policy::routing::Choice;
 use cw_types::ErrorKind;
 use cw_types::TargetId;
@@ -72,9 +72,9 @@
 
     /// Lets the request wait for its turn.
     pub(super) fn queue(&mut self, now: Time) {
-        let waiter = Waiter {
+        let request = QueuedRequest {
             id: self.job.generation,
-            lane: Lane::from(&self.job.to),
+            pool: TargetPool::from(&self.job.to),
             workspace: self.job.workspace.clone(),
             weight: self.job.weight,
             rank: self.job.rank,
@@ -85,7 +85,7 @@
         let again = std::mem::replace(&mut self.waited, true);
         // A turn in the queue is a first try once more.
         self.tried = false;
-        let turn = self.front.line.wait(now, waiter, again);
+        let turn = self.front.line.wait(now, request, again);
         self.inputs.wait(async move {
             match turn.await {
                 Ok(Turn::Start) => Event::Turn,
@@ -103,7 +103,7 @@
         let view = self.front.view.load_full();
         let router = &self.front.router;
         let verdict = (self.front.suspicion).verdict(now, &view, self.job.fingerprint);
-        self.suspect |= verdict != Verdict::Clear;
+        self.suspect |= verdict != CrashSuspicion::Unsuspected;
         if self.suspect {
             for avoided in self.front.suspicion.avoided(&view) {
                 let exclude = exclude.union(&avoided).cloned().collect();
@@ -127,7 +127,7 @@
                 let view = front.view.load_full();
                 let now = front.clock.now();
                 let verdict = front.suspicion.verdict(now, &view, request);
-                if matches!(verdict, Verdict::Guilty { crashes } if crashes > known) {
+                if matches!(verdict, CrashSuspicion::Confirmed { crashes } if crashes > known) {
                     front.suspicion.convict(request);
                     return Event::Judged { guilty: true };
                 }
--- a/crates/cyclamenwharf/src/entry/router.rs
+++ b/crates/cyclamenwharf/src/entry/router.rs
@@ -11,10 +11,10 @@
 use cw_policy::View;
 use cw_policy::prefix::blocks;
 use cw_policy::routing::Choice;
-use cw_policy::routing::Index;
-use cw_policy::routing::Ledger;
+use cw_policy::routing::DispatchLog;
 use cw_policy::routing::Policy;
 use cw_policy::routing::RouteRequest;
+use cw_policy::routing::TargetIndex;
 use cw_types::RegionId;
 use cw_types::RouteTarget;
 use cw_types::TargetId;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct Indexed {
     view: Arc<View>,
-    index: Index,
+    index: TargetIndex,
 }
 
 /// The choice of targets, shared by all requests of an entry.
@@ -43,7 +43,7 @@
     zone: ZoneId,
     region: RegionId,
     policy: Policy,
-    ledger: Mutex<Ledger>,
+    dispatches: Mutex<DispatchLog>,
     indexed: ArcSwapOption<Indexed>,
 }
 
@@ -54,7 +54,7 @@
             zone,
             region,
             policy,
-            ledger: Mutex::default(),
+            dispatches: Mutex::default(),
             indexed: ArcSwapOption::empty(),
         }
     }
@@ -91,45 +91,45 @@
         let mut request = request.clone();
         request.excluded.extend(excluded.iter().cloned());
         let indexed = self.indexed(now, view);
-        let ledger = self.ledger();
+        let dispatches = self.dispatches();
         indexed
             .index
-            .choose(now, self.policy, &request, &ledger, &mut rand::rng())
+            .choose(now, self.policy, &request, &dispatches, &mut rand::rng())
     }
 
     /// Returns about how many more attempts the targets can take now, if there are any targets.
     pub(crate) fn room(&self, now: Time, view: &Arc<View>, to: &RouteTarget) -> Option<usize> {
         let indexed = self.indexed(now, view);
-        indexed.index.room(now, to, &self.ledger())
+        indexed.index.spare_capacity(now, to, &self.dispatches())
     }
 
     /// Records that an attempt was sent to `target`.
     pub(crate) fn sent(&self, now: Time, target: &TargetId, request: &RouteRequest) {
-        self.ledger().sent(now, target, request);
+        self.dispatches().record_dispatch(now, target, request);
     }
 
     /// Learns how much of a prompt `target` had cached; it has all of it now.
     pub(crate) fn accepted(&self, target: &TargetId, request: &RouteRequest, cached: TokenCount) {
         if !request.blocks.is_empty() {
-            let mut ledger = self.ledger();
-            let overlap = &mut ledger.overlap;
-            overlap.learn(target, &request.blocks, cached, request.tokens);
+            let mut dispatches = self.dispatches();
+            let cache_index = &mut dispatches.cache_index;
+            cache_index.learn(target, &request.blocks, cached, request.tokens);
         }
     }
 
     /// Forgets what `target` had cached, since its engine died.
     pub(crate) fn crashed(&self, target: &TargetId) {
-        self.ledger().overlap.forget(target);
+        self.dispatches().cache_index.forget(target);
     }
 
     /// Records that an attempt has ended, `held` after it was sent.
     pub(crate) fn ended(&self, now: Time, target: &TargetId, held: Duration) {
-        self.ledger().ended(now, target, held);
+        self.dispatches().record_end(now, target, held);
     }
 
     /// Records that a target refused an attempt and asked for `retry` before the next one.
     pub(crate) fn refused(&self, now: Time, target: &TargetId, retry: Duration) {
-        self.ledger().refused(now, target, retry);
+        self.dispatches().record_refusal(now, target, retry);
     }
 
     /// Returns the index of `view`, which is made once for each view.
@@ -138,17 +138,19 @@
         if let Some(known) = known.filter(|known| Arc::ptr_eq(&known.view, view)) {
             return known;
         }
-        self.ledger().observe(now, view);
+        self.dispatches().observe(now, view);
         let indexed = Arc::new(Indexed {
             view: Arc::clone(view),
-            index: Index::new(view),
+            index: TargetIndex::new(view),
         });
         self.indexed.store(Some(Arc::clone(&indexed)));
         indexed
     }
 
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn dispatches(&self) -> MutexGuard<'_, DispatchLog> {
+        self.dispatches
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/cyclamenwharf/src/entry/suspicion.rs
+++ b/crates/cyclamenwharf/src/entry/suspicion.rs
@@ -6,9 +6,9 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
+use cw_policy::CrashSuspicion;
 use cw_policy::SuspicionLimits;
 use cw_policy::SuspicionTable;
-use cw_policy::Verdict;
 use cw_policy::View;
 use cw_types::HostId;
 use cw_types::TargetId;
@@ -44,7 +44,12 @@
     }
 
     /// Returns what is held against a request, the crashes in `view` included.
-    pub(crate) fn verdict(&self, now: Time, view: &Arc<View>, request: Fingerprint) -> Verdict {
+    pub(crate) fn verdict(
+        &self,
+        now: Time,
+        view: &Arc<View>,
+        request: Fingerprint,
+    ) -> CrashSuspicion {
         let mut inner = self.lock();
         let seen = inner
             .view
@@ -54,7 +59,7 @@
             inner.table.observe(now, view);
             inner.view = Some(Arc::clone(view));
         }
-        inner.table.verdict(request)
+        inner.table.assess(request)
     }
 
     /// Returns whether a new call with this request is refused.
@@ -64,28 +69,29 @@
 
     /// Records that this entry has found a request guilty.
     pub(crate) fn convict(&self, request: Fingerprint) {
-        self.lock().table.convict(request);
+        self.lock().table.confirm(request);
     }
 
     /// Records that a request has run to its end.
     pub(crate) fn finished(&self, request: Fingerprint) {
-        self.lock().table.finished(request);
+        self.lock().table.record_completion(request);
     }
 
     /// Records that a suspect is dispatched to a target.
     pub(crate) fn place(&self, target: &TargetId) {
-        self.lock().table.place(target);
+        self.lock().table.add_suspect(target);
     }
 
     /// Records that a suspect has left a target.
     pub(crate) fn unplace(&self, target: &TargetId) {
-        self.lock().table.unplace(target);
+        self.lock().table.remove_suspect(target);
     }
 
     /// Returns the targets that a suspect should not go to, in the order in which to give way:
     /// those that other entries use for theirs, and those that have a suspect of this entry.
     pub(crate) fn avoided(&self, view: &View) -> [BTreeSet<TargetId>; 2] {
-        let placed: BTreeSet<TargetId> = self.lock().table.placed().cloned().collect();
+        let placed: BTreeSet<TargetId> =
+            self.lock().table.targets_with_suspects().cloned().collect();
         let targets = view.targets.keys().cloned();
         let foreign = targets.filter(|target| !self.is_own(view, target));
         [placed.iter().cloned().chain(foreign).collect(), placed]
--- a/crates/cyclamenwharf/src/entry/upkeep.rs
+++ b/crates/cyclamenwharf/src/entry/upkeep.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_policy::queue::Lane;
+use cw_policy::queue::TargetPool;
 use cw_types::RouteTarget;
 use cw_types::Time;
 
@@ -25,8 +25,8 @@
     for period in 0_u64.. {
         clock.tick().await;
         let now = front.clock.now();
-        for lane in front.line.tick(now) {
-            start_waiting(&front, now, &lane);
+        for pool in front.line.tick(now) {
+            start_waiting(&front, now, &pool);
         }
         if period % EXCHANGE_PERIODS == 0 {
             front.quotas.exchange(now, &front.view.load());
@@ -37,12 +37,12 @@
 }
 
 /// Lets as many requests of a lane go on as the targets seem to have room for.
-fn start_waiting(front: &Frontend, now: Time, lane: &Lane) {
+fn start_waiting(front: &Frontend, now: Time, pool: &TargetPool) {
     let view = front.view.load_full();
-    let room = front.router.room(now, &view, &RouteTarget::from(lane));
+    let room = front.router.room(now, &view, &RouteTarget::from(pool));
     // Without targets they go on too, and are told so.
     for _ in 0..room.unwrap_or(STARTS).min(STARTS) {
-        if !front.line.start_one(now, lane) {
+        if !front.line.start_one(now, pool) {
             return;
         }
     }
--- a/crates/cyclamenwharf/src/entry/wait_line.rs
+++ b/crates/cyclamenwharf/src/entry/wait_line.rs
@@ -6,12 +6,12 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use cw_policy::queue::Lane;
-use cw_policy::queue::Queue;
 use cw_policy::queue::QueueEvent;
 use cw_policy::queue::QueueLimits;
 use cw_policy::queue::QueueStep;
-use cw_policy::queue::Waiter;
+use cw_policy::queue::QueuedRequest;
+use cw_policy::queue::RequestQueue;
+use cw_policy::queue::TargetPool;
 use cw_types::ErrorKind;
 use cw_types::GenerationId;
 use cw_types::Time;
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    queue: Queue,
+    queue: RequestQueue,
     waiting: BTreeMap<GenerationId, oneshot::Sender<Turn>>,
 }
 
@@ -49,12 +49,12 @@
     /// Returns an empty line.
     pub(crate) fn new(limits: &LimitSettings) -> Self {
         let limits = QueueLimits {
-            items: limits.queue as usize,
-            bytes: limits.queue_bytes,
+            max_requests: limits.queue as usize,
+            max_bytes: limits.queue_bytes,
             ..QueueLimits::default()
         };
         let inner = Inner {
-            queue: Queue::new(limits),
+            queue: RequestQueue::new(limits),
             waiting: BTreeMap::new(),
         };
         Self {
@@ -63,13 +63,18 @@
     }
 
     /// Lets a request wait; one that has waited before gets its old place.
-    pub(crate) fn wait(&self, now: Time, waiter: Waiter, again: bool) -> oneshot::Receiver<Turn> {
+    pub(crate) fn wait(
+        &self,
+        now: Time,
+        request: QueuedRequest,
+        again: bool,
+    ) -> oneshot::Receiver<Turn> {
         let (sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
-        inner.waiting.insert(waiter.id, sender);
+        inner.waiting.insert(request.id, sender);
         let event = match again {
-            true => QueueEvent::Returned(waiter),
-            false => QueueEvent::Offered(waiter),
+            true => QueueEvent::Returned(request),
+            false => QueueEvent::Offered(request),
         };
         inner.feed(now, event);
         receiver
@@ -79,26 +84,26 @@
     pub(crate) fn leave(&self, now: Time, id: GenerationId) {
         let mut inner = self.lock();
         if inner.waiting.remove(&id).is_some() {
-            inner.feed(now, QueueEvent::Gone(id));
+            inner.feed(now, QueueEvent::CallerGone(id));
         }
     }
 
     /// Lets one request of a lane go on; returns whether there was one.
-    pub(crate) fn start_one(&self, now: Time, lane: &Lane) -> bool {
+    pub(crate) fn start_one(&self, now: Time, pool: &TargetPool) -> bool {
         let mut inner = self.lock();
         let before = inner.queue.len();
-        inner.feed(now, QueueEvent::Room(lane.clone()));
+        inner.feed(now, QueueEvent::CapacityAvailable(pool.clone()));
         inner.queue.len() < before
     }
 
     /// Gives up requests past their deadlines, and returns the lanes in which others wait.
-    pub(crate) fn tick(&self, now: Time) -> Vec<Lane> {
+    pub(crate) fn tick(&self, now: Time) -> Vec<TargetPool> {
         let mut inner = self.lock();
         if inner.queue.is_empty() {
             return Vec::new();
         }
         inner.feed(now, QueueEvent::Tick);
-        inner.queue.lanes().cloned().collect()
+        inner.queue.waiting_pools().cloned().collect()
     }
 
     /// Returns how many requests wait.
@@ -115,12 +120,12 @@
     fn feed(&mut self, now: Time, event: QueueEvent) {
         for step in self.queue.on_event(now, event, &mut rand::rng()) {
             let (id, turn) = match step {
-                QueueStep::Start(waiter) => (waiter.id, Turn::Start),
+                QueueStep::Start(request) => (request.id, Turn::Start),
                 QueueStep::Refuse {
-                    waiter,
+                    request,
                     kind,
                     retry,
-                } => (waiter.id, Turn::Refuse { kind, retry }),
+                } => (request.id, Turn::Refuse { kind, retry }),
             };
             if let Some(sender) = self.waiting.remove(&id) {
                 // A driver that is gone needs no turn.
