--- a/crates/cw_policy/benches/rounds/main.rs
+++ b/crates/cw_policy/benches/rounds/main.rs
@@ -1,7 +1,7 @@
-//! Compares the default policy with its baselines, as JSON on standard output.
+//! Compares the default policy with the baselines and prints the results as JSON.
 //!
 //! Run with `cargo bench -p cw_policy --bench rounds`, and `-- default` for the default policy
-//! alone. The same seed gives the same figures.
+//! alone. The seeds are fixed, so that the figures are the same on each run.
 
 mod engine;
 mod outcome;
@@ -51,8 +51,8 @@
             "herd: 8 entries, reports 1 s late, no common prompts",
             Scenario {
                 entries: 8,
-                lag: Duration::from_secs(1),
-                shared: 0,
+                report_delay: Duration::from_secs(1),
+                shared_blocks: 0,
                 sessions: 1_000_000,
                 ..base()
             },
@@ -61,7 +61,7 @@
             "prompts shared by few workspaces",
             Scenario {
                 workspaces: 3,
-                shared: 16,
+                shared_blocks: 16,
                 sessions: 20_000,
                 ..base()
             },
@@ -69,8 +69,8 @@
         (
             "documents of 2 KiB, asked about again and again",
             Scenario {
-                shared: 0,
-                added: 2,
+                shared_blocks: 0,
+                added_blocks: 2,
                 turns: 1,
                 sessions: 8000,
                 prefill: Duration::from_micros(240),
@@ -80,9 +80,9 @@
         (
             "long and short work",
             Scenario {
-                long: 0.1,
-                hold: Duration::from_millis(1500),
-                hold_long: Duration::from_secs(15),
+                long_share: 0.1,
+                output_time: Duration::from_millis(1500),
+                long_output_time: Duration::from_secs(15),
                 ..base()
             },
         ),
@@ -90,7 +90,7 @@
             "an availability zone is lost",
             Scenario {
                 rate: 90.0,
-                loss: Some(Duration::from_secs(50)),
+                zone_loss: Some(Duration::from_secs(50)),
                 ..base()
             },
         ),
@@ -109,7 +109,7 @@
 fn merge(outcomes: Vec<Outcome>) -> Outcome {
     let mut sum = Outcome::default();
     for outcome in outcomes {
-        for (all, some) in sum.first.iter_mut().zip(outcome.first) {
+        for (all, some) in sum.first_token.iter_mut().zip(outcome.first_token) {
             all.extend(some);
         }
         sum.resumed.extend(outcome.resumed);
@@ -117,7 +117,7 @@
         sum.busy += outcome.busy;
         sum.tokens += outcome.tokens;
         sum.cached += outcome.cached;
-        sum.peaks.extend(outcome.peaks);
+        sum.peak_ratios.extend(outcome.peak_ratios);
     }
     sum
 }
@@ -127,8 +127,8 @@
 }
 
 fn describe(policy: Policy, mut outcome: Outcome) -> Value {
-    let [short, long] = &mut outcome.first;
-    let peaks = outcome.peaks.iter().sum::<f64>() / outcome.peaks.len() as f64;
+    let [short, long] = &mut outcome.first_token;
+    let peaks = outcome.peak_ratios.iter().sum::<f64>() / outcome.peak_ratios.len() as f64;
     json!({
         "policy": policy,
         "answered": short.len() + long.len(),
@@ -161,6 +161,6 @@
     }
     println!(
         "{}",
-        serde_json::to_string_pretty(&reports).expect("plain values")
+        serde_json::to_string_pretty(&reports).expect("the results are plain values")
     );
 }
--- a/crates/cw_policy/benches/rounds/outcome.rs
+++ b/crates/cw_policy/benches/rounds/outcome.rs
@@ -1,20 +1,20 @@
-//! What the loop measures.
+//! The measurements of a simulation.
 
-/// What was measured.
+/// The measurements of a simulation after its first quarter, the warm-up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// Times to first token of answered requests, in seconds, by whether they are long.
-    pub(crate) first: [Vec<f64>; 2],
-    /// Times from a loss until the resumed output goes on, in seconds.
+    /// The times to first token of answered requests, in seconds: of short ones, and of long ones.
+    pub(crate) first_token: [Vec<f64>; 2],
+    /// The times from the loss of a zone until resumed output goes on, in seconds.
     pub(crate) resumed: Vec<f64>,
-    /// Requests that ran out of patience.
+    /// The requests that were refused because they waited too long.
     pub(crate) refused: u32,
-    /// Answers of targets that they were full.
+    /// The refusals of targets that were full or lost.
     pub(crate) busy: u32,
-    /// Prompt tokens, and those of them that were cached.
+    /// The prompt tokens of answered requests that were not resumed.
     pub(crate) tokens: u64,
-    /// Prompt tokens that were cached.
+    /// The tokens among these that were cached.
     pub(crate) cached: u64,
-    /// Samples of the largest load over the mean load of live targets.
-    pub(crate) peaks: Vec<f64>,
+    /// Samples of the ratio of the largest load to the mean load of live targets.
+    pub(crate) peak_ratios: Vec<f64>,
 }
--- a/crates/cw_policy/benches/rounds/scenario.rs
+++ b/crates/cw_policy/benches/rounds/scenario.rs
@@ -1,4 +1,4 @@
-//! What is offered to a fleet, and what the fleet is.
+//! The load and the targets of a simulation.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The length of a block, in bytes.
-const BLOCK: u32 = 1024;
+const BLOCK_BYTES: u32 = 1024;
 
-/// What is offered to a fleet, and what the fleet is.
+/// The load and the targets of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) targets: usize,
@@ -16,33 +16,33 @@
     pub(crate) slots: usize,
     pub(crate) workspaces: usize,
     pub(crate) sessions: usize,
-    /// Requests of a session until it starts anew.
+    /// The requests of a session before its prompt starts over.
     pub(crate) turns: u64,
-    /// Blocks that all prompts of a workspace begin with.
-    pub(crate) shared: u64,
-    /// The length of what no other prompt has, at the end of each, in bytes.
-    pub(crate) tail: u32,
-    /// Blocks that each turn adds.
-    pub(crate) added: u64,
-    /// Requests a second.
+    /// The blocks at the start of all prompts of a workspace.
+    pub(crate) shared_blocks: u64,
+    /// The length of the unique part at the end of each prompt, in bytes.
+    pub(crate) tail_bytes: u32,
+    /// The blocks that each turn of a session adds.
+    pub(crate) added_blocks: u64,
+    /// The mean arrivals per second.
     pub(crate) rate: f64,
-    /// The mean time of output.
-    pub(crate) hold: Duration,
-    /// The mean time of long output.
-    pub(crate) hold_long: Duration,
-    /// The part of requests that are long.
-    pub(crate) long: f64,
-    /// The time to process a token.
+    /// The mean output time of short requests.
+    pub(crate) output_time: Duration,
+    /// The mean output time of long requests.
+    pub(crate) long_output_time: Duration,
+    /// The fraction of requests that are long.
+    pub(crate) long_share: f64,
+    /// The time to prefill one token.
     pub(crate) prefill: Duration,
-    /// The blocks that a target can cache.
+    /// The most blocks that a target caches.
     pub(crate) cache_blocks: usize,
-    pub(crate) period: Duration,
-    /// How old a report is when it arrives.
-    pub(crate) lag: Duration,
-    pub(crate) patience: Duration,
-    pub(crate) span: Duration,
-    /// When a third of the targets is lost.
-    pub(crate) loss: Option<Duration>,
+    pub(crate) report_period: Duration,
+    /// The age of a report when it arrives.
+    pub(crate) report_delay: Duration,
+    pub(crate) max_wait: Duration,
+    pub(crate) duration: Duration,
+    /// The time after the start at which a third of the targets fails.
+    pub(crate) zone_loss: Option<Duration>,
 }
 
 impl Default for Scenario {
@@ -54,26 +54,26 @@
             workspaces: 10,
             sessions: 1500,
             turns: 8,
-            shared: 4,
-            tail: 200,
-            added: 2,
+            shared_blocks: 4,
+            tail_bytes: 200,
+            added_blocks: 2,
             rate: 144.0,
-            hold: Duration::from_secs(3),
-            hold_long: Duration::from_secs(30),
-            long: 0.0,
+            output_time: Duration::from_secs(3),
+            long_output_time: Duration::from_secs(30),
+            long_share: 0.0,
             prefill: Duration::from_micros(60),
             cache_blocks: 700,
-            period: Duration::from_millis(250),
-            lag: Duration::from_millis(250),
-            patience: Duration::from_secs(10),
-            span: Duration::from_secs(80),
-            loss: None,
+            report_period: Duration::from_millis(250),
+            report_delay: Duration::from_millis(250),
+            max_wait: Duration::from_secs(10),
+            duration: Duration::from_secs(80),
+            zone_loss: None,
         }
     }
 }
 
 impl Scenario {
-    /// Returns the prompt of a turn of a session, as blocks; `request` is the number of the request.
+    /// Returns the blocks of the prompt of a session's turn; `request` is the request's number.
     pub(crate) fn blocks(
         &self,
         workspace: usize,
@@ -81,9 +81,9 @@
         turn: u64,
         request: u64,
     ) -> Vec<Block> {
-        let count = self.shared + self.added * (turn + 1);
+        let count = self.shared_blocks + self.added_blocks * (turn + 1);
         let block = |number: u64| {
-            let owner = if number < self.shared {
+            let owner = if number < self.shared_blocks {
                 workspace as u64
             } else {
                 1_000_000 + session as u64
@@ -93,14 +93,14 @@
             bytes[8..].copy_from_slice(&number.to_le_bytes());
             Block {
                 hash: xxh3_64(&bytes),
-                end: BLOCK * u32::try_from(number + 1).unwrap_or(u32::MAX),
+                end: BLOCK_BYTES * u32::try_from(number + 1).unwrap_or(u32::MAX),
             }
         };
         let mut blocks: Vec<Block> = (0..count).map(block).collect();
-        if let Some(last) = blocks.last().filter(|_| self.tail > 0) {
+        if let Some(last) = blocks.last().filter(|_| self.tail_bytes > 0) {
             blocks.push(Block {
                 hash: xxh3_64(&request.to_le_bytes()),
-                end: last.end + self.tail,
+                end: last.end + self.tail_bytes,
             });
         }
         blocks
--- a/crates/cw_policy/benches/rounds/scheduled.rs
+++ b/crates/cw_policy/benches/rounds/scheduled.rs
@@ -1,10 +1,10 @@
-//! The order of events in the loop.
+//! The order of the simulated events.
 
 use std::cmp::Ordering;
 
 use cw_types::Time;
 
-/// An event that happens later; those of one time go in the order in which they were scheduled.
+/// A future event; events of one time occur in the order in which they were scheduled.
 #[derive(Debug)]
 pub(crate) struct Scheduled<E> {
     pub(crate) at: Time,
--- a/crates/cw_policy/benches/rounds/simulation.rs
+++ b/crates/cw_policy/benches/rounds/simulation.rs
@@ -1,7 +1,7 @@
-//! A loop over a few entries and targets in closed form, to compare policies.
+//! A discrete-event simulation of a few entries and targets, to compare policies.
 //!
-//! Targets have slots, process prompts one after another and keep blocks in a limited cache;
-//! entries see their state late. Nothing here models processes, sockets or failures of messages.
+//! Targets have slots, prefill prompts one after another and cache a limited number of blocks;
+//! entries see their state late. Processes, sockets and failures of messages are not modelled.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -37,26 +37,26 @@
 use crate::scenario::Scenario;
 use crate::scheduled::Scheduled;
 
-/// When the loop starts, so that targets have ramped up.
+/// The time at which the simulation starts, so late that all targets have ramped up.
 const START: Time = Time(1_000_000_000);
 
-/// How many other targets are tried after one refused.
+/// How many other targets are tried after a refusal.
 const REDIRECTS: usize = 2;
 
-/// How long a request without a target waits before it tries again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The delay before a request without a target is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The bytes of prompt that make a token.
+/// The bytes of a prompt that count as one token.
 const TOKEN_BYTES: u32 = 4;
 
 #[derive(Clone, Debug)]
 enum Event {
-    Arrive,
-    Try(Job),
-    End { target: usize, number: u64 },
-    Report,
-    Reports(View),
-    Loss,
+    Arrival,
+    Retry(Job),
+    Completion { target: usize, number: u64 },
+    ReportDue,
+    ViewArrival(View),
+    ZoneLoss,
 }
 
 struct Entry {
@@ -64,7 +64,7 @@
     index: TargetIndex,
 }
 
-/// The loop.
+/// The state of a simulation.
 pub(crate) struct Simulation {
     scenario: Scenario,
     policy: Policy,
@@ -82,7 +82,7 @@
 }
 
 impl Simulation {
-    /// Runs `policy` on `scenario` and returns what was measured.
+    /// Runs `policy` on `scenario` and returns the measurements.
     pub(crate) fn run(
         scenario: Scenario,
         policy: Policy,
@@ -112,12 +112,12 @@
                 index: TargetIndex::new(&view).with_costs(simulation.costs.clone()),
             });
         }
-        simulation.schedule(Duration::ZERO, Event::Arrive);
-        simulation.schedule(Duration::ZERO, Event::Report);
-        if let Some(loss) = simulation.scenario.loss {
-            simulation.schedule(loss, Event::Loss);
+        simulation.schedule(Duration::ZERO, Event::Arrival);
+        simulation.schedule(Duration::ZERO, Event::ReportDue);
+        if let Some(loss) = simulation.scenario.zone_loss {
+            simulation.schedule(loss, Event::ZoneLoss);
         }
-        let end = START + simulation.scenario.span;
+        let end = START + simulation.scenario.duration;
         while let Some(Reverse(next)) = simulation.queue.pop() {
             if next.at > end {
                 break;
@@ -139,25 +139,25 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Try(job) => self.dispatch(job),
-            Event::End { target, number } => self.end(target, number),
-            Event::Report => self.report(),
-            Event::Reports(view) => self.observe(&view),
-            Event::Loss => self.lose(),
+            Event::Arrival => self.arrive(),
+            Event::Retry(job) => self.dispatch(job),
+            Event::Completion { target, number } => self.end(target, number),
+            Event::ReportDue => self.report(),
+            Event::ViewArrival(view) => self.observe(&view),
+            Event::ZoneLoss => self.lose_zone(),
         }
     }
 
-    fn is_warm(&self) -> bool {
-        self.now >= START + self.scenario.span / 4
+    fn is_warmed_up(&self) -> bool {
+        self.now >= START + self.scenario.duration / 4
     }
 
     // -----------------------------------------------------------------------------------------
 
     fn arrive(&mut self) {
         let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.scenario.rate;
-        self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
-        // Squaring makes some sessions, and so some workspaces, much busier than others.
+        self.schedule(Duration::from_secs_f64(gap), Event::Arrival);
+        // The square makes some sessions, and so some workspaces, much busier than others.
         let pick = self.rng.random::<f64>().powi(2) * self.scenario.sessions as f64;
         let session = pick as usize;
         let workspace = session * self.scenario.workspaces / self.scenario.sessions;
@@ -168,13 +168,13 @@
             .blocks(workspace, session, turn, self.sequence);
         let bytes = blocks.last().map_or(0, |block| block.end);
         let tokens = TokenCount(u64::from(bytes / TOKEN_BYTES));
-        let long = self.rng.random::<f64>() < self.scenario.long;
+        let long = self.rng.random::<f64>() < self.scenario.long_share;
         let mean = if long {
-            self.scenario.hold_long
+            self.scenario.long_output_time
         } else {
-            self.scenario.hold
+            self.scenario.output_time
         };
-        let hold = mean.mul_f64(-self.rng.random::<f64>().max(1e-12).ln());
+        let output_time = mean.mul_f64(-self.rng.random::<f64>().max(1e-12).ln());
         let entry = self.rng.random_range(0..self.scenario.entries);
         let to = RouteTarget::Model {
             model: name("m"),
@@ -185,10 +185,10 @@
         let request = RouteRequest::new(to, name(&format!("w{workspace}")), zone, name("r"))
             .with_prompt(blocks, tokens);
         self.dispatch(Job {
-            since: self.now,
+            waiting_since: self.now,
             entry,
             request,
-            hold,
+            output_time,
             long,
         });
     }
@@ -206,7 +206,10 @@
             let Choice::Target(id) = choice else {
                 break;
             };
-            let target = self.ids.binary_search(&id).expect("a known target");
+            let target = self
+                .ids
+                .binary_search(&id)
+                .expect("the view has only known targets");
             entry
                 .dispatches
                 .record_dispatch(self.now, &id, &job.request);
@@ -216,43 +219,43 @@
                 let retry = Duration::from_millis(200);
                 entry.dispatches.record_refusal(self.now, &id, retry);
                 job.request.excluded.insert(id);
-                self.outcome.busy += u32::from(self.is_warm());
+                self.outcome.busy += u32::from(self.is_warmed_up());
                 continue;
             }
             return self.start(target, job);
         }
-        if self.now.since(job.since) > self.scenario.patience {
-            self.outcome.refused += u32::from(self.is_warm());
+        if self.now.since(job.waiting_since) > self.scenario.max_wait {
+            self.outcome.refused += u32::from(self.is_warmed_up());
             return;
         }
         job.request.excluded.clear();
-        self.schedule(PAUSE, Event::Try(job));
+        self.schedule(RETRY_DELAY, Event::Retry(job));
     }
 
     fn start(&mut self, target: usize, job: Job) {
         let engine = &mut self.engines[target];
-        let most = self.scenario.cache_blocks;
-        let cached = engine.cache(&job.request.blocks, &mut self.clock, most);
+        let capacity = self.scenario.cache_blocks;
+        let cached = engine.cache(&job.request.blocks, &mut self.clock, capacity);
         let cached = TokenCount(u64::from(cached / TOKEN_BYTES));
         let tokens = job.request.tokens;
         let prefill = self.scenario.prefill * u32::try_from(tokens.0 - cached.0).unwrap_or(0);
-        engine.free = engine.free.max(self.now) + prefill;
-        let first = engine.free;
+        engine.idle_at = engine.idle_at.max(self.now) + prefill;
+        let first = engine.idle_at;
         self.sequence += 1;
         let number = self.sequence;
         engine.running.insert(number, (self.now, job.clone()));
-        let after = self.now.until(first + job.hold);
-        self.schedule(after, Event::End { target, number });
+        let after = self.now.until(first + job.output_time);
+        self.schedule(after, Event::Completion { target, number });
         let dispatches = &mut self.entries[job.entry].dispatches;
         dispatches
             .cache_index
             .learn(&self.ids[target], &job.request.blocks, cached, tokens);
-        if self.is_warm() {
-            let wait = first.since(job.since).as_secs_f64();
+        if self.is_warmed_up() {
+            let wait = first.since(job.waiting_since).as_secs_f64();
             if job.request.resumed {
                 self.outcome.resumed.push(wait);
             } else {
-                self.outcome.first[usize::from(job.long)].push(wait);
+                self.outcome.first_token[usize::from(job.long)].push(wait);
                 self.outcome.tokens += tokens.0;
                 self.outcome.cached += cached.0;
             }
@@ -271,16 +274,16 @@
     // -----------------------------------------------------------------------------------------
 
     fn report(&mut self) {
-        self.schedule(self.scenario.period, Event::Report);
+        self.schedule(self.scenario.report_period, Event::ReportDue);
         let view = self.view();
-        if self.is_warm() {
+        if self.is_warmed_up() {
             let loads = self.engines.iter().filter(|engine| !engine.lost);
             let loads: Vec<usize> = loads.map(|engine| engine.running.len()).collect();
             let mean = loads.iter().sum::<usize>() as f64 / loads.len() as f64;
             let max = loads.iter().max().copied().unwrap_or_default();
-            self.outcome.peaks.push(max as f64 / mean.max(1.0));
+            self.outcome.peak_ratios.push(max as f64 / mean.max(1.0));
         }
-        self.schedule(self.scenario.lag, Event::Reports(view));
+        self.schedule(self.scenario.report_delay, Event::ViewArrival(view));
     }
 
     fn observe(&mut self, view: &View) {
@@ -290,15 +293,15 @@
         }
     }
 
-    /// Loses a third of the targets: one availability zone.
-    fn lose(&mut self) {
+    /// Fails a third of the targets, those of one availability zone, and resumes their requests.
+    fn lose_zone(&mut self) {
         let mut lost = Vec::new();
         for engine in self.engines.iter_mut().step_by(3) {
             engine.lost = true;
             lost.extend(std::mem::take(&mut engine.running).into_values());
         }
         for (_, mut job) in lost {
-            job.since = self.now;
+            job.waiting_since = self.now;
             job.request = job.request.resumed(Recovery::Latency);
             self.dispatch(job);
         }
@@ -317,7 +320,7 @@
     }
 
     fn target(&self, number: usize, engine: &Engine) -> TargetView {
-        let backlog = self.now.until(engine.free).as_secs_f64();
+        let backlog = self.now.until(engine.idle_at).as_secs_f64();
         let prefill = backlog / self.scenario.prefill.as_secs_f64().max(1e-9);
         TargetView {
             target: Target {
--- a/crates/cw_policy/src/prefix/block.rs
+++ b/crates/cw_policy/src/prefix/block.rs
@@ -1,4 +1,4 @@
-//! A prompt as a chain of blocks.
+//! Prompts as chains of hashed blocks.
 
 use cw_types::AdapterName;
 use cw_types::ModelName;
@@ -7,22 +7,22 @@
 use cw_wire::Prompt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The length of the first block, in bytes.
-const FIRST: usize = 256;
+/// The length of the first block, and the unit of the others, in bytes.
+const FIRST_BLOCK_BYTES: usize = 256;
 
-/// The most bytes of a prompt that are looked at.
-const LENGTH_MAX: usize = 1 << 20;
+/// The most bytes of a prompt that are hashed.
+const PROMPT_BYTES_MAX: usize = 1 << 20;
 
-/// A leading part of a prompt.
+/// A leading part of a prompt, identified by its hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Block {
-    /// The hash of the prompt up to the block's end.
+    /// The hash of the prompt's scope and of the prompt up to the block's end.
     pub hash: u64,
     /// Where the block ends in the prompt, in bytes.
     pub end: u32,
 }
 
-/// Cuts a prompt into blocks whose length grows with depth, so that any prompt has few of them.
+/// Cuts a prompt into blocks that grow towards its end, so that any prompt has few of them.
 ///
 /// The last block ends with the prompt. Equal prompts of different workspaces, versions or
 /// adapters have different blocks, since caches do not share them.
@@ -45,10 +45,10 @@
         hash.update(&[0]);
     }
     match prompt {
-        Prompt::Text(text) => chain(hash, text.as_bytes()),
+        Prompt::Text(text) => hash_chain(hash, text.as_bytes()),
         Prompt::Ids(ids) => {
             let bytes: Vec<u8> = ids.iter().flat_map(|id| id.0.to_le_bytes()).collect();
-            chain(hash, &bytes)
+            hash_chain(hash, &bytes)
         }
         Prompt::Chat(messages) => {
             let parts = messages
@@ -56,16 +56,17 @@
                 .flat_map(|message| [message.role.as_str(), message.content.as_str()]);
             let bytes: Vec<u8> = parts
                 .flat_map(|part| part.bytes().chain(std::iter::once(0)))
-                .take(LENGTH_MAX)
+                .take(PROMPT_BYTES_MAX)
                 .collect();
-            chain(hash, &bytes)
+            hash_chain(hash, &bytes)
         }
     }
 }
 
-/// Hashes `bytes` up to the end of each block; `hash` has the scope already.
-fn chain(mut hash: Xxh3, bytes: &[u8]) -> Vec<Block> {
-    let bytes = &bytes[..bytes.len().min(LENGTH_MAX)];
+/// Hashes `bytes` up to the end of each block; `hash` already covers the scope, that is workspace,
+/// model, version and adapter.
+fn hash_chain(mut hash: Xxh3, bytes: &[u8]) -> Vec<Block> {
+    let bytes = &bytes[..bytes.len().min(PROMPT_BYTES_MAX)];
     let mut blocks = Vec::new();
     let mut start = 0;
     while start < bytes.len() {
@@ -80,9 +81,9 @@
     blocks
 }
 
-/// Returns the end of the block that starts at `start`: multiples of the first length at first,
-/// then steps of about a third.
+/// Returns the end of the block that starts at `start`. The block's length is a third of `start`,
+/// rounded down to a multiple of the first block's length and at least that length.
 fn next_end(start: usize) -> usize {
-    let step = (start / 3 / FIRST).max(1) * FIRST;
+    let step = (start / 3 / FIRST_BLOCK_BYTES).max(1) * FIRST_BLOCK_BYTES;
     start + step
 }
--- a/crates/cw_policy/src/prefix/cache_follower.rs
+++ b/crates/cw_policy/src/prefix/cache_follower.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of its engine's cache.
+//! An agent's copy of its engine's cache state, kept from the engine's events.
 
 use std::collections::BTreeSet;
 
@@ -14,25 +14,25 @@
     Removed(Vec<u64>),
 }
 
-/// Events of an engine's cache, as the engine publishes them.
+/// A page of cache events, as the engine publishes them.
 #[data(Eq)]
 pub struct CachePage {
-    /// The engine's life; events of different lives have nothing to do with each other.
+    /// The number of the engine's start; events of different starts are unrelated.
     pub boot: u64,
-    /// The number of the first event.
+    /// The sequence number of the page's first event.
     pub first: u64,
-    /// The number after the last event of the page.
+    /// The sequence number after the page's last event.
     pub next: u64,
-    /// Whether the engine says that it dropped events before these.
+    /// Whether the engine dropped events before these.
     pub gap: bool,
     /// The events in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// Follows an engine's cache by events that come late and with gaps.
+/// Follows an engine's cache by events that arrive late and with gaps.
 ///
-/// It may think that too little is cached, never that more is than the events say: a gap, a
-/// repetition that does not fit or a new life of the engine forgets everything.
+/// The copy may lack blocks that are cached, but has none that the events do not show: a gap, a
+/// page whose numbers do not fit its events or a restart of the engine clears it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheFollower {
     boot: u64,
@@ -42,35 +42,35 @@
 }
 
 impl CacheFollower {
-    /// Takes in a page of events.
+    /// Applies a page of events, of which those applied before are skipped.
     pub fn on_page(&mut self, page: &CachePage) {
         let restarted = page.boot != self.boot;
         if !restarted && page.next <= self.next {
             return;
         }
         let length = u64::try_from(page.events.len()).unwrap_or(u64::MAX);
-        let whole = page.first.checked_add(length) == Some(page.next);
-        let gap = page.gap || page.first > self.next || !whole;
+        let consistent = page.first.checked_add(length) == Some(page.next);
+        let gap = page.gap || page.first > self.next || !consistent;
         if restarted || gap {
             self.blocks.clear();
             self.gaps += u64::from(gap && !restarted);
         }
-        let seen = if restarted || gap {
+        let already_applied = if restarted || gap {
             0
         } else {
             usize::try_from(self.next - page.first).unwrap_or(usize::MAX)
         };
         self.boot = page.boot;
         self.next = page.next;
-        if whole {
+        if consistent {
             page.events
                 .iter()
-                .skip(seen)
+                .skip(already_applied)
                 .for_each(|event| self.apply(event));
         }
     }
 
-    /// Returns the number of the first event that is wanted.
+    /// Returns the sequence number of the next event that the follower needs.
     pub fn next(&self) -> u64 {
         self.next
     }
@@ -80,12 +80,12 @@
         self.blocks.len()
     }
 
-    /// Returns whether nothing is known to be cached.
+    /// Returns whether no block is known to be cached.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Returns how many times a gap made it forget.
+    /// Returns how many times a gap cleared the copy.
     pub fn gaps(&self) -> u64 {
         self.gaps
     }
--- a/crates/cw_policy/src/prefix/cache_index.rs
+++ b/crates/cw_policy/src/prefix/cache_index.rs
@@ -1,4 +1,4 @@
-//! What an entry learned of the targets' caches.
+//! An entry's index of the prompt blocks that targets have cached.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
 
 use super::Block;
 
-/// The most blocks remembered.
+/// The most blocks in the index.
 const BLOCKS_MAX: usize = 32_768;
 
-/// The most targets remembered for one block.
+/// The most targets that are kept for one block.
 const HOLDERS_MAX: usize = 4;
 
-/// The weight of the newest answer in a target's trust.
-const TRUST_WEIGHT: f64 = 0.2;
+/// The weight of the newest answer in the confidence in a target.
+const CONFIDENCE_WEIGHT: f64 = 0.2;
 
-/// How much of the highest rate of tokens is kept from answer to answer.
-const RATE_KEPT: f64 = 0.995;
+/// The factor by which the best ratio of cached tokens decays with each answer.
+const BEST_RATIO_DECAY: f64 = 0.995;
 
-/// The trust in a target that has not answered yet.
-const TRUST_FIRST: f64 = 0.8;
+/// The confidence in a target before its answers are compared.
+const CONFIDENCE_INITIAL: f64 = 0.8;
 
 /// A target that is known to have a part of a prompt cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,26 +31,26 @@
     pub share: f64,
 }
 
-/// Which prompts the targets are known to have cached.
+/// The prompt blocks that the targets are known to have cached.
 ///
-/// The table is bounded: when its younger half is full, the older half is forgotten. What targets
-/// answer corrects how far their part of the table is trusted, since their caches evict.
+/// The index is bounded by two generations: when the young one is full, it replaces the old one.
+/// The caches of targets evict blocks, so their answers correct a confidence for each target.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
     young: BTreeMap<u64, Vec<u32>>,
     old: BTreeMap<u64, Vec<u32>>,
     numbers: BTreeMap<TargetId, u32>,
-    /// The trust in each number's target; none in one that was forgotten.
+    /// The target of each number, with the confidence in it: zero for one that was forgotten.
     targets: Vec<(TargetId, f64)>,
-    /// The tokens that are cached for each one expected, where the cache had all: the length of a
-    /// prompt in tokens is only guessed at an entry.
-    rate: f64,
+    /// The ratio of cached to expected tokens where the cache has the whole expected part. It
+    /// differs from one because an entry only estimates the length of a prompt in tokens.
+    best_ratio: f64,
 }
 
 impl CacheIndex {
-    /// Learns from the answer of `target` to a prompt that it now has whole.
+    /// Learns from the answer of `target` to a prompt that it now has cached as a whole.
     ///
-    /// `cached` is how many of the prompt's `tokens` it had before.
+    /// `cached` is how many of the prompt's `tokens` it had cached before.
     pub fn learn(
         &mut self,
         target: &TargetId,
@@ -59,41 +59,41 @@
         tokens: TokenCount,
     ) {
         let number = self.number(target);
-        self.correct(number, blocks, cached, tokens);
+        self.update_confidence(number, blocks, cached, tokens);
         for block in blocks {
             self.insert(block.hash, number);
         }
     }
 
-    /// Forgets what `target` had, since its engine started anew.
+    /// Forgets what `target` had cached, since its engine restarted.
     pub fn forget(&mut self, target: &TargetId) {
-        // The target gets a new number when it is learned of again. Blocks that name the old one
-        // leave the table with its older half.
+        // The target gets a new number with its next answer. Blocks that refer to the old number
+        // leave the index with the old generation.
         if let Some(number) = self.numbers.remove(target) {
             self.targets[number as usize].1 = 0.0;
         }
     }
 
-    /// Returns the targets known to hold the longest known leading part of `blocks`.
+    /// Returns the targets that have the longest known leading part of `blocks` cached.
     pub fn holders<'a>(&'a self, blocks: &[Block]) -> impl Iterator<Item = Holder<'a>> {
-        let whole = blocks.last().map_or(1, |block| block.end);
+        let length = blocks.last().map_or(1, |block| block.end);
         let (numbers, end) = self.deepest(blocks);
-        let share = f64::from(end) / f64::from(whole);
+        let share = f64::from(end) / f64::from(length);
         numbers.iter().filter_map(move |&number| {
-            let (target, trust) = &self.targets[number as usize];
-            (*trust > 0.0).then_some(Holder {
+            let (target, confidence) = &self.targets[number as usize];
+            (*confidence > 0.0).then_some(Holder {
                 target,
-                share: share * trust,
+                share: share * confidence,
             })
         })
     }
 
-    /// Returns how many blocks are remembered.
+    /// Returns how many blocks the index has; one in both generations counts twice.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether the index has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -104,26 +104,32 @@
         if let Some(&number) = self.numbers.get(target) {
             return number;
         }
-        let number = u32::try_from(self.targets.len()).expect("fewer targets than numbers");
-        self.targets.push((target.clone(), TRUST_FIRST));
+        let number = u32::try_from(self.targets.len()).expect("the number of targets fits in u32");
+        self.targets.push((target.clone(), CONFIDENCE_INITIAL));
         self.numbers.insert(target.clone(), number);
         number
     }
 
-    /// Compares the answer with what the table would have said.
-    fn correct(&mut self, number: u32, blocks: &[Block], cached: TokenCount, tokens: TokenCount) {
+    /// Updates the confidence in a target by comparing its answer with the index.
+    fn update_confidence(
+        &mut self,
+        number: u32,
+        blocks: &[Block],
+        cached: TokenCount,
+        tokens: TokenCount,
+    ) {
         let (holders, end) = self.deepest(blocks);
-        let whole = blocks.last().map_or(0, |block| block.end);
-        if whole == 0 || tokens.0 == 0 || !holders.contains(&number) {
+        let length = blocks.last().map_or(0, |block| block.end);
+        if length == 0 || tokens.0 == 0 || !holders.contains(&number) {
             return;
         }
-        let expected = f64::from(end) / f64::from(whole);
+        let expected = f64::from(end) / f64::from(length);
         let actual = cached.0 as f64 / tokens.0 as f64;
         let ratio = actual / expected;
-        self.rate = ratio.max(self.rate * RATE_KEPT);
-        let sample = ratio / self.rate.max(f64::MIN_POSITIVE);
-        let trust = &mut self.targets[number as usize].1;
-        *trust += TRUST_WEIGHT * (sample - *trust);
+        self.best_ratio = ratio.max(self.best_ratio * BEST_RATIO_DECAY);
+        let sample = ratio / self.best_ratio.max(f64::MIN_POSITIVE);
+        let confidence = &mut self.targets[number as usize].1;
+        *confidence += CONFIDENCE_WEIGHT * (sample - *confidence);
     }
 
     fn insert(&mut self, hash: u64, number: u32) {
@@ -149,7 +155,8 @@
 
     /// Returns the holders of the deepest known block, and its end.
     ///
-    /// A prompt's earlier blocks are learned with its later ones, so a binary search finds it.
+    /// A prompt's earlier blocks are learned together with its later ones, so that a binary search
+    /// finds the deepest known one.
     fn deepest(&self, blocks: &[Block]) -> (&[u32], u32) {
         let known = blocks.partition_point(|block| self.get(block).is_some());
         let Some(block) = known.checked_sub(1).map(|at| &blocks[at]) else {
--- a/crates/cw_policy/src/prefix/mod.rs
+++ b/crates/cw_policy/src/prefix/mod.rs
@@ -1,8 +1,8 @@
-//! Prompt prefixes: their blocks, and where they are cached.
+//! Prompt prefixes: their blocks, and the targets that have them cached.
 //!
 //! - [`blocks`] cuts a prompt into chained [`Block`]s.
-//! - [`CacheIndex`] is what an entry learned of the targets' caches from their answers.
-//! - [`CacheFollower`] is what an agent knows of its engine's cache from the engine's events.
+//! - [`CacheIndex`] is an entry's estimate of the targets' caches, learned from their answers.
+//! - [`CacheFollower`] is an agent's copy of its engine's cache state, from the engine's events.
 
 mod block;
 mod cache_follower;
--- a/crates/cw_policy/src/queue/drain_rate.rs
+++ b/crates/cw_policy/src/queue/drain_rate.rs
@@ -1,47 +1,49 @@
-//! How fast a lane drains.
+//! The measured drain rate of a target pool's queue.
 
 use std::time::Duration;
 
 use cw_types::Time;
 
-/// How long starts are counted for one sample.
-const WINDOW: Duration = Duration::from_millis(500);
+/// The shortest time over which starts are counted for one sample.
+const SAMPLE_WINDOW: Duration = Duration::from_millis(500);
 
-/// The weight of the newest sample.
+/// The weight of the newest sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.3;
 
 /// The measured rate of starts while requests wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Drain {
-    /// Starts a second, once measured.
+pub(super) struct DrainRate {
+    /// The starts per second, once measured.
     rate: Option<f64>,
-    /// Since when starts are counted; none while nothing waits.
+    /// When the present sample began, or `None` while no request waits.
     since: Option<Time>,
     starts: u32,
 }
 
-impl Drain {
+impl DrainRate {
     /// Counts a start.
-    pub(super) fn start(&mut self) {
+    pub(super) fn record_start(&mut self) {
         self.starts += 1;
     }
 
-    /// Takes back a start that did not come about.
-    pub(super) fn refund(&mut self) {
+    /// Reverts the count of a start whose request returned to the queue.
+    pub(super) fn revert_start(&mut self) {
         self.starts = self.starts.saturating_sub(1);
     }
 
-    /// Takes in that time has passed, and whether requests wait.
+    /// Ends the present sample if it is long enough, or discards it if `waits` is false, that is if
+    /// no request waits.
     pub(super) fn update(&mut self, now: Time, waits: bool) {
         if !waits {
-            // Starts from an empty queue say nothing about its drain.
+            // The drain rate shows only while requests wait: starts from an empty queue follow the
+            // rate of arrivals.
             self.since = None;
             self.starts = 0;
             return;
         }
         let since = *self.since.get_or_insert(now);
         let span = now.since(since);
-        if span < WINDOW {
+        if span < SAMPLE_WINDOW {
             return;
         }
         let sample = f64::from(self.starts) / span.as_secs_f64();
@@ -51,8 +53,8 @@
         self.starts = 0;
     }
 
-    /// Returns how long `count` starts take, once the rate is known.
-    pub(super) fn time(&self, count: usize) -> Option<Duration> {
+    /// Returns the expected time of `count` starts, once the rate is measured.
+    pub(super) fn time_for(&self, count: usize) -> Option<Duration> {
         let rate = self.rate?;
         let seconds = count as f64 / rate.max(f64::MIN_POSITIVE);
         Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
--- a/crates/cw_policy/src/queue/flow.rs
+++ b/crates/cw_policy/src/queue/flow.rs
@@ -1,4 +1,4 @@
-//! Fair queueing between workspaces.
+//! Start-time fair queueing between the workspaces of one rank.
 
 use std::collections::BTreeMap;
 
@@ -8,53 +8,53 @@
 
 use super::QueuedRequest;
 
-/// The order of one workspace's requests.
-pub(super) type Order = (Time, GenerationId);
+/// The order of one workspace's requests: by deadline, then by id.
+pub(super) type DeadlineKey = (Time, GenerationId);
 
 /// The requests of one workspace within a rank.
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
-    /// The virtual time at which its next request may start.
-    start: f64,
+    /// The virtual start time of its next request.
+    start_tag: f64,
     weight: u32,
-    requests: BTreeMap<Order, QueuedRequest>,
+    requests: BTreeMap<DeadlineKey, QueuedRequest>,
 }
 
 impl Flow {
-    /// Returns how many requests wait, per weight.
+    /// Returns the number of waiting requests divided by the weight.
     pub(super) fn length(&self) -> f64 {
         self.requests.len() as f64 / f64::from(self.weight)
     }
 
-    /// Returns the request that would go last.
+    /// Returns the request that would start last.
     pub(super) fn last(&self) -> Option<&QueuedRequest> {
         self.requests.values().next_back()
     }
 }
 
-/// The requests of one rank: start-time fair queueing between workspaces.
+/// The waiting requests of one rank, with a flow for each workspace.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rank {
+pub(super) struct RankQueue {
     /// The virtual time of the last start.
     virtual_time: f64,
     flows: BTreeMap<WorkspaceId, Flow>,
 }
 
-impl Rank {
+impl RankQueue {
     pub(super) fn insert(&mut self, request: QueuedRequest) {
-        let start = self.virtual_time;
+        let start_tag = self.virtual_time;
         let weight = request.weight.max(1);
         let flow = self
             .flows
             .entry(request.workspace.clone())
             .or_insert_with(|| Flow {
-                start,
+                start_tag,
                 weight,
                 requests: BTreeMap::new(),
             });
         flow.weight = weight;
         if flow.requests.is_empty() {
-            flow.start = flow.start.max(self.virtual_time);
+            flow.start_tag = flow.start_tag.max(self.virtual_time);
         }
         flow.requests
             .insert((request.deadline, request.id), request);
@@ -63,34 +63,34 @@
     pub(super) fn remove(
         &mut self,
         workspace: &WorkspaceId,
-        order: Order,
+        key: DeadlineKey,
     ) -> Option<QueuedRequest> {
         let flow = self.flows.get_mut(workspace)?;
-        flow.requests.remove(&order)
+        flow.requests.remove(&key)
     }
 
-    /// Takes back the charge for a start.
-    pub(super) fn refund(&mut self, workspace: &WorkspaceId) {
+    /// Reverts the charge to a workspace for one start.
+    pub(super) fn revert_start(&mut self, workspace: &WorkspaceId) {
         if let Some(flow) = self.flows.get_mut(workspace) {
-            flow.start -= 1.0 / f64::from(flow.weight);
+            flow.start_tag -= 1.0 / f64::from(flow.weight);
         }
     }
 
-    /// Takes the first request of the workspace that is due.
-    pub(super) fn take(&mut self) -> Option<QueuedRequest> {
+    /// Takes the first request of the flow with the lowest start tag.
+    pub(super) fn take_next(&mut self) -> Option<QueuedRequest> {
         let (_, flow) = self
             .flows
             .iter_mut()
             .filter(|(_, flow)| !flow.requests.is_empty())
-            .min_by(|a, b| a.1.start.total_cmp(&b.1.start))?;
-        let now = flow.start;
-        flow.start += 1.0 / f64::from(flow.weight);
+            .min_by(|a, b| a.1.start_tag.total_cmp(&b.1.start_tag))?;
+        let now = flow.start_tag;
+        flow.start_tag += 1.0 / f64::from(flow.weight);
         let (_, request) = flow.requests.pop_first()?;
         self.virtual_time = self.virtual_time.max(now);
-        // An empty flow stays until its last start is paid for, or else a workspace with one
-        // request at a time would always go first.
+        // An empty flow stays until virtual time reaches its start tag. Otherwise a workspace with
+        // one request at a time would always be started first.
         self.flows
-            .retain(|_, flow| !flow.requests.is_empty() || flow.start > now);
+            .retain(|_, flow| !flow.requests.is_empty() || flow.start_tag > now);
         Some(request)
     }
 
@@ -102,11 +102,11 @@
         self.flows.values().map(|flow| flow.requests.len()).sum()
     }
 
-    /// Returns how many requests surely go before a new one.
+    /// Returns the least number of requests that start before a new one.
     ///
-    /// Those of its workspace with an earlier deadline do, and for each of them, and for itself,
-    /// the other workspaces get their shares, as far as they have requests.
-    pub(super) fn ahead(&self, request: &QueuedRequest) -> usize {
+    /// These are the requests of its workspace with an earlier deadline and, in proportion to them
+    /// by weight, those of the other workspaces, as far as these have requests.
+    pub(super) fn requests_ahead(&self, request: &QueuedRequest) -> usize {
         let own = self.flows.get(&request.workspace).map_or(0, |flow| {
             flow.requests
                 .range(..(request.deadline, request.id))
--- a/crates/cw_policy/src/queue/mod.rs
+++ b/crates/cw_policy/src/queue/mod.rs
@@ -1,8 +1,9 @@
-//! The entry's queue: requests that wait for a target.
+//! The entry's queue of requests that wait for a target.
 //!
-//! [`RequestQueue`] is a state machine of [`QueueEvent`]s and [`QueueStep`]s. Within a [`TargetPool`] a higher
-//! rank goes first, except that every [`QueueLimits::lower_interval`]th start goes to a lower rank;
-//! workspaces of one rank share by weight; one workspace's requests go by deadline.
+//! [`RequestQueue`] is a state machine that handles [`QueueEvent`]s and returns [`QueueStep`]s.
+//! Within a [`TargetPool`] a higher rank is started first, except that each
+//! [`QueueLimits::lower_interval`]th start goes to a lower rank. Workspaces of one rank share the
+//! starts by weight, and the requests of one workspace are started in the order of their deadlines.
 
 mod drain_rate;
 mod flow;
--- a/crates/cw_policy/src/queue/queue_event.rs
+++ b/crates/cw_policy/src/queue/queue_event.rs
@@ -1,4 +1,4 @@
-//! What happens to a queue, and what it says to do.
+//! The events and the steps of the queue's state machine.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
 use super::QueuedRequest;
 use super::TargetPool;
 
-/// What happens to a queue.
+/// An event that the queue handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueEvent {
-    /// A request wants to wait.
+    /// A new request is to wait.
     Offered(QueuedRequest),
-    /// A target of this lane seems to have room for one request.
+    /// A target of this pool seems to have capacity for one request.
     CapacityAvailable(TargetPool),
-    /// A request that was started found no target after all and waits on in its old place.
+    /// A started request found no target and waits again, at its old position.
     Returned(QueuedRequest),
-    /// The caller of a request has gone.
+    /// The caller of a request has disconnected.
     CallerGone(GenerationId),
     /// Time has passed.
     Tick,
 }
 
-/// What to do next.
+/// A step that the queue's owner takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueStep {
-    /// Choose a target for the request.
+    /// Chooses a target for the request.
     Start(QueuedRequest),
-    /// Answer the request, which was not run.
+    /// Refuses the request, which was not run.
     Refuse {
         /// The request.
         request: QueuedRequest,
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// When the caller should call again.
+        /// The time after which the caller may retry.
         retry: Duration,
     },
 }
--- a/crates/cw_policy/src/queue/queue_limits.rs
+++ b/crates/cw_policy/src/queue/queue_limits.rs
@@ -7,17 +7,16 @@
 /// The bounds of a queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// The most requests.
+    /// The most waiting requests.
     pub max_requests: usize,
-    /// The most bytes.
+    /// The most memory of waiting requests.
     pub max_bytes: ByteSize,
-    /// One start in this many goes to a rank below the highest, to the request there that came
-    /// first. A request with `k` others of lower ranks before it starts within `lower_interval * (k + 1)`
-    /// starts of its lane.
+    /// One start in this many goes to the oldest request of the ranks below the highest. A request
+    /// there with `k` older ones is started within `lower_interval * (k + 1)` starts of its pool.
     pub lower_interval: u32,
-    /// The shortest time after which a refused caller is asked to call again.
+    /// The shortest time after which a refused caller may retry.
     pub retry_min: Duration,
-    /// The longest time that the drain of the queue adds to it.
+    /// The longest time that the expected drain time of the queue adds to the shortest one.
     pub retry_max: Duration,
 }
 
--- a/crates/cw_policy/src/queue/queued_request.rs
+++ b/crates/cw_policy/src/queue/queued_request.rs
@@ -1,4 +1,4 @@
-//! One waiting request.
+//! One request of the queue.
 
 use cw_types::ByteSize;
 use cw_types::GenerationId;
@@ -10,20 +10,20 @@
 /// A request that waits for a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// The generation.
+    /// The id of the generation.
     pub id: GenerationId,
-    /// What it waits for.
+    /// The targets that it waits for.
     pub pool: TargetPool,
-    /// The workspace that asks.
+    /// The workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The weight of that workspace.
+    /// The fair-queueing weight of that workspace.
     pub weight: u32,
-    /// The rank of its priority: a higher one goes first.
+    /// The rank of its priority: a higher one is started first.
     pub rank: u8,
     /// When it arrived.
     pub arrived: Time,
-    /// When it must have started.
+    /// The time by which it must have started.
     pub deadline: Time,
-    /// What it keeps in memory while it waits.
+    /// The memory that it takes while it waits.
     pub bytes: ByteSize,
 }
--- a/crates/cw_policy/src/queue/request_queue.rs
+++ b/crates/cw_policy/src/queue/request_queue.rs
@@ -1,4 +1,4 @@
-//! The queue itself.
+//! The queue of all requests that wait for a target.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,36 +15,36 @@
 use super::QueueStep;
 use super::QueuedRequest;
 use super::TargetPool;
-use super::flow::Order;
-use super::target_pool::Line;
+use super::flow::DeadlineKey;
+use super::target_pool::PoolQueue;
 
-/// Where a request waits within its lane.
+/// The position of a request, by which it is found in the queue.
 #[derive(Clone, Debug)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) pool: TargetPool,
     pub(super) rank: u8,
     pub(super) workspace: WorkspaceId,
-    pub(super) order: Order,
+    pub(super) key: DeadlineKey,
 }
 
-impl Place {
+impl QueuePosition {
     pub(super) fn of(request: &QueuedRequest) -> Self {
         Self {
             pool: request.pool.clone(),
             rank: request.rank,
             workspace: request.workspace.clone(),
-            order: (request.deadline, request.id),
+            key: (request.deadline, request.id),
         }
     }
 }
 
-/// Requests that wait for a target.
+/// The requests of an entry that wait for a target.
 #[derive(Clone, Debug, Default)]
 pub struct RequestQueue {
     limits: QueueLimits,
-    lines: BTreeMap<TargetPool, Line>,
-    places: BTreeMap<GenerationId, Place>,
-    deadlines: BTreeSet<Order>,
+    pool_queues: BTreeMap<TargetPool, PoolQueue>,
+    positions: BTreeMap<GenerationId, QueuePosition>,
+    deadlines: BTreeSet<DeadlineKey>,
     bytes: u64,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in an event, and says what to do now; requests past their deadline come first.
+    /// Applies an event and returns the steps to take; those of expired requests come first.
     pub fn on_event(&mut self, now: Time, event: QueueEvent, rng: &mut impl Rng) -> Vec<QueueStep> {
         let mut steps = self.expire(now, rng);
         match event {
@@ -67,34 +67,34 @@
             QueueEvent::CallerGone(id) => drop(self.remove(id)),
             QueueEvent::Tick => {}
         }
-        for line in self.lines.values_mut() {
-            let waits = !line.is_empty();
-            line.drain.update(now, waits);
+        for pool_queue in self.pool_queues.values_mut() {
+            let waits = !pool_queue.is_empty();
+            pool_queue.drain_rate.update(now, waits);
         }
         steps
     }
 
-    /// Returns when the next request passes its deadline.
+    /// Returns the earliest deadline of a waiting request.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.deadlines.first().map(|order| order.0)
+        self.deadlines.first().map(|key| key.0)
     }
 
-    /// Returns the lanes in which requests wait.
+    /// Returns the target pools that requests wait for.
     pub fn waiting_pools(&self) -> impl Iterator<Item = &TargetPool> {
-        self.lines
+        self.pool_queues
             .iter()
-            .filter(|(_, line)| !line.is_empty())
+            .filter(|(_, pool_queue)| !pool_queue.is_empty())
             .map(|(pool, _)| pool)
     }
 
     /// Returns how many requests wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     // -----------------------------------------------------------------------------------------
@@ -105,7 +105,7 @@
         request: QueuedRequest,
         rng: &mut impl Rng,
     ) -> Option<QueueStep> {
-        if request.deadline <= now || self.misses(now, &request) {
+        if request.deadline <= now || self.misses_deadline(now, &request) {
             return Some(self.refuse(request, ErrorKind::Overloaded, rng));
         }
         if self.fits(&request) {
@@ -129,16 +129,16 @@
         if request.deadline <= now {
             return Some(self.refuse(request, ErrorKind::Expired, rng));
         }
-        let line = self.lines.entry(request.pool.clone()).or_default();
-        line.refund(&request);
+        let pool_queue = self.pool_queues.entry(request.pool.clone()).or_default();
+        pool_queue.revert_start(&request);
         self.insert(request);
         None
     }
 
     fn start(&mut self, pool: &TargetPool) -> Option<QueueStep> {
-        let line = self.lines.get_mut(pool)?;
-        let request = line.take(self.limits.lower_interval)?;
-        line.drain.start();
+        let pool_queue = self.pool_queues.get_mut(pool)?;
+        let request = pool_queue.take_next(self.limits.lower_interval)?;
+        pool_queue.drain_rate.record_start();
         self.forget(&request);
         Some(QueueStep::Start(request))
     }
@@ -158,33 +158,42 @@
 
     // -----------------------------------------------------------------------------------------
 
-    /// Returns whether a request cannot start before its deadline at the measured drain rate.
-    fn misses(&self, now: Time, request: &QueuedRequest) -> bool {
-        let Some(line) = self.lines.get(&request.pool) else {
+    /// Returns whether a request is expected to miss its deadline at the measured drain rate.
+    fn misses_deadline(&self, now: Time, request: &QueuedRequest) -> bool {
+        let Some(pool_queue) = self.pool_queues.get(&request.pool) else {
             return false;
         };
-        let ahead = line.ahead(request, self.limits.lower_interval);
+        let requests_ahead = pool_queue.requests_ahead(request, self.limits.lower_interval);
         let left = now.until(request.deadline);
-        ahead > 0 && line.drain.time(ahead).is_some_and(|time| time > left)
+        requests_ahead > 0
+            && pool_queue
+                .drain_rate
+                .time_for(requests_ahead)
+                .is_some_and(|time| time > left)
     }
 
     fn fits(&self, request: &QueuedRequest) -> bool {
-        self.places.len() < self.limits.max_requests
+        self.positions.len() < self.limits.max_requests
             && self.bytes.saturating_add(request.bytes.0) <= self.limits.max_bytes.0
     }
 
-    /// Returns the request that gives way to `request`: the last of a lower rank, or that of a
-    /// workspace of its own rank that has more waiting.
+    /// Returns the request to evict for `request`, if there is one: the last one of the longest
+    /// flow of the lowest rank, if that rank is lower, or if it is the same and the flow is another
+    /// workspace's and longer than the request's own. It must also free enough memory.
     fn victim(&self, request: &QueuedRequest) -> Option<GenerationId> {
-        let rank = self.lines.values().filter_map(Line::lowest).min()?;
+        let rank = self
+            .pool_queues
+            .values()
+            .filter_map(PoolQueue::lowest_rank)
+            .min()?;
         let flow = self
-            .lines
+            .pool_queues
             .values()
-            .filter_map(|line| line.longest(rank))
+            .filter_map(|pool_queue| pool_queue.longest(rank))
             .max_by(|a, b| a.length().total_cmp(&b.length()))?;
         let victim = flow.last()?;
-        let own = self.lines.get(&request.pool);
-        let length = own.map_or(0.0, |line| line.length_with(request));
+        let own = self.pool_queues.get(&request.pool);
+        let length = own.map_or(0.0, |pool_queue| pool_queue.length_with(request));
         let gives_way = rank < request.rank
             || (rank == request.rank
                 && victim.workspace != request.workspace
@@ -195,13 +204,14 @@
     }
 
     fn refuse(&self, request: QueuedRequest, kind: ErrorKind, rng: &mut impl Rng) -> QueueStep {
-        let line = self.lines.get(&request.pool);
-        let drain = line.and_then(|line| line.drain.time(line.len()));
-        let drain = drain
+        let pool_queue = self.pool_queues.get(&request.pool);
+        let drain_time =
+            pool_queue.and_then(|pool_queue| pool_queue.drain_rate.time_for(pool_queue.len()));
+        let drain_time = drain_time
             .unwrap_or(self.limits.retry_min)
             .clamp(self.limits.retry_min, self.limits.retry_max);
-        // Full jitter spreads those that are refused together.
-        let retry = self.limits.retry_min + drain.mul_f64(rng.random::<f64>());
+        // Full jitter spreads the retries of callers that are refused together.
+        let retry = self.limits.retry_min + drain_time.mul_f64(rng.random::<f64>());
         QueueStep::Refuse {
             request,
             kind,
@@ -213,22 +223,23 @@
 
     fn insert(&mut self, request: QueuedRequest) {
         self.bytes += request.bytes.0;
-        self.places.insert(request.id, Place::of(&request));
+        self.positions
+            .insert(request.id, QueuePosition::of(&request));
         self.deadlines.insert((request.deadline, request.id));
-        let line = self.lines.entry(request.pool.clone()).or_default();
-        line.insert(request);
+        let pool_queue = self.pool_queues.entry(request.pool.clone()).or_default();
+        pool_queue.insert(request);
     }
 
     fn remove(&mut self, id: GenerationId) -> Option<QueuedRequest> {
-        let place = self.places.get(&id)?;
-        let request = self.lines.get_mut(&place.pool)?.remove(place)?;
+        let position = self.positions.get(&id)?;
+        let request = self.pool_queues.get_mut(&position.pool)?.remove(position)?;
         self.forget(&request);
         Some(request)
     }
 
     fn forget(&mut self, request: &QueuedRequest) {
         self.bytes -= request.bytes.0;
-        self.places.remove(&request.id);
+        self.positions.remove(&request.id);
         self.deadlines.remove(&(request.deadline, request.id));
     }
 }
--- a/crates/cw_policy/src/queue/target_pool.rs
+++ b/crates/cw_policy/src/queue/target_pool.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the same targets.
+//! The queue of the requests that wait for the same targets.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use cw_types::VersionName;
 
 use super::QueuedRequest;
-use super::drain_rate::Drain;
+use super::drain_rate::DrainRate;
 use super::flow::Flow;
-use super::flow::Rank;
-use super::request_queue::Place;
+use super::flow::RankQueue;
+use super::request_queue::QueuePosition;
 
-/// What requests wait for: those of one lane can run on the same targets.
+/// The targets that requests wait for: requests of one pool can run on the same targets.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TargetPool {
-    /// A model, in a version, with an adapter or none.
+    /// The targets of a model version, with an adapter or none.
     Model(ModelName, VersionName, Option<AdapterName>),
-    /// A plain service.
+    /// The targets of a plain service.
     Service(String),
 }
 
@@ -48,32 +48,32 @@
     }
 }
 
-/// The requests of one lane.
+/// The waiting requests of one pool.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Line {
-    ranks: BTreeMap<u8, Rank>,
+pub(super) struct PoolQueue {
+    ranks: BTreeMap<u8, RankQueue>,
     starts: u32,
-    pub(super) drain: Drain,
+    pub(super) drain_rate: DrainRate,
 }
 
-impl Line {
+impl PoolQueue {
     pub(super) fn insert(&mut self, request: QueuedRequest) {
         self.ranks.entry(request.rank).or_default().insert(request);
     }
 
-    /// Takes back that a request was started.
-    pub(super) fn refund(&mut self, request: &QueuedRequest) {
-        self.drain.refund();
+    /// Reverts the charge for the start of a request that returned to the queue.
+    pub(super) fn revert_start(&mut self, request: &QueuedRequest) {
+        self.drain_rate.revert_start();
         if let Some(rank) = self.ranks.get_mut(&request.rank) {
-            rank.refund(&request.workspace);
+            rank.revert_start(&request.workspace);
         }
     }
 
-    pub(super) fn remove(&mut self, place: &Place) -> Option<QueuedRequest> {
-        let rank = self.ranks.get_mut(&place.rank)?;
-        let request = rank.remove(&place.workspace, place.order);
+    pub(super) fn remove(&mut self, position: &QueuePosition) -> Option<QueuedRequest> {
+        let rank = self.ranks.get_mut(&position.rank)?;
+        let request = rank.remove(&position.workspace, position.key);
         if rank.is_empty() {
-            self.ranks.remove(&place.rank);
+            self.ranks.remove(&position.rank);
         }
         request
     }
@@ -83,23 +83,23 @@
     }
 
     pub(super) fn len(&self) -> usize {
-        self.ranks.values().map(Rank::len).sum()
+        self.ranks.values().map(RankQueue::len).sum()
     }
 
-    /// Takes the request that goes next; one in `lower` comes from below the highest rank.
-    pub(super) fn take(&mut self, lower: u32) -> Option<QueuedRequest> {
+    /// Takes the next request to start; one in `lower_interval` is of a rank below the highest.
+    pub(super) fn take_next(&mut self, lower_interval: u32) -> Option<QueuedRequest> {
         self.starts = self.starts.wrapping_add(1);
         let highest = *self.ranks.keys().next_back()?;
-        let oldest = if self.starts.is_multiple_of(lower.max(1)) {
+        let oldest = if self.starts.is_multiple_of(lower_interval.max(1)) {
             self.oldest_below(highest)
         } else {
             None
         };
-        let number = oldest.as_ref().map_or(highest, |place| place.rank);
+        let number = oldest.as_ref().map_or(highest, |position| position.rank);
         let rank = self.ranks.get_mut(&number)?;
         let request = match oldest {
-            Some(place) => rank.remove(&place.workspace, place.order),
-            None => rank.take(),
+            Some(position) => rank.remove(&position.workspace, position.key),
+            None => rank.take_next(),
         };
         if rank.is_empty() {
             self.ranks.remove(&number);
@@ -107,12 +107,13 @@
         request
     }
 
-    /// Returns how many requests surely go before a new one of this rank, workspace and deadline.
+    /// Returns the least number of requests that start before a new one of this rank, workspace and
+    /// deadline.
     ///
-    /// Of the starts that go to lower ranks, the first may be the next one.
-    pub(super) fn ahead(&self, request: &QueuedRequest, lower: u32) -> usize {
+    /// The next start may already be one of those that go to lower ranks.
+    pub(super) fn requests_ahead(&self, request: &QueuedRequest, lower_interval: u32) -> usize {
         let own = self.ranks.get(&request.rank);
-        let own = own.map_or(0, |rank| rank.ahead(request));
+        let own = own.map_or(0, |rank| rank.requests_ahead(request));
         let highest = self.ranks.keys().next_back().copied().unwrap_or_default();
         if request.rank >= highest {
             return own;
@@ -120,16 +121,16 @@
         let higher = self.ranks.iter().filter(|(rank, _)| **rank > request.rank);
         let higher: usize = higher.map(|(_, rank)| rank.len()).sum();
         let below = self.ranks.range(..highest).map(|(_, rank)| rank.len());
-        let by_age = below.sum::<usize>() * lower as usize;
+        let by_age = below.sum::<usize>() * lower_interval as usize;
         by_age.min(higher + own)
     }
 
-    /// Returns the lowest rank that waits.
-    pub(super) fn lowest(&self) -> Option<u8> {
+    /// Returns the lowest rank with a waiting request.
+    pub(super) fn lowest_rank(&self) -> Option<u8> {
         self.ranks.keys().next().copied()
     }
 
-    /// Returns the longest flow of a rank, in requests per weight.
+    /// Returns the longest flow of a rank, by requests per weight.
     pub(super) fn longest(&self, rank: u8) -> Option<&Flow> {
         self.ranks.get(&rank)?.longest()
     }
@@ -141,11 +142,11 @@
             + 1.0 / f64::from(request.weight.max(1))
     }
 
-    fn oldest_below(&self, highest: u8) -> Option<Place> {
+    fn oldest_below(&self, highest: u8) -> Option<QueuePosition> {
         self.ranks
             .range(..highest)
             .filter_map(|(_, rank)| rank.oldest())
             .min_by_key(|request| (request.arrived, request.id))
-            .map(Place::of)
+            .map(QueuePosition::of)
     }
 }
--- a/crates/cw_policy/src/routing/cached_shares.rs
+++ b/crates/cw_policy/src/routing/cached_shares.rs
@@ -1,42 +1,44 @@
-//! How much of a prompt some candidates have cached.
+//! The shares of one prompt that candidates have cached.
 
-/// The most candidates whose caches are known or guessed for one prompt.
+/// The most candidates with a known or assumed share of one prompt.
 const SHARES_MAX: usize = 8;
 
-/// How much of a prompt some candidates have cached, without allocation.
+/// The shares of one prompt that candidates have cached, in an array of fixed size.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Shares {
+pub(super) struct CachedShares {
     items: [Option<(usize, f64)>; SHARES_MAX],
 }
 
-impl Shares {
-    /// Adds that a candidate has a share of the prompt; of two shares the greater one counts.
-    pub(super) fn add(&mut self, at: usize, share: f64) {
+impl CachedShares {
+    /// Records a candidate's share of the prompt, from 0 to 1, and keeps the larger of two.
+    ///
+    /// A further candidate is ignored when all slots are taken.
+    pub(super) fn add(&mut self, position: usize, share: f64) {
         let slot = self
             .items
             .iter_mut()
-            .find(|slot| slot.is_none_or(|item| item.0 == at));
+            .find(|slot| slot.is_none_or(|item| item.0 == position));
         if let Some(slot) = slot {
             let known = slot.map_or(0.0, |item| item.1);
-            *slot = Some((at, share.max(known)));
+            *slot = Some((position, share.max(known)));
         }
     }
 
-    /// Returns the share of the prompt that a candidate has.
-    pub(super) fn get(&self, at: usize) -> f64 {
+    /// Returns a candidate's share of the prompt, or zero if none is known.
+    pub(super) fn get(&self, position: usize) -> f64 {
         self.items
             .iter()
             .flatten()
-            .find(|item| item.0 == at)
+            .find(|item| item.0 == position)
             .map_or(0.0, |item| item.1)
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether no share is known.
     pub(super) fn is_empty(&self) -> bool {
         self.items[0].is_none()
     }
 
-    /// Returns the candidates.
+    /// Returns the positions of the candidates that have a share.
     pub(super) fn iter(&self) -> impl Iterator<Item = usize> {
         self.items.iter().flatten().map(|item| item.0)
     }
--- a/crates/cw_policy/src/routing/choice.rs
+++ b/crates/cw_policy/src/routing/choice.rs
@@ -15,16 +15,16 @@
 pub enum Choice {
     /// Send it to this target.
     Target(TargetId),
-    /// Every target that could run it has asked for patience: decide again then.
+    /// Every target that could run it is closed after a refusal: decide again at `until`.
     Wait {
-        /// When the first of them may be tried again.
+        /// The earliest time at which one of them may be tried again.
         until: Time,
     },
     /// No live target can run it.
     NoTarget,
 }
 
-/// Chooses a target by the default policy, with an [`TargetIndex`] made for this one decision.
+/// Chooses a target by the default policy, with a [`TargetIndex`] made for this one decision.
 pub fn choose(
     now: Time,
     view: &View,
--- a/crates/cw_policy/src/routing/decision.rs
+++ b/crates/cw_policy/src/routing/decision.rs
@@ -1,4 +1,4 @@
-//! The decision itself.
+//! The choice of one target among the candidates of an index.
 
 use cw_types::Time;
 use rand::Rng;
@@ -9,25 +9,25 @@
 use super::Policy;
 use super::RouteRequest;
 use super::TargetIndex;
-use super::affinity_key::Key;
-use super::cached_shares::Shares;
+use super::affinity_key::AffinityKey;
+use super::cached_shares::CachedShares;
 use super::estimate::estimate;
 use super::shortlist::Shortlist;
 use super::target_index::Candidate;
 use super::target_index::Group;
 use super::target_index::Member;
 
-/// How many targets of the rendezvous order are weighed.
-const WALK: usize = 4;
+/// How many targets of the rendezvous order are compared.
+const RENDEZVOUS_CANDIDATES: usize = 4;
 
-/// How many targets drawn at random are weighed beside them.
-const DRAWS: usize = 4;
+/// How many targets drawn at random are compared with them.
+const RANDOM_CANDIDATES: usize = 4;
 
-/// How many targets drawn at random are weighed when nothing is known of caches.
-const DRAWS_ALONE: usize = 12;
+/// How many targets drawn at random are compared when caches are not considered.
+const RANDOM_CANDIDATES_ALONE: usize = 12;
 
-/// The share of the prompt that the first of the rendezvous order is taken to have cached.
-const ASSUMED: f64 = 0.8;
+/// The share of the prompt that the first target of the rendezvous order is assumed to have cached.
+const ASSUMED_CACHED_SHARE: f64 = 0.8;
 
 /// One decision in progress.
 struct Decision<'a> {
@@ -36,14 +36,14 @@
     request: &'a RouteRequest,
     dispatches: &'a DispatchLog,
     group: &'a Group,
-    /// The utilisation beyond which a cache is not worth its queue.
-    bound: f64,
+    /// The utilisation above which a cached prefix is not worth the wait for it.
+    load_bound: f64,
 }
 
 impl TargetIndex {
     /// Chooses a target for `request`.
     ///
-    /// A suspect target is chosen only when no other is left.
+    /// A suspect target is chosen only when no alive one is left.
     pub fn choose(
         &self,
         now: Time,
@@ -59,18 +59,18 @@
             request,
             dispatches,
             group,
-            bound: group.utilisation + self.costs.bound,
+            load_bound: group.utilisation + self.costs.load_bound,
         };
-        let alive = decision.among(&group.alive, policy, rng);
+        let alive = decision.choose_among(&group.alive, policy, rng);
         match alive {
-            Choice::NoTarget => decision.among(&group.suspect, policy, rng),
+            Choice::NoTarget => decision.choose_among(&group.suspect, policy, rng),
             choice => choice,
         }
     }
 }
 
 impl Decision<'_> {
-    fn among(&self, members: &[Member], policy: Policy, rng: &mut impl Rng) -> Choice {
+    fn choose_among(&self, members: &[Member], policy: Policy, rng: &mut impl Rng) -> Choice {
         if members.is_empty() {
             return Choice::NoTarget;
         }
@@ -81,73 +81,80 @@
             Policy::PowerOfTwo => self.power_of_two(members, rng),
         };
         match chosen {
-            Some(at) => Choice::Target(self.index.candidates[at].id.clone()),
-            None => self.any(members),
+            Some(position) => Choice::Target(self.index.candidates[position].id.clone()),
+            None => self.least_wait(members),
         }
     }
 
     // -----------------------------------------------------------------------------------------
 
-    /// Returns the cheapest of a short list, unless all of it is closed.
+    /// Returns the candidate of lowest cost in a short list, if any of them is open.
     fn affinity(&self, members: &[Member], rng: &mut impl Rng) -> Option<usize> {
         let mut list = Shortlist::new();
-        let mut shares = Shares::default();
-        if self.request.wants_cache() {
-            self.prefer(members, &mut list, &mut shares);
+        let mut shares = CachedShares::default();
+        if self.request.prefers_cache() {
+            self.add_cache_candidates(members, &mut list, &mut shares);
         }
-        let draws = if self.request.wants_cache() {
-            DRAWS
+        let count = if self.request.prefers_cache() {
+            RANDOM_CANDIDATES
         } else {
-            DRAWS_ALONE
+            RANDOM_CANDIDATES_ALONE
         };
-        for _ in 0..draws {
-            list.push(members[rng.random_range(0..members.len())].at);
+        for _ in 0..count {
+            list.push(members[rng.random_range(0..members.len())].position);
         }
         list.iter()
-            .filter(|&at| self.is_open(at))
-            .map(|at| (self.cost(at, &shares), at))
+            .filter(|&position| self.is_open(position))
+            .map(|position| (self.expected_cost(position, &shares), position))
             .min_by(|a, b| a.0.total_cmp(&b.0))
-            .map(|(_, at)| at)
+            .map(|(_, position)| position)
     }
 
     /// Lists the candidates that are known or likely to have a part of the prompt cached.
-    fn prefer(&self, members: &[Member], list: &mut Shortlist, shares: &mut Shares) {
+    fn add_cache_candidates(
+        &self,
+        members: &[Member],
+        list: &mut Shortlist,
+        shares: &mut CachedShares,
+    ) {
         for holder in self.dispatches.cache_index.holders(&self.request.blocks) {
-            if let Some(at) = self.index.place(members, holder.target) {
-                shares.add(at, holder.share);
+            if let Some(position) = self.index.find_position(members, holder.target) {
+                shares.add(position, holder.share);
             }
         }
-        let order = Key::of(self.request).order(members, WALK);
-        // A resumed attempt was here before, so what is known of its prompt is all there is.
+        let order = AffinityKey::of(self.request).order(members, RENDEZVOUS_CANDIDATES);
+        // The prompt of a resumed attempt was dispatched before, so a holder that is known of it
+        // needs no assumption beside it.
         let guess = !self.request.resumed || shares.is_empty();
         if let Some(first) = order.iter().next().filter(|_| guess) {
-            shares.add(first, ASSUMED);
+            shares.add(first, ASSUMED_CACHED_SHARE);
         }
-        order.iter().for_each(|at| list.push(at));
-        shares.iter().for_each(|at| list.push(at));
+        order.iter().for_each(|position| list.push(position));
+        shares.iter().for_each(|position| list.push(position));
     }
 
-    /// Returns what it costs to send the attempt to a candidate, in seconds.
-    fn cost(&self, at: usize, shares: &Shares) -> f64 {
-        let candidate = &self.index.candidates[at];
+    /// Returns the expected cost of a dispatch to a candidate, in seconds: the sum of wait, distance
+    /// and prefill.
+    fn expected_cost(&self, position: usize, shares: &CachedShares) -> f64 {
+        let candidate = &self.index.candidates[position];
         let costs = &self.index.costs;
         let estimate = estimate(self.now, candidate, self.dispatches, costs, self.group);
-        let share = if estimate.utilisation > self.bound {
+        let share = if estimate.utilisation > self.load_bound {
             0.0
         } else {
-            shares.get(at)
+            shares.get(position)
         };
         let tokens = self.request.tokens.0 as f64 * (1.0 - share);
         let prefill = costs.prefill.as_secs_f64() * tokens;
-        estimate.wait.as_secs_f64() + self.distance(candidate) + prefill
+        estimate.wait.as_secs_f64() + self.distance_cost(candidate) + prefill
     }
 
-    fn distance(&self, candidate: &Candidate) -> f64 {
+    fn distance_cost(&self, candidate: &Candidate) -> f64 {
         let costs = &self.index.costs;
         if candidate.region != self.request.region {
-            costs.region.as_secs_f64()
+            costs.region_delay.as_secs_f64()
         } else if candidate.zone != self.request.zone {
-            costs.zone.as_secs_f64()
+            costs.zone_delay.as_secs_f64()
         } else {
             0.0
         }
@@ -156,38 +163,40 @@
     // -----------------------------------------------------------------------------------------
 
     fn round_robin(&self, members: &[Member]) -> Option<usize> {
-        let turn = usize::try_from(self.dispatches.turn()).unwrap_or_default();
+        let dispatch_count = usize::try_from(self.dispatches.dispatch_count()).unwrap_or_default();
         (0..members.len())
-            .map(|step| members[(turn + step) % members.len()].at)
-            .find(|&at| self.is_open(at))
+            .map(|step| members[(dispatch_count + step) % members.len()].position)
+            .find(|&position| self.is_open(position))
     }
 
     fn least_reported(&self, members: &[Member]) -> Option<usize> {
         members
             .iter()
-            .map(|member| member.at)
-            .filter(|&at| self.is_open(at))
-            .min_by_key(|&at| self.reported(at))
+            .map(|member| member.position)
+            .filter(|&position| self.is_open(position))
+            .min_by_key(|&position| self.reported_load(position))
     }
 
     fn power_of_two(&self, members: &[Member], rng: &mut impl Rng) -> Option<usize> {
         (0..2)
-            .map(|_| members[rng.random_range(0..members.len())].at)
-            .filter(|&at| self.is_open(at))
-            .min_by_key(|&at| self.reported(at))
+            .map(|_| members[rng.random_range(0..members.len())].position)
+            .filter(|&position| self.is_open(position))
+            .min_by_key(|&position| self.reported_load(position))
     }
 
-    fn reported(&self, at: usize) -> u32 {
-        let load = &self.index.candidates[at].load;
+    fn reported_load(&self, position: usize) -> u32 {
+        let load = &self.index.candidates[position].load;
         load.running.saturating_add(load.waiting)
     }
 
-    /// Chooses the candidate with the shortest expected wait of all.
-    fn any(&self, members: &[Member]) -> Choice {
+    /// Chooses the open candidate with the shortest expected wait.
+    ///
+    /// When all are closed, returns the earliest time at which one may be tried again.
+    fn least_wait(&self, members: &[Member]) -> Choice {
         let mut best = None;
         let mut until = None;
         for member in members {
-            let candidate = &self.index.candidates[member.at];
+            let candidate = &self.index.candidates[member.position];
             if self.request.excluded.contains(&candidate.id) {
                 continue;
             }
@@ -217,8 +226,9 @@
 
     // -----------------------------------------------------------------------------------------
 
-    fn is_open(&self, at: usize) -> bool {
-        let id = &self.index.candidates[at].id;
+    /// Returns whether the request may be sent to a candidate now.
+    fn is_open(&self, position: usize) -> bool {
+        let id = &self.index.candidates[position].id;
         !self.request.excluded.contains(id) && self.dispatches.busy_until(id) <= self.now
     }
 }
--- a/crates/cw_policy/src/routing/estimate.rs
+++ b/crates/cw_policy/src/routing/estimate.rs
@@ -1,4 +1,4 @@
-//! How loaded a target is now, from a report that is old.
+//! An estimate of a target's present load from a report that is out of date.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 use super::target_index::Candidate;
 use super::target_index::Group;
 
-/// The smallest share of its limit that a returned target takes.
-const RAMP_FLOOR: f64 = 0.1;
+/// The smallest fraction of its limit that a target takes after it became alive again.
+const RAMP_SHARE_MIN: f64 = 0.1;
 
-/// The shortest time that an attempt is taken to hold its place, in seconds.
-const HOLD_MIN: f64 = 1e-3;
+/// The shortest service time that is assumed, in seconds.
+const SERVICE_TIME_MIN_S: f64 = 1e-3;
 
-/// How loaded a target is thought to be.
+/// The estimated present load of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
-    /// Attempts there, in units of the target's limit.
+    /// The attempts at the target, as a fraction of its limit.
     pub(super) utilisation: f64,
-    /// How long a new attempt waits before it starts.
+    /// The expected wait of a new attempt before it starts.
     pub(super) wait: Duration,
-    /// Attempts that it can take beyond those that are there; below zero when it is too full.
-    free: f64,
+    /// The attempts that the target can take beyond those that it has; negative when overloaded.
+    free_slots: f64,
 }
 
 impl Estimate {
     /// Returns how many more attempts the target can take.
-    pub(super) fn room(&self) -> usize {
-        self.free.max(0.0) as usize
+    pub(super) fn spare_capacity(&self) -> usize {
+        self.free_slots.max(0.0) as usize
     }
 }
 
-/// Estimates the load of `candidate` from its report and what this entry sent since.
+/// Estimates the load of `candidate` from its report and this entry's dispatches since.
 pub(super) fn estimate(
     now: Time,
     candidate: &Candidate,
@@ -43,38 +43,38 @@
 ) -> Estimate {
     let load = &candidate.load;
     let reported = f64::from(load.running) + f64::from(load.waiting);
-    let cost = costs.prefill.as_secs_f64();
-    let backlog = cost * load.prefill.0 as f64;
-    let delta = dispatches.delta(now, &candidate.id, candidate.reported, backlog, cost);
-    let hold = dispatches
+    let token_time = costs.prefill.as_secs_f64();
+    let backlog = token_time * load.prefill.0 as f64;
+    let delta = dispatches.delta(now, &candidate.id, candidate.reported, backlog, token_time);
+    let service_time = dispatches
         .mean_service_time()
-        .unwrap_or(costs.hold)
+        .unwrap_or(costs.service_time)
         .as_secs_f64();
-    let hold = hold.max(HOLD_MIN);
+    let service_time = service_time.max(SERVICE_TIME_MIN_S);
     let limit = f64::from(load.limit.max(1));
-    // Other entries see the same report and act on it too, so it says less as it ages.
+    // Other entries see the same report and act on it too, so it is weighted less as it ages.
     let age = now.since(candidate.reported).as_secs_f64();
-    let faith = (-costs.fade * age / hold).exp();
-    let usual = group.utilisation * limit;
-    let likely = usual + (reported - usual) * faith;
-    let outstanding = (likely + costs.peers * f64::from(delta.attempts)).max(0.0);
-    let limit = limit * share(now, candidate, group, costs.ramp);
+    let report_weight = (-costs.report_decay * age / service_time).exp();
+    let mean_load = group.utilisation * limit;
+    let expected_load = mean_load + (reported - mean_load) * report_weight;
+    let outstanding = (expected_load + costs.dispatch_weight * f64::from(delta.attempts)).max(0.0);
+    let limit = limit * ramp_share(now, candidate, group, costs.ramp_up);
     let queued = (outstanding + 1.0 - limit).max(0.0);
     let utilisation = outstanding / limit;
-    let batch = costs.batch.as_secs_f64() * utilisation.min(1.0);
-    let wait = hold * queued / limit + delta.backlog + batch;
+    let batch = costs.batch_delay.as_secs_f64() * utilisation.min(1.0);
+    let wait = service_time * queued / limit + delta.backlog + batch;
     Estimate {
         utilisation,
         wait: Duration::from_secs_f64(wait),
-        free: limit - outstanding,
+        free_slots: limit - outstanding,
     }
 }
 
-/// Returns the share of its limit that a target takes, which grows after its return.
+/// Returns the fraction of its limit that a target takes, which grows after it became alive again.
 ///
-/// Targets that returned together share the work from the start.
-fn share(now: Time, candidate: &Candidate, group: &Group, span: Duration) -> f64 {
-    ramp(now, candidate.returned, span) / ramp(now, group.returned, span)
+/// Targets that became alive at the same time share the work from the start.
+fn ramp_share(now: Time, candidate: &Candidate, group: &Group, span: Duration) -> f64 {
+    ramp(now, candidate.returned, span) / ramp(now, group.earliest_return, span)
 }
 
 fn ramp(now: Time, returned: Time, span: Duration) -> f64 {
@@ -82,5 +82,5 @@
         return 1.0;
     }
     let age = now.since(returned).as_secs_f64();
-    (age / span.as_secs_f64()).clamp(RAMP_FLOOR, 1.0)
+    (age / span.as_secs_f64()).clamp(RAMP_SHARE_MIN, 1.0)
 }
--- a/crates/cw_policy/src/routing/mod.rs
+++ b/crates/cw_policy/src/routing/mod.rs
@@ -1,11 +1,11 @@
 //! The choice of a target for one attempt.
 //!
-//! [`choose`] decides once. An entry that decides often builds an [`TargetIndex`] from each new
-//! [`crate::View`] and asks that, so that the work that depends on the view alone is done once.
+//! [`choose`] makes a single decision. An entry that decides often builds a [`TargetIndex`] from
+//! each new [`crate::View`], so that the work that depends on the view alone is done once.
 //!
-//! - [`RouteRequest`]: what is needed, and from where.
-//! - [`DispatchLog`]: what this entry itself sent since the targets' reports.
-//! - [`Policy`]: the default and the baselines that it is measured against.
+//! - [`RouteRequest`]: what an attempt needs of its target, and where it comes from.
+//! - [`DispatchLog`]: the dispatches of this entry since the targets' last reports.
+//! - [`Policy`]: the default policy and the baselines that it is compared with.
 
 mod affinity_key;
 mod cached_shares;
--- a/crates/cw_policy/src/routing/policy.rs
+++ b/crates/cw_policy/src/routing/policy.rs
@@ -1,4 +1,4 @@
-//! The ways of choosing, which can be switched.
+//! The routing policies that the settings can select.
 
 use cw_macro::data;
 
@@ -6,13 +6,13 @@
 #[data(Copy, Default, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Rendezvous affinity with bounded load, expected wait, distance and learned prefixes.
+    /// Rendezvous affinity with bounded load, by expected wait, distance and learned prefixes.
     #[default]
     Affinity,
     /// Each target in turn: a baseline.
     RoundRobin,
     /// The lowest reported load: a baseline.
     LeastReported,
-    /// The better one of two drawn at random, by reported load: a baseline.
+    /// The lower reported load of two targets drawn at random: a baseline.
     PowerOfTwo,
 }
--- a/crates/cw_policy/src/routing/route_request.rs
+++ b/crates/cw_policy/src/routing/route_request.rs
@@ -1,4 +1,4 @@
-//! What an attempt needs of its target.
+//! The requirements of an attempt on its target.
 
 use std::collections::BTreeSet;
 
@@ -12,16 +12,16 @@
 
 use crate::prefix::Block;
 
-/// What an attempt needs of its target, and where it is asked for.
+/// The requirements of an attempt on its target, and the place of the entry that sends it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRequest {
-    /// The model, version and adapter, or the plain service.
+    /// The model, version and adapter to run, or the plain service.
     pub to: RouteTarget,
-    /// The workspace that asks.
+    /// The workspace of the caller.
     pub workspace: WorkspaceId,
     /// The leading blocks of the prompt; empty for a plain service.
     pub blocks: Vec<Block>,
-    /// The tokens to process before the first new one, if none are cached.
+    /// The tokens to prefill before the first new one, if none are cached.
     pub tokens: TokenCount,
     /// Targets that must not be chosen, such as those that have refused the attempt.
     pub excluded: BTreeSet<TargetId>,
@@ -31,12 +31,13 @@
     pub region: RegionId,
     /// Whether the attempt continues an earlier one.
     pub resumed: bool,
-    /// Whether a resumed attempt goes where it starts soonest, or where its prefix is cached.
+    /// Whether a resumed attempt goes to the target where it starts soonest, or to one that has its
+    /// prefix cached.
     pub recovery: Recovery,
 }
 
 impl RouteRequest {
-    /// Returns a first attempt from an entry in `zone` of `region`, without a prompt.
+    /// Returns the request of a first attempt without a prompt, from an entry in `zone` of `region`.
     pub fn new(to: RouteTarget, workspace: WorkspaceId, zone: ZoneId, region: RegionId) -> Self {
         Self {
             to,
@@ -59,7 +60,7 @@
         self
     }
 
-    /// Excludes one more target.
+    /// Adds a target to the excluded ones.
     #[must_use]
     pub fn excluding(mut self, target: TargetId) -> Self {
         self.excluded.insert(target);
@@ -74,9 +75,9 @@
         self
     }
 
-    /// Returns whether the attempt should look for a cached prefix.
-    pub(super) fn wants_cache(&self) -> bool {
-        let spread = self.resumed && self.recovery == Recovery::Latency;
-        matches!(self.to, RouteTarget::Model { .. }) && !spread
+    /// Returns whether targets with a cached prefix are preferred.
+    pub(super) fn prefers_cache(&self) -> bool {
+        let latency_first = self.resumed && self.recovery == Recovery::Latency;
+        matches!(self.to, RouteTarget::Model { .. }) && !latency_first
     }
 }
--- a/crates/cw_policy/src/routing/shortlist.rs
+++ b/crates/cw_policy/src/routing/shortlist.rs
@@ -1,9 +1,9 @@
-//! A short list of candidates, of fixed size.
+//! A short list of candidates in an array of fixed size.
 
-/// The most candidates that a decision weighs.
+/// The most candidates that a decision compares.
 const LENGTH_MAX: usize = 24;
 
-/// The best few of many, without allocation.
+/// A list of a few candidates that needs no heap allocation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Shortlist {
     items: [(u64, usize); LENGTH_MAX],
@@ -19,21 +19,22 @@
         }
     }
 
-    /// Inserts `item` if its weight is among the highest `most`, in falling order of weight.
-    pub(super) fn offer(&mut self, weight: u64, item: usize, most: usize) {
-        let most = most.min(LENGTH_MAX);
-        if self.length == most && weight <= self.items[most - 1].0 {
+    /// Inserts `item` if its weight is among the highest `limit`, in falling order of weight.
+    pub(super) fn offer(&mut self, weight: u64, item: usize, limit: usize) {
+        let limit = limit.min(LENGTH_MAX);
+        if self.length == limit && weight <= self.items[limit - 1].0 {
             return;
         }
-        let place = self.items[..self.length].partition_point(|entry| entry.0 >= weight);
-        if self.length < most {
+        let position = self.items[..self.length].partition_point(|entry| entry.0 >= weight);
+        if self.length < limit {
             self.length += 1;
         }
-        self.items.copy_within(place..self.length - 1, place + 1);
-        self.items[place] = (weight, item);
+        self.items
+            .copy_within(position..self.length - 1, position + 1);
+        self.items[position] = (weight, item);
     }
 
-    /// Appends `item` unless it is there or the list is full.
+    /// Appends `item` unless the list has it already or is full.
     pub(super) fn push(&mut self, item: usize) {
         if self.length < LENGTH_MAX && !self.iter().any(|other| other == item) {
             self.items[self.length] = (0, item);
--- a/crates/cw_policy/src/routing/target_index.rs
+++ b/crates/cw_policy/src/routing/target_index.rs
@@ -1,4 +1,4 @@
-//! What a decision needs of a view, worked out once.
+//! The live targets of a view, indexed once for all decisions that use the view.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 use crate::TargetView;
 use crate::View;
 
-/// A target that may be chosen.
+/// A target that may be chosen, with the load that it reported.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     pub(super) id: TargetId,
@@ -32,24 +32,24 @@
     pub(super) returned: Time,
 }
 
-/// A candidate's place in a group, with the hash of its id.
+/// A candidate as a member of a group: its position among all candidates, and its id's hash.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Member {
-    pub(super) seed: u64,
-    pub(super) at: usize,
+    pub(super) id_hash: u64,
+    pub(super) position: usize,
 }
 
-/// The targets that hold one version, or that are one plain service.
+/// The targets that serve one model version or one plain service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Group {
-    /// Those that report.
+    /// The targets that report.
     pub(super) alive: Vec<Member>,
-    /// Those that have not reported for a while.
+    /// The targets whose reports are overdue.
     pub(super) suspect: Vec<Member>,
-    /// The mean load in units of the limit, of those that report.
+    /// The summed load of the alive targets as a fraction of their summed limits.
     pub(super) utilisation: f64,
-    /// When the first of them became alive.
-    pub(super) returned: Time,
+    /// When the first of the alive targets became alive.
+    pub(super) earliest_return: Time,
 }
 
 /// The live targets of a view, by what they can run.
@@ -64,7 +64,7 @@
 }
 
 impl TargetIndex {
-    /// Works out what decisions need of `view`.
+    /// Indexes the live targets of `view`, with the default costs.
     pub fn new(view: &View) -> Self {
         let mut index = Self::default();
         for version in view.config.versions.values() {
@@ -79,19 +79,20 @@
         for (id, target) in &view.targets {
             index.insert(id, target);
         }
-        index.average();
+        index.compute_averages();
         index
     }
 
-    /// Sets what the parts of a decision weigh.
+    /// Replaces the costs by which targets are compared.
     #[must_use]
     pub fn with_costs(mut self, costs: RoutingCosts) -> Self {
         self.costs = costs;
         self
     }
 
-    /// Returns about how many more attempts the targets can take now, or nothing when there are no
-    /// targets. It is at least one while any has not asked for patience, since reports are late.
+    /// Returns about how many more attempts the targets of `to` can take now, or `None` when there
+    /// are no such targets. It is at least one while any target accepts attempts, since the reports
+    /// of load lag behind.
     pub fn spare_capacity(
         &self,
         now: Time,
@@ -108,11 +109,12 @@
         }
         let open = members
             .iter()
-            .map(|member| &self.candidates[member.at])
+            .map(|member| &self.candidates[member.position])
             .filter(|candidate| dispatches.busy_until(&candidate.id) <= now);
-        let room = |candidate| estimate(now, candidate, dispatches, &self.costs, group).room();
+        let spare =
+            |candidate| estimate(now, candidate, dispatches, &self.costs, group).spare_capacity();
         let (any, sum) = open.fold((false, 0), |(_, sum), candidate| {
-            (true, sum + room(candidate))
+            (true, sum + spare(candidate))
         });
         Some(sum.max(usize::from(any)))
     }
@@ -124,8 +126,8 @@
             return;
         }
         let member = Member {
-            seed: xxh3_64(id.as_str().as_bytes()),
-            at: self.candidates.len(),
+            id_hash: xxh3_64(id.as_str().as_bytes()),
+            position: self.candidates.len(),
         };
         self.candidates.push(Candidate {
             id: id.clone(),
@@ -149,16 +151,19 @@
         }
     }
 
-    fn average(&mut self) {
+    fn compute_averages(&mut self) {
         let candidates = &self.candidates;
         let models = self.models.values_mut().flat_map(BTreeMap::values_mut);
         for group in models.chain(self.services.values_mut()) {
             let returned = group
                 .alive
                 .iter()
-                .map(|member| candidates[member.at].returned);
-            group.returned = returned.min().unwrap_or_default();
-            let loads = group.alive.iter().map(|member| &candidates[member.at].load);
+                .map(|member| candidates[member.position].returned);
+            group.earliest_return = returned.min().unwrap_or_default();
+            let loads = group
+                .alive
+                .iter()
+                .map(|member| &candidates[member.position].load);
             let (busy, limit) = loads.fold((0, 0), |(busy, limit), load| {
                 let outstanding = u64::from(load.running) + u64::from(load.waiting);
                 (busy + outstanding, limit + u64::from(load.limit.max(1)))
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Returns the targets that can run what a request is for.
+    /// Returns the targets that can run a request for `to`.
     pub(super) fn group(&self, to: &RouteTarget) -> &Group {
         let found = match to {
             RouteTarget::Service { service } => self.services.get(service),
@@ -184,13 +189,13 @@
         found.unwrap_or(&self.empty)
     }
 
-    /// Returns the place of a target if it is one of `members`.
-    pub(super) fn place(&self, members: &[Member], target: &TargetId) -> Option<usize> {
-        // Members are in the order of their ids.
+    /// Returns the position among the candidates of a target if it is one of `members`.
+    pub(super) fn find_position(&self, members: &[Member], target: &TargetId) -> Option<usize> {
+        // Members are sorted by id, as the targets of a view are.
         members
-            .binary_search_by(|member| self.candidates[member.at].id.cmp(target))
+            .binary_search_by(|member| self.candidates[member.position].id.cmp(target))
             .ok()
-            .map(|found| members[found].at)
+            .map(|found| members[found].position)
     }
 
     fn has_adapter(
--- a/crates/cw_policy/src/routing/target_log.rs
+++ b/crates/cw_policy/src/routing/target_log.rs
@@ -1,53 +1,54 @@
-//! One target's part of the ledger.
+//! The recent dispatches of this entry to one target.
 
 use std::collections::VecDeque;
 
 use cw_types::Time;
 
-/// The most changes kept for one target; older ones are in its report by then.
+/// The most changes kept for one target; its report includes older ones by then.
 const CHANGES_MAX: usize = 1024;
 
-/// An attempt that began or ended.
+/// The beginning or the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Change {
     at: Time,
     began: bool,
-    /// Prompt tokens that the target has to process.
+    /// The prompt tokens that the target has to prefill.
     tokens: u64,
 }
 
-/// What a target has, from its report and what was sent since.
+/// The load of a target, from its report and the dispatches since.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Delta {
-    /// Attempts that began since the report, less those that ended.
+pub(super) struct LoadDelta {
+    /// The attempts that began since the report, less those that ended.
     pub(super) attempts: i32,
-    /// How long the target takes to process the prompts that it has.
+    /// The time that the target needs to prefill its prompts, in seconds.
     pub(super) backlog: f64,
 }
 
-impl Delta {
+impl LoadDelta {
+    /// Reduces the backlog by the prefill between two times.
     pub(super) fn drain(&mut self, since: Time, now: Time) {
         let span = now.since(since).as_secs_f64();
         self.backlog = (self.backlog - span).max(0.0);
     }
 }
 
-/// What this entry did with one target since the target's report.
+/// The attempts that this entry began and ended at one target since the target's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Account {
+pub(super) struct TargetLog {
     changes: VecDeque<Change>,
-    /// Until when the target asked not to be tried again.
+    /// The time before which the target asked not to be tried again.
     pub(super) busy_until: Time,
 }
 
-impl Account {
-    /// An account in which nothing is recorded.
-    pub(super) const EMPTY: Account = Account {
+impl TargetLog {
+    /// A log without any record.
+    pub(super) const EMPTY: TargetLog = TargetLog {
         changes: VecDeque::new(),
         busy_until: Time(0),
     };
 
-    /// Records that an attempt began, with prompt tokens to process.
+    /// Records that an attempt began, with `tokens` of its prompt to prefill.
     pub(super) fn begin(&mut self, at: Time, tokens: u64) {
         self.push(Change {
             at,
@@ -65,7 +66,7 @@
         });
     }
 
-    /// Takes back the last attempt that began, since the target did not take it.
+    /// Removes the last attempt that began, since the target refused it.
     pub(super) fn refuse(&mut self, until: Time) {
         if let Some(last) = self.changes.iter().rposition(|change| change.began) {
             self.changes.remove(last);
@@ -73,7 +74,7 @@
         self.busy_until = self.busy_until.max(until);
     }
 
-    /// Forgets what a report of the time `reported` already shows.
+    /// Removes the changes that a report made at `reported` already includes.
     pub(super) fn forget(&mut self, reported: Time) {
         while self
             .changes
@@ -84,13 +85,20 @@
         }
     }
 
-    /// Returns what a report of the time `reported` does not show.
+    /// Returns the load that a report made at `reported` does not include.
     ///
-    /// It showed a `backlog` of prompts, in seconds; `cost` is the time of one token. Prompts are
-    /// processed all the while, so the backlog shrinks between the sends that add to it.
-    pub(super) fn delta(&self, now: Time, reported: Time, backlog: f64, cost: f64) -> Delta {
+    /// The report showed a prefill `backlog`, in seconds; `token_time` is the prefill time of one
+    /// token, also in seconds. Prefill goes on all the time, so the backlog shrinks between the
+    /// dispatches that add to it.
+    pub(super) fn delta(
+        &self,
+        now: Time,
+        reported: Time,
+        backlog: f64,
+        token_time: f64,
+    ) -> LoadDelta {
         let first = self.changes.partition_point(|change| change.at <= reported);
-        let mut delta = Delta {
+        let mut delta = LoadDelta {
             attempts: 0,
             backlog,
         };
@@ -98,14 +106,14 @@
         for change in self.changes.iter().skip(first) {
             delta.attempts += if change.began { 1 } else { -1 };
             delta.drain(at, change.at);
-            delta.backlog += cost * change.tokens as f64;
+            delta.backlog += token_time * change.tokens as f64;
             at = change.at;
         }
         delta.drain(at, now);
         delta
     }
 
-    /// Returns whether nothing is recorded that could still matter.
+    /// Returns whether the log has no change left and the target may be tried again.
     pub(super) fn is_empty(&self, now: Time) -> bool {
         self.changes.is_empty() && self.busy_until <= now
     }
--- a/crates/cw_policy/src/suspicion/crash_suspicion.rs
+++ b/crates/cw_policy/src/suspicion/crash_suspicion.rs
@@ -1,66 +1,68 @@
-//! Bounds of suspicion, and its outcome.
+//! The limits and the levels of suspicion against a request.
 
 use std::time::Duration;
 
-/// Bounds of suspicion.
+/// The limits by which crashes are counted against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspicionLimits {
-    /// How many crashes make a request guilty that alone was in flight at all of them.
-    pub crashes: usize,
-    /// How many such crashes make a request guilty that this entry did not find guilty itself.
+    /// How many crashes confirm a request as the cause that alone was in flight at all of them.
+    pub confirming_crashes: usize,
+    /// How many such crashes refuse a new call whose request this entry did not confirm itself.
     ///
-    /// Another entry may know that the request has run to its end since, or that its output went on
+    /// Another entry may know that the request has completed since, or that its output went on
     /// between the crashes.
-    pub foreign: usize,
-    /// How many targets that crash within [`SuspicionLimits::window`] are taken for a loss that no
-    /// request caused.
-    pub mass: usize,
-    /// See [`SuspicionLimits::mass`].
-    pub window: Duration,
-    /// How long a crash is remembered.
-    pub memory: Duration,
-    /// The most crashes that are remembered.
-    pub capacity: usize,
-    /// The most suspects of one crash that are remembered.
-    pub suspects: usize,
+    pub refusing_crashes: usize,
+    /// How many targets that crash within [`SuspicionLimits::mass_window`] are a mass failure,
+    /// which no request causes.
+    pub mass_targets: usize,
+    /// The time within which the crashes of a mass failure occur.
+    pub mass_window: Duration,
+    /// How long a crash is kept.
+    pub retention: Duration,
+    /// The most crashes that are kept.
+    pub max_crashes: usize,
+    /// The most suspects of one crash; a crash with more of them is ignored.
+    pub max_suspects: usize,
 }
 
 impl Default for SuspicionLimits {
     fn default() -> Self {
         Self {
-            crashes: 2,
-            foreign: 3,
-            mass: 4,
-            window: Duration::from_secs(2),
-            memory: Duration::from_secs(600),
-            capacity: 512,
-            suspects: 256,
+            confirming_crashes: 2,
+            refusing_crashes: 3,
+            mass_targets: 4,
+            mass_window: Duration::from_secs(2),
+            retention: Duration::from_secs(600),
+            max_crashes: 512,
+            max_suspects: 256,
         }
     }
 }
 
-/// What is held against a request.
+/// The suspicion that a request crashes engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashSuspicion {
-    /// Nothing.
+    /// No crash counts against it.
     Unsuspected,
-    /// It was in flight at this many crashes, and others were too.
+    /// It was in flight at crashes that are too few, or at all of which another request was too.
     Suspected {
-        /// The crashes.
+        /// The crashes that count against it.
         crashes: usize,
     },
-    /// It alone was in flight at several crashes, or this entry has found it guilty before.
+    /// It is the only request that was in flight at all of several crashes.
     Confirmed {
-        /// The crashes.
+        /// The crashes that count against it.
         crashes: usize,
     },
 }
 
 impl CrashSuspicion {
-    /// Returns after how many more crashes a new call of the request is judged, of `limit`.
+    /// Returns how many more crashes a new call of the request is allowed, of `limit`, before the
+    /// request is checked as their cause.
     ///
-    /// One earlier crash says nothing: the request may have been there by chance, and may have
-    /// run to its end at another entry since. More of them count for the new call too.
+    /// The first earlier crash does not count: the request may have been in flight by chance, and
+    /// may have completed at another entry since. Each further one reduces the limit, to one at
+    /// least.
     pub fn crashes_left(self, limit: u32) -> u32 {
         let earlier = match self {
             CrashSuspicion::Unsuspected => 0,
--- a/crates/cw_policy/src/suspicion/mod.rs
+++ b/crates/cw_policy/src/suspicion/mod.rs
@@ -1,8 +1,9 @@
-//! Requests that crash the engines that run them.
+//! Detection of requests that crash the engines that run them.
 //!
-//! Evidence is only what agents report: the fingerprints that were in flight when an engine died
-//! under its living agent. A request is guilty when it alone was in flight at several crashes. It
-//! cannot be told from its companions by one crash, so resumed suspects are spread over targets.
+//! The only evidence is the agents' reports: the fingerprints that were in flight when an engine
+//! died while its agent lived. A request is confirmed as the cause when it is the only one that was
+//! in flight at several crashes. One crash does not tell it apart from the requests beside it, so
+//! resumed suspects are spread over targets.
 
 mod crash_suspicion;
 mod suspicion_table;
--- a/crates/cw_policy/src/suspicion/suspicion_table.rs
+++ b/crates/cw_policy/src/suspicion/suspicion_table.rs
@@ -1,4 +1,4 @@
-//! The table of crashes and of the requests in flight at them.
+//! The recent crashes and the requests that were in flight at them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 use super::SuspicionLimits;
 use crate::View;
 
-/// One crash of an engine under its living agent.
+/// One crash of an engine whose agent lived on.
 #[derive(Clone, Debug)]
 struct Crash {
     number: u64,
@@ -23,20 +23,20 @@
     suspects: BTreeSet<Fingerprint>,
 }
 
-/// The newest crash of a target that is in the table.
-type Seen = (Incarnation, u64);
+/// The incarnation of a target and the sequence number of its newest crash in the table.
+type LastCrash = (Incarnation, u64);
 
-/// The crashes of the last minutes, and the requests in flight at them.
+/// The crashes of the retention time, and the requests that were in flight at them.
 #[derive(Clone, Debug, Default)]
 pub struct SuspicionTable {
     limits: SuspicionLimits,
     crashes: VecDeque<Crash>,
     by_request: BTreeMap<Fingerprint, BTreeSet<u64>>,
-    seen: BTreeMap<TargetId, Seen>,
-    next: u64,
-    convicted: BTreeSet<Fingerprint>,
-    /// How many suspects this entry has in flight at each target.
-    placed: BTreeMap<TargetId, u32>,
+    last_crashes: BTreeMap<TargetId, LastCrash>,
+    next_number: u64,
+    confirmed: BTreeSet<Fingerprint>,
+    /// How many suspected requests this entry has in flight at each target.
+    suspect_counts: BTreeMap<TargetId, u32>,
 }
 
 impl SuspicionTable {
@@ -50,10 +50,10 @@
 
     // ---- Evidence ----
 
-    /// Takes in the crashes that the targets of a view report.
+    /// Adds the crashes that the targets of a view report, and removes expired ones.
     pub fn observe(&mut self, now: Time, view: &View) {
-        self.forget(now);
-        self.seen
+        self.remove_expired(now);
+        self.last_crashes
             .retain(|target, _| view.targets.contains_key(target));
         for (target, known) in &view.targets {
             for report in &known.crashes {
@@ -62,9 +62,9 @@
         }
     }
 
-    /// A request has run to its end: it crashes nothing, whatever it was in flight at.
+    /// Records that a request has completed, so that no crash counts against it any more.
     pub fn record_completion(&mut self, request: Fingerprint) {
-        self.convicted.remove(&request);
+        self.confirmed.remove(&request);
         let Some(numbers) = self.by_request.remove(&request) else {
             return;
         };
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Returns what is held against a request.
+    /// Returns the suspicion against a request; crashes in a mass failure do not count.
     pub fn assess(&self, request: Fingerprint) -> CrashSuspicion {
         let Some(numbers) = self.by_request.get(&request) else {
             return CrashSuspicion::Unsuspected;
         };
         let crashes = self.crashes.iter();
         let evidence: Vec<&Crash> = crashes
-            .filter(|crash| numbers.contains(&crash.number) && !self.is_mass(crash))
+            .filter(|crash| numbers.contains(&crash.number) && !self.is_mass_failure(crash))
             .collect();
         let Some((first, others)) = evidence.split_first() else {
             return CrashSuspicion::Unsuspected;
         };
-        let always = |suspect: &&Fingerprint| others.iter().all(|c| c.suspects.contains(suspect));
-        let alone = first.suspects.iter().filter(always).count() == 1;
+        let in_all = |suspect: &&Fingerprint| others.iter().all(|c| c.suspects.contains(suspect));
+        let is_only_one = first.suspects.iter().filter(in_all).count() == 1;
         let crashes = evidence.len();
-        match alone && crashes >= self.limits.crashes {
+        match is_only_one && crashes >= self.limits.confirming_crashes {
             true => CrashSuspicion::Confirmed { crashes },
             false => CrashSuspicion::Suspected { crashes },
         }
@@ -100,50 +100,50 @@
     pub fn is_refused(&self, request: Fingerprint) -> bool {
         match self.assess(request) {
             CrashSuspicion::Confirmed { crashes } => {
-                self.convicted.contains(&request) || crashes >= self.limits.foreign
+                self.confirmed.contains(&request) || crashes >= self.limits.refusing_crashes
             }
             CrashSuspicion::Unsuspected | CrashSuspicion::Suspected { .. } => false,
         }
     }
 
-    /// This entry has found a request guilty.
+    /// Records that this entry has confirmed a request as the cause of crashes.
     pub fn confirm(&mut self, request: Fingerprint) {
-        self.convicted.insert(request);
+        self.confirmed.insert(request);
     }
 
-    /// Returns how many crashes are remembered.
+    /// Returns how many crashes the table has.
     pub fn len(&self) -> usize {
         self.crashes.len()
     }
 
-    /// Returns whether no crash is remembered.
+    /// Returns whether the table has no crashes.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
     // ---- Spreading ----
 
-    /// A suspect is dispatched to a target.
+    /// Records that this entry dispatched a suspected request to a target.
     pub fn add_suspect(&mut self, target: &TargetId) {
-        *self.placed.entry(target.clone()).or_default() += 1;
+        *self.suspect_counts.entry(target.clone()).or_default() += 1;
     }
 
-    /// A suspect has left a target.
+    /// Records that a suspected request of this entry has left a target.
     pub fn remove_suspect(&mut self, target: &TargetId) {
-        if let Some(count) = self.placed.get_mut(target) {
+        if let Some(count) = self.suspect_counts.get_mut(target) {
             *count -= 1;
             if *count == 0 {
-                self.placed.remove(target);
+                self.suspect_counts.remove(target);
             }
         }
     }
 
-    /// Returns the targets that have a suspect of this entry already.
+    /// Returns the targets that run a suspected request of this entry.
     pub fn targets_with_suspects(&self) -> impl Iterator<Item = &TargetId> {
-        self.placed.keys()
+        self.suspect_counts.keys()
     }
 
-    // ---- Memory ----
+    // ---- Retention ----
 
     fn insert(
         &mut self,
@@ -152,19 +152,23 @@
         incarnation: Incarnation,
         report: &CrashReport,
     ) {
-        let this = (incarnation, report.sequence);
-        if self.seen.get(target).is_some_and(|seen| *seen >= this) {
+        let latest = (incarnation, report.sequence);
+        if self
+            .last_crashes
+            .get(target)
+            .is_some_and(|seen| *seen >= latest)
+        {
             return;
         }
-        self.seen.insert(target.clone(), this);
-        if report.suspects.len() > self.limits.suspects {
+        self.last_crashes.insert(target.clone(), latest);
+        if report.suspects.len() > self.limits.max_suspects {
             return;
         }
-        if self.crashes.len() >= self.limits.capacity {
+        if self.crashes.len() >= self.limits.max_crashes {
             self.remove_oldest();
         }
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let suspects: BTreeSet<Fingerprint> = report.suspects.iter().copied().collect();
         for suspect in &suspects {
             self.by_request.entry(*suspect).or_default().insert(number);
@@ -177,10 +181,10 @@
         });
     }
 
-    fn forget(&mut self, now: Time) {
-        let memory = self.limits.memory;
+    fn remove_expired(&mut self, now: Time) {
+        let retention = self.limits.retention;
         while let Some(crash) = self.crashes.front() {
-            if now.since(crash.at) <= memory {
+            if now.since(crash.at) <= retention {
                 return;
             }
             self.remove_oldest();
@@ -196,20 +200,20 @@
                 numbers.remove(&crash.number);
                 if numbers.is_empty() {
                     self.by_request.remove(suspect);
-                    self.convicted.remove(suspect);
+                    self.confirmed.remove(suspect);
                 }
             }
         }
     }
 
-    /// Returns whether so many targets crashed at about the same time that no request did it.
-    fn is_mass(&self, crash: &Crash) -> bool {
-        let window = self.limits.window;
-        let near = |other: &&Crash| {
+    /// Returns whether a crash is part of a mass failure, which no request causes.
+    fn is_mass_failure(&self, crash: &Crash) -> bool {
+        let window = self.limits.mass_window;
+        let is_near = |other: &&Crash| {
             other.at.since(crash.at) <= window && crash.at.since(other.at) <= window
         };
-        let crashes = self.crashes.iter().filter(near);
+        let crashes = self.crashes.iter().filter(is_near);
         let targets: BTreeSet<&TargetId> = crashes.map(|other| &other.target).collect();
-        targets.len() >= self.limits.mass
+        targets.len() >= self.limits.mass_targets
     }
 }
--- a/crates/cw_policy/tests/prefix.rs
+++ b/crates/cw_policy/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Tests of prompt blocks, learned overlap and the follower of cache events.
+//! Tests of prompt blocks, the learned cache index and the follower of cache events.
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-fn cut(workspace: &str, prompt: &Prompt) -> Vec<Block> {
+fn hashed_blocks(workspace: &str, prompt: &Prompt) -> Vec<Block> {
     let workspace = workspace.parse().unwrap();
     blocks(
         &workspace,
@@ -48,8 +48,8 @@
 #[case(chat(20_000), chat(60_000))]
 #[case(ids(5_000), ids(15_000))]
 fn prompts_share_the_blocks_of_their_common_prefix(#[case] short: Prompt, #[case] long: Prompt) {
-    let short = cut("a", &short);
-    let long = cut("a", &long);
+    let short = hashed_blocks("a", &short);
+    let long = hashed_blocks("a", &long);
     let common = short.iter().zip(&long).take_while(|(a, b)| a == b).count();
 
     // A chat's common prefix ends before the end mark of its last message.
@@ -59,16 +59,16 @@
 
 #[test]
 fn workspaces_share_no_blocks() {
-    let first: BTreeSet<_> = cut("a", &text(4096)).into_iter().collect();
-    let second: BTreeSet<_> = cut("b", &text(4096)).into_iter().collect();
+    let first: BTreeSet<_> = hashed_blocks("a", &text(4096)).into_iter().collect();
+    let second: BTreeSet<_> = hashed_blocks("b", &text(4096)).into_iter().collect();
     assert!(first.is_disjoint(&second));
 }
 
 #[test]
-fn overlap_is_learned_trusted_less_when_wrong_and_forgotten() {
+fn cached_blocks_are_learned_trusted_less_when_wrong_and_forgotten() {
     let target: TargetId = "t".parse().unwrap();
-    let half = cut("a", &text(8192));
-    let whole = cut("a", &text(16_384));
+    let half = hashed_blocks("a", &text(8192));
+    let whole = hashed_blocks("a", &text(16_384));
     let share = |cache_index: &CacheIndex| {
         cache_index
             .holders(&whole)
@@ -94,11 +94,12 @@
     assert_eq!(share(&cache_index), Some(learned));
 }
 
-/// An entry does not know how many tokens a prompt has, only about how many.
+/// An entry only estimates how many tokens a prompt has, so a constant error of the estimate does
+/// not lower the confidence in a target.
 #[test]
-fn a_wrong_guess_of_the_prompts_length_does_not_cost_trust() {
+fn a_wrong_estimate_of_the_prompts_length_does_not_lower_confidence() {
     let target: TargetId = "t".parse().unwrap();
-    let prompt = cut("a", &text(8192));
+    let prompt = hashed_blocks("a", &text(8192));
     let mut cache_index = CacheIndex::default();
     for _ in 0..30 {
         cache_index.learn(&target, &prompt, TokenCount(400), TokenCount(1000));
@@ -112,27 +113,27 @@
     let target: TargetId = "t".parse().unwrap();
     let mut cache_index = CacheIndex::default();
     for number in 0..10_000 {
-        let blocks = cut(&format!("w{number}"), &text(4096));
+        let blocks = hashed_blocks(&format!("w{number}"), &text(4096));
         cache_index.learn(&target, &blocks, TokenCount(0), TokenCount(1000));
     }
     assert!(cache_index.len() <= 32_768, "{}", cache_index.len());
 }
 
-/// What the fake channel does with one page of events.
+/// What the simulated channel does with one page of events.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Deliver,
     Repeat,
     Lose,
     Restart,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        6 => Just(Fate::Deliver),
-        1 => Just(Fate::Repeat),
-        1 => Just(Fate::Lose),
-        1 => Just(Fate::Restart),
+        6 => Just(Delivery::Deliver),
+        1 => Just(Delivery::Repeat),
+        1 => Just(Delivery::Lose),
+        1 => Just(Delivery::Restart),
     ]
 }
 
@@ -148,20 +149,20 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Against an engine that is a set of blocks: after each page that arrives, the follower knows
-    /// of no block that the engine did not have at that point, and a loss makes it forget.
+    /// Compares the follower with an engine modelled as a set of blocks: after each page that
+    /// arrives, the follower has no block that the engine lacks at that point, also after losses.
     #[test]
-    fn a_follower_never_guesses(
+    fn a_follower_has_no_block_that_the_engine_lacks(
         pages in prop::collection::vec(
-            (fate(), prop::collection::vec((any::<bool>(), 0..20_u64), 0..5)),
+            (delivery(), prop::collection::vec((any::<bool>(), 0..20_u64), 0..5)),
             1..60,
         ),
     ) {
         let mut engine = BTreeSet::new();
         let mut follower = CacheFollower::default();
         let (mut boot, mut first) = (1, 0);
-        for (fate, changes) in pages {
-            if matches!(fate, Fate::Restart) {
+        for (delivery, changes) in pages {
+            if matches!(delivery, Delivery::Restart) {
                 boot += 1;
                 first = 0;
                 engine.clear();
@@ -179,13 +180,13 @@
             let next = first + events.len() as u64;
             let page = CachePage { boot, first, next, gap: false, events };
             first = next;
-            match fate {
-                Fate::Lose => continue,
-                Fate::Repeat => {
+            match delivery {
+                Delivery::Lose => continue,
+                Delivery::Repeat => {
                     follower.on_page(&page);
                     follower.on_page(&page);
                 }
-                Fate::Deliver | Fate::Restart => follower.on_page(&page),
+                Delivery::Deliver | Delivery::Restart => follower.on_page(&page),
             }
             for block in 0..20 {
                 let known = follower.cached_prefix(&[block]) == 1;
--- a/crates/cw_policy/tests/queue.rs
+++ b/crates/cw_policy/tests/queue.rs
@@ -160,7 +160,7 @@
         fixture.offer(request(id, "w", 1));
     }
     fixture.offer(request(100, "w", 0));
-    // Ten starts a second are measured.
+    // The measured drain rate is ten starts per second.
     for _ in 0..20 {
         now = now + Duration::from_millis(100);
         fixture.on(now, QueueEvent::CapacityAvailable(pool()));
@@ -171,8 +171,8 @@
         let steps = fixture.on(now, QueueEvent::Offered(request));
         steps.into_iter().next()
     };
-    // The rank above has 80 waiting, which take 8 s; but a lower rank without older requests may
-    // start next, by the share of the lower ranks.
+    // The 80 requests of the rank above take 8 s. A request of a lower rank without older ones
+    // there may still start next, since one start in `lower_interval` goes to the lower ranks.
     let lowest = offer(&mut fixture, 502, 0, 4);
     for id in 600..610 {
         fixture.offer(request(id, "w", 0));
@@ -219,10 +219,10 @@
         patience: u64,
         bytes: u64,
     },
-    Room,
-    RoomAndReturn,
-    Gone(u8),
-    Pass(u64),
+    Capacity,
+    CapacityThenReturn,
+    CallerGone(u8),
+    Advance(u64),
 }
 
 fn action() -> impl Strategy<Value = Action> {
@@ -230,10 +230,10 @@
         4 => (0..4u8, 0..3u8, 1..4000u64, 1..400u64).prop_map(
             |(workspace, rank, patience, bytes)| Action::Offer { workspace, rank, patience, bytes }
         ),
-        2 => Just(Action::Room),
-        1 => Just(Action::RoomAndReturn),
-        1 => any::<u8>().prop_map(Action::Gone),
-        1 => (1..500u64).prop_map(Action::Pass),
+        2 => Just(Action::Capacity),
+        1 => Just(Action::CapacityThenReturn),
+        1 => any::<u8>().prop_map(Action::CallerGone),
+        1 => (1..500u64).prop_map(Action::Advance),
     ]
 }
 
@@ -250,12 +250,16 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Against an oracle that only counts: each request ends in exactly one way, the bounds hold,
-    /// and none waits past its deadline.
+    /// Compares the queue with a model that only tracks the waiting requests: each request ends in
+    /// exactly one way, the limits hold, and none waits past its deadline.
     #[test]
     fn every_request_ends_exactly_once(actions in prop::collection::vec(action(), 1..200)) {
-        let bytes = ByteSize(2000);
-        let mut fixture = Fixture::new(QueueLimits { max_requests: 12, max_bytes: bytes, ..QueueLimits::default() });
+        let max_bytes = ByteSize(2000);
+        let mut fixture = Fixture::new(QueueLimits {
+            max_requests: 12,
+            max_bytes,
+            ..QueueLimits::default()
+        });
         let mut now = START;
         let mut waiting = BTreeMap::<u128, QueuedRequest>::new();
         for (number, action) in actions.into_iter().enumerate() {
@@ -268,8 +272,10 @@
                     waiting.insert(id, request.clone());
                     QueueEvent::Offered(request)
                 }
-                Action::Room | Action::RoomAndReturn => QueueEvent::CapacityAvailable(pool()),
-                Action::Gone(pick) => {
+                Action::Capacity | Action::CapacityThenReturn => {
+                    QueueEvent::CapacityAvailable(pool())
+                }
+                Action::CallerGone(pick) => {
                     let Some(id) = waiting.keys().nth(usize::from(pick) % waiting.len().max(1)) else {
                         continue;
                     };
@@ -277,13 +283,13 @@
                     waiting.remove(&id);
                     QueueEvent::CallerGone(GenerationId(id))
                 }
-                Action::Pass(millis) => {
+                Action::Advance(millis) => {
                     now = now + Duration::from_millis(millis);
                     QueueEvent::Tick
                 }
             };
             let mut steps = fixture.on(now, event);
-            if let (Action::RoomAndReturn, Some(QueueStep::Start(_))) = (&action, steps.last()) {
+            if let (Action::CapacityThenReturn, Some(QueueStep::Start(_))) = (&action, steps.last()) {
                 let Some(QueueStep::Start(request)) = steps.pop() else { unreachable!() };
                 steps.extend(fixture.on(now, QueueEvent::Returned(request)));
             }
@@ -299,7 +305,7 @@
             }
             prop_assert_eq!(fixture.queue.len(), waiting.len());
             prop_assert!(waiting.len() <= 12);
-            prop_assert!(waiting.values().map(|request| request.bytes.0).sum::<u64>() <= bytes.0);
+            prop_assert!(waiting.values().map(|request| request.bytes.0).sum::<u64>() <= max_bytes.0);
             prop_assert!(waiting.values().all(|request| request.deadline > now));
         }
     }
--- a/crates/cw_policy/tests/routing/filters.rs
+++ b/crates/cw_policy/tests/routing/filters.rs
@@ -1,4 +1,4 @@
-//! Which targets may be chosen at all.
+//! Tests of the conditions under which a target may be chosen.
 
 use std::time::Duration;
 
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn room_is_what_open_targets_have_free_and_never_nothing_while_one_is_open() {
+fn spare_capacity_is_what_open_targets_have_free_and_at_least_one_while_any_is_open() {
     let mut view = view(3);
     for (number, running) in [(0, 10), (1, 16), (2, 20)] {
         view.targets.get_mut(&id(number)).unwrap().load.running = running;
@@ -142,7 +142,7 @@
     dispatches.record_refusal(now(), &id(2), retry);
     let closed = room(&dispatches, now());
 
-    // The report of 6 free places is some 100 ms old and counts for nearly all of it.
+    // The report of 6 free slots is 100 ms old and keeps nearly all of its weight.
     assert!((4..=6).contains(&before), "{before}");
     assert_eq!((full, closed), (1, 0));
     assert_eq!(index.spare_capacity(now(), &unknown, &dispatches), None);
--- a/crates/cw_policy/tests/routing/fixtures.rs
+++ b/crates/cw_policy/tests/routing/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests of routing.
+//! Fixtures for the routing tests.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
 use cw_types::TokenCount;
 use cw_wire::Load;
 
-/// The present, far enough from the origin for targets to have ramped up.
+/// Returns the present time of the tests, so late that all targets have ramped up.
 pub(crate) fn now() -> Time {
     Time(1_000_000_000)
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns a request for the model that all engines hold, from availability zone `z0`.
+/// Returns a request for the model that all engines serve, from availability zone `z0`.
 pub(crate) fn request(workspace: &str) -> RouteRequest {
     let to = RouteTarget::Model {
         model: "m".parse().expect("a valid name"),
--- a/crates/cw_policy/tests/routing/load.rs
+++ b/crates/cw_policy/tests/routing/load.rs
@@ -1,4 +1,4 @@
-//! What the policy does to a whole fleet, in the loop that the benchmark uses too.
+//! Tests of the policy's effect on all targets, in the simulation that the benchmark uses too.
 
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 fn entries_with_late_reports_do_not_herd() {
     let scenario = Scenario {
         entries: 8,
-        lag: Duration::from_secs(1),
-        shared: 0,
+        report_delay: Duration::from_secs(1),
+        shared_blocks: 0,
         sessions: 1_000_000,
         ..Scenario::default()
     };
     let outcome = run(&scenario, Policy::default());
-    let peak = outcome.peaks.iter().sum::<f64>() / outcome.peaks.len() as f64;
+    let peak = outcome.peak_ratios.iter().sum::<f64>() / outcome.peak_ratios.len() as f64;
 
     assert!(
         peak < 1.3,
@@ -45,7 +45,7 @@
 #[test]
 fn cached_prefixes_are_found_without_making_callers_wait() {
     let scenario = Scenario {
-        span: Duration::from_secs(40),
+        duration: Duration::from_secs(40),
         ..Scenario::default()
     };
     let outcome = run(&scenario, Policy::default());
@@ -57,32 +57,35 @@
         Policy::LeastReported,
         Policy::PowerOfTwo,
     ] {
-        let other = p95(&run(&scenario, baseline).first[0]);
-        assert!(p95(&outcome.first[0]) <= other, "{baseline:?}: {other}");
+        let other = p95(&run(&scenario, baseline).first_token[0]);
+        assert!(
+            p95(&outcome.first_token[0]) <= other,
+            "{baseline:?}: {other}"
+        );
     }
 }
 
 #[test]
 fn short_requests_stay_quick_beside_long_ones() {
     let mixed = Scenario {
-        long: 0.1,
-        hold: Duration::from_millis(1500),
-        hold_long: Duration::from_secs(15),
-        span: Duration::from_secs(40),
+        long_share: 0.1,
+        output_time: Duration::from_millis(1500),
+        long_output_time: Duration::from_secs(15),
+        duration: Duration::from_secs(40),
         ..Scenario::default()
     };
     let outcome = run(&mixed, Policy::default());
 
     assert_eq!(outcome.refused, 0);
-    assert!(p95(&outcome.first[0]) <= 1.5 && p95(&outcome.first[1]) <= 1.5);
+    assert!(p95(&outcome.first_token[0]) <= 1.5 && p95(&outcome.first_token[1]) <= 1.5);
 }
 
 #[test]
 fn streams_of_a_lost_availability_zone_go_on_in_time() {
     let scenario = Scenario {
         rate: 90.0,
-        span: Duration::from_secs(40),
-        loss: Some(Duration::from_secs(25)),
+        duration: Duration::from_secs(40),
+        zone_loss: Some(Duration::from_secs(25)),
         ..Scenario::default()
     };
     let outcome = run(&scenario, Policy::default());
--- a/crates/cw_policy/tests/routing/main.rs
+++ b/crates/cw_policy/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of a target.
+//! Tests of routing.
 
 #[path = "../../benches/rounds/engine.rs"]
 mod engine;
--- a/crates/cw_policy/tests/routing/preference.rs
+++ b/crates/cw_policy/tests/routing/preference.rs
@@ -1,4 +1,4 @@
-//! Which of the targets that may be chosen are preferred.
+//! Tests of the preference among the targets that may be chosen.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use crate::fixtures::request;
 use crate::fixtures::view;
 
-/// Returns a request whose prompt shares nothing with that of another number.
+/// Returns a request whose prompt has no block in common with that of another number.
 fn prompt(number: u64, tokens: u64) -> RouteRequest {
     let block = |end| Block {
         hash: number * 100 + u64::from(end),
@@ -31,8 +31,8 @@
     request("w").with_prompt(vec![block(4000), block(8000)], TokenCount(tokens))
 }
 
-/// Chooses for `count` prompts, recording each, and counts the choices.
-fn spread(view: &View, count: u64, tokens: u64) -> BTreeMap<TargetId, u32> {
+/// Chooses targets for `count` prompts, records the dispatches and counts them by target.
+fn count_choices(view: &View, count: u64, tokens: u64) -> BTreeMap<TargetId, u32> {
     let index = TargetIndex::new(view);
     let mut dispatches = DispatchLog::default();
     let mut rng = SmallRng::seed_from_u64(5);
@@ -95,9 +95,9 @@
     for number in (0..30).step_by(3) {
         loaded.targets.get_mut(&id(number)).unwrap().load.running = 16;
     }
-    // Without prompts only load and distance count.
-    let first = spread(&idle, 1, 0);
-    let away = spread(&loaded, 30, 0);
+    // Prompts without tokens have no prefill cost, so that only load and distance count.
+    let first = count_choices(&idle, 1, 0);
+    let away = count_choices(&loaded, 30, 0);
 
     assert_eq!(in_zone(&first), 1);
     assert_eq!(in_zone(&away), 0);
@@ -114,10 +114,10 @@
     let age = Duration::from_secs(1);
     let later = now();
     target.returned.0 = later.0 - u64::try_from(age.as_micros()).unwrap();
-    let counts = spread(&view, 100, 0);
+    let counts = count_choices(&view, 100, 0);
     let to_returned = counts.get(&id(4)).copied().unwrap_or_default();
 
-    // An equal share of 100 is 10; after a tenth of the ramp it takes less.
+    // An equal share of the 100 prompts is 10; after a tenth of the ramp-up the target gets less.
     assert!((1..=5).contains(&to_returned), "{counts:?}");
 }
 
--- a/crates/cw_policy/tests/suspicion.rs
+++ b/crates/cw_policy/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their targets are refused, and their companions are not.
+//! Tests that requests that crash their targets are refused and the requests beside them are not.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,19 +22,19 @@
 use rstest::rstest;
 
 /// How many requests an engine runs at once.
-const BATCH: u64 = 32;
+const BATCH_SIZE: u64 = 32;
 
 const POISON: Fingerprint = Fingerprint(0);
 
 fn name<T: std::str::FromStr>(text: &str) -> T {
-    text.parse().ok().expect("a name")
+    text.parse().ok().expect("a valid name")
 }
 
 fn target(at: usize) -> TargetId {
     name(&format!("t{at}"))
 }
 
-/// A view of targets, each with the suspects of its crashes.
+/// Returns a view of targets that report crashes, given the suspects of each crash by target.
 fn view(crashes: &BTreeMap<usize, Vec<Vec<u64>>>) -> View {
     let report = |(at, suspects): (usize, &Vec<u64>)| CrashReport {
         sequence: at as u64 + 1,
@@ -68,7 +68,8 @@
     }
 }
 
-fn after(crashes: &[(u64, usize, Vec<u64>)]) -> SuspicionTable {
+/// Returns the table after crashes, given as second, target and suspects.
+fn table_after(crashes: &[(u64, usize, Vec<u64>)]) -> SuspicionTable {
     let mut table = SuspicionTable::new(SuspicionLimits::default());
     let mut known: BTreeMap<usize, Vec<Vec<u64>>> = BTreeMap::new();
     for (second, at, suspects) in crashes {
@@ -80,25 +81,26 @@
 
 #[rstest]
 fn one_crash_makes_suspects_of_all_in_flight_and_refuses_none() {
-    let table = after(&[(1, 0, (0..BATCH).collect())]);
+    let table = table_after(&[(1, 0, (0..BATCH_SIZE).collect())]);
 
-    for request in 0..BATCH {
+    for request in 0..BATCH_SIZE {
         let verdict = table.assess(Fingerprint(request));
         assert_eq!(verdict, CrashSuspicion::Suspected { crashes: 1 });
     }
     assert_eq!(
-        table.assess(Fingerprint(BATCH)),
+        table.assess(Fingerprint(BATCH_SIZE)),
         CrashSuspicion::Unsuspected
     );
 }
 
 #[rstest]
-fn a_poison_request_is_guilty_after_two_crashes_and_no_bystander_is() {
-    let first: Vec<u64> = (0..BATCH).collect();
-    // The suspects were spread, so those on the second target are other requests.
-    let second: Vec<u64> = std::iter::once(0).chain(100..100 + BATCH).collect();
+fn a_poison_request_is_confirmed_after_two_crashes_and_no_bystander_is() {
+    let first: Vec<u64> = (0..BATCH_SIZE).collect();
+    // The suspects are spread after the first crash, so the second target runs other requests
+    // beside the poison request.
+    let second: Vec<u64> = std::iter::once(0).chain(100..100 + BATCH_SIZE).collect();
 
-    let table = after(&[(1, 0, first.clone()), (9, 1, second.clone())]);
+    let table = table_after(&[(1, 0, first.clone()), (9, 1, second.clone())]);
 
     assert_eq!(
         table.assess(POISON),
@@ -114,14 +116,14 @@
 #[rstest]
 fn a_companion_at_both_crashes_is_told_apart_by_the_third() {
     let pair = vec![0, 1, 2];
-    let two = after(&[(1, 0, pair.clone()), (9, 1, vec![0, 1, 50])]);
+    let two = table_after(&[(1, 0, pair.clone()), (9, 1, vec![0, 1, 50])]);
     assert_eq!(two.assess(POISON), CrashSuspicion::Suspected { crashes: 2 });
     assert_eq!(
         two.assess(Fingerprint(1)),
         CrashSuspicion::Suspected { crashes: 2 }
     );
 
-    let three = after(&[(1, 0, pair), (9, 1, vec![0, 1, 50]), (15, 2, vec![0, 60])]);
+    let three = table_after(&[(1, 0, pair), (9, 1, vec![0, 1, 50]), (15, 2, vec![0, 60])]);
 
     assert_eq!(
         three.assess(POISON),
@@ -137,14 +139,14 @@
 fn the_loss_of_many_targets_at_once_is_no_evidence() {
     let crashes: Vec<(u64, usize, Vec<u64>)> = (0..6).map(|at| (1, at, vec![0])).collect();
 
-    let table = after(&crashes);
+    let table = table_after(&crashes);
 
     assert_eq!(table.assess(POISON), CrashSuspicion::Unsuspected);
 }
 
 #[rstest]
 fn a_request_that_ran_to_its_end_is_cleared() {
-    let mut table = after(&[(1, 0, vec![0, 1]), (9, 1, vec![0, 2])]);
+    let mut table = table_after(&[(1, 0, vec![0, 1]), (9, 1, vec![0, 2])]);
 
     table.record_completion(POISON);
 
@@ -153,9 +155,9 @@
 
 #[rstest]
 fn a_repeat_is_refused_after_two_crashes_here_and_after_three_elsewhere() {
-    let mut here = after(&[(1, 0, vec![0]), (9, 1, vec![0])]);
-    let elsewhere = after(&[(1, 0, vec![0]), (9, 1, vec![0])]);
-    let third = after(&[(1, 0, vec![0]), (9, 1, vec![0]), (20, 2, vec![0])]);
+    let mut here = table_after(&[(1, 0, vec![0]), (9, 1, vec![0])]);
+    let elsewhere = table_after(&[(1, 0, vec![0]), (9, 1, vec![0])]);
+    let third = table_after(&[(1, 0, vec![0]), (9, 1, vec![0]), (20, 2, vec![0])]);
 
     here.confirm(POISON);
 
@@ -166,7 +168,7 @@
 
 #[rstest]
 fn a_report_that_comes_again_counts_once() {
-    let mut table = after(&[(1, 0, vec![0])]);
+    let mut table = table_after(&[(1, 0, vec![0])]);
     let known = BTreeMap::from([(0, vec![vec![0]])]);
 
     table.observe(Time(2_000_000), &view(&known));
@@ -181,15 +183,15 @@
 fn the_table_is_bounded_and_forgets() {
     let limits = SuspicionLimits::default();
     let mut table = SuspicionTable::new(limits.clone());
-    let crashes = (0..limits.capacity + 50)
+    let crashes = (0..limits.max_crashes + 50)
         .map(|at| vec![at as u64])
         .collect();
     let known = BTreeMap::from([(0, crashes)]);
 
     table.observe(Time(0), &view(&known));
-    assert_eq!(table.len(), limits.capacity);
+    assert_eq!(table.len(), limits.max_crashes);
 
-    let later = Time(0) + limits.memory + Duration::from_secs(1);
+    let later = Time(0) + limits.retention + Duration::from_secs(1);
     table.observe(later, &view(&BTreeMap::new()));
     assert!(table.is_empty());
 }
