--- a/crates/cyclamenwharf/src/entry/upkeep.rs
+++ b/crates/cyclamenwharf/src/entry/upkeep.rs
@@ -15,7 +15,7 @@
 /// How often demands on quotas are exchanged, in periods of the queue.
 const EXCHANGE_PERIODS: u64 = 20;
 
-/// The most waiting requests of a lane that go on in one period.
+/// The most waiting requests of a target pool that go on in one period.
 const STARTS: usize = 16;
 
 /// Looks after the queue and the quotas for as long as the entry runs.
@@ -36,7 +36,7 @@
     }
 }
 
-/// Lets as many requests of a lane go on as the targets seem to have room for.
+/// Lets as many requests of a target pool go on as the targets seem to have room for.
 fn start_waiting(front: &Frontend, now: Time, pool: &TargetPool) {
     let view = front.view.load_full();
     let room = front.router.room(now, &view, &RouteTarget::from(pool));
--- a/crates/cyclamenwharf/src/entry/wait_line.rs
+++ b/crates/cyclamenwharf/src/entry/wait_line.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Lets one request of a lane go on; returns whether there was one.
+    /// Lets one request of a target pool go on; returns whether there was one.
     pub(crate) fn start_one(&self, now: Time, pool: &TargetPool) -> bool {
         let mut inner = self.lock();
         let before = inner.queue.len();
@@ -96,7 +96,7 @@
         inner.queue.len() < before
     }
 
-    /// Gives up requests past their deadlines, and returns the lanes in which others wait.
+    /// Gives up requests past their deadlines, and returns the target pools that others wait for.
     pub(crate) fn tick(&self, now: Time) -> Vec<TargetPool> {
         let mut inner = self.lock();
         if inner.queue.is_empty() {
