--- a/crates/cw_policy/benches/rounds/fleet.rs
+++ b/crates/cw_policy/benches/rounds/simulation.rs
@@ -1,7 +1,7 @@
-//! A loop over a few entries and targets in closed form, to compare policies.
+//! A discrete-event simulation of a few entries and targets, to compare policies.
 //!
-//! Targets have slots, process prompts one after another and keep blocks in a limited cache;
-//! entries see their state late. Nothing here models processes, sockets or failures of messages.
+//! Targets have slots, prefill prompts one after another and cache a limited number of blocks;
+//! entries see their state late. Processes, sockets and failures of messages are not modelled.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,11 +13,11 @@
 use cw_policy::TargetView;
 use cw_policy::View;
 use cw_policy::routing::Choice;
-use cw_policy::routing::Costs;
-use cw_policy::routing::Index;
-use cw_policy::routing::Ledger;
+use cw_policy::routing::DispatchLog;
 use cw_policy::routing::Policy;
 use cw_policy::routing::RouteRequest;
+use cw_policy::routing::RoutingCosts;
+use cw_policy::routing::TargetIndex;
 use cw_types::Incarnation;
 use cw_types::Recovery;
 use cw_types::RouteTarget;
@@ -34,41 +34,41 @@
 use crate::engine::Engine;
 use crate::engine::Job;
 use crate::outcome::Outcome;
+use crate::scenario::Scenario;
 use crate::scheduled::Scheduled;
-use crate::shape::Shape;
 
-/// When the loop starts, so that targets have ramped up.
+/// The time at which the simulation starts, so late that all targets have ramped up.
 const START: Time = Time(1_000_000_000);
 
-/// How many other targets are tried after one refused.
+/// How many other targets are tried after a refusal.
 const REDIRECTS: usize = 2;
 
-/// How long a request without a target waits before it tries again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The delay before a request without a target is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The bytes of prompt that make a token.
+/// The bytes of a prompt that count as one token.
 const TOKEN_BYTES: u32 = 4;
 
 #[derive(Clone, Debug)]
 enum Event {
-    Arrive,
-    Try(Job),
-    End { target: usize, number: u64 },
-    Report,
-    Reports(View),
-    Loss,
+    Arrival,
+    Retry(Job),
+    Completion { target: usize, number: u64 },
+    ReportDue,
+    ViewArrival(View),
+    ZoneLoss,
 }
 
 struct Entry {
-    ledger: Ledger,
-    index: Index,
+    dispatches: DispatchLog,
+    index: TargetIndex,
 }
 
-/// The loop.
-pub(crate) struct Fleet {
-    shape: Shape,
+/// The state of a simulation.
+pub(crate) struct Simulation {
+    scenario: Scenario,
     policy: Policy,
-    costs: Costs,
+    costs: RoutingCosts,
     now: Time,
     queue: BinaryHeap<Reverse<Scheduled<Event>>>,
     sequence: u64,
@@ -81,11 +81,16 @@
     outcome: Outcome,
 }
 
-impl Fleet {
-    /// Runs `policy` on `shape` and returns what was measured.
-    pub(crate) fn run(shape: Shape, policy: Policy, costs: Costs, seed: u64) -> Outcome {
-        let count = shape.targets;
-        let mut fleet = Self {
+impl Simulation {
+    /// Runs `policy` on `scenario` and returns the measurements.
+    pub(crate) fn run(
+        scenario: Scenario,
+        policy: Policy,
+        costs: RoutingCosts,
+        seed: u64,
+    ) -> Outcome {
+        let count = scenario.targets;
+        let mut simulation = Self {
             policy,
             costs,
             now: START,
@@ -95,32 +100,32 @@
             ids: (0..count).map(|n| name(&format!("t{n:03}"))).collect(),
             engines: vec![Engine::default(); count],
             entries: Vec::new(),
-            turns: vec![0; shape.sessions],
+            turns: vec![0; scenario.sessions],
             rng: SmallRng::seed_from_u64(seed),
             outcome: Outcome::default(),
-            shape,
+            scenario,
         };
-        let view = fleet.view();
-        for _ in 0..fleet.shape.entries {
-            fleet.entries.push(Entry {
-                ledger: Ledger::default(),
-                index: Index::new(&view).with_costs(fleet.costs.clone()),
+        let view = simulation.view();
+        for _ in 0..simulation.scenario.entries {
+            simulation.entries.push(Entry {
+                dispatches: DispatchLog::default(),
+                index: TargetIndex::new(&view).with_costs(simulation.costs.clone()),
             });
         }
-        fleet.schedule(Duration::ZERO, Event::Arrive);
-        fleet.schedule(Duration::ZERO, Event::Report);
-        if let Some(loss) = fleet.shape.loss {
-            fleet.schedule(loss, Event::Loss);
+        simulation.schedule(Duration::ZERO, Event::Arrival);
+        simulation.schedule(Duration::ZERO, Event::ReportDue);
+        if let Some(loss) = simulation.scenario.zone_loss {
+            simulation.schedule(loss, Event::ZoneLoss);
         }
-        let end = START + fleet.shape.span;
-        while let Some(Reverse(next)) = fleet.queue.pop() {
+        let end = START + simulation.scenario.duration;
+        while let Some(Reverse(next)) = simulation.queue.pop() {
             if next.at > end {
                 break;
             }
-            fleet.now = next.at;
-            fleet.on_event(next.event);
+            simulation.now = next.at;
+            simulation.on_event(next.event);
         }
-        fleet.outcome
+        simulation.outcome
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
@@ -134,41 +139,43 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Try(job) => self.dispatch(job),
-            Event::End { target, number } => self.end(target, number),
-            Event::Report => self.report(),
-            Event::Reports(view) => self.observe(&view),
-            Event::Loss => self.lose(),
+            Event::Arrival => self.arrive(),
+            Event::Retry(job) => self.dispatch(job),
+            Event::Completion { target, number } => self.end(target, number),
+            Event::ReportDue => self.report(),
+            Event::ViewArrival(view) => self.observe(&view),
+            Event::ZoneLoss => self.lose_zone(),
         }
     }
 
-    fn is_warm(&self) -> bool {
-        self.now >= START + self.shape.span / 4
+    fn is_warmed_up(&self) -> bool {
+        self.now >= START + self.scenario.duration / 4
     }
 
     // -----------------------------------------------------------------------------------------
 
     fn arrive(&mut self) {
-        let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.shape.rate;
-        self.schedule(Duration::from_secs_f64(gap), Event::Arrive);
-        // Squaring makes some sessions, and so some workspaces, much busier than others.
-        let pick = self.rng.random::<f64>().powi(2) * self.shape.sessions as f64;
+        let gap = -self.rng.random::<f64>().max(1e-12).ln() / self.scenario.rate;
+        self.schedule(Duration::from_secs_f64(gap), Event::Arrival);
+        // The square makes some sessions, and so some workspaces, much busier than others.
+        let pick = self.rng.random::<f64>().powi(2) * self.scenario.sessions as f64;
         let session = pick as usize;
-        let workspace = session * self.shape.workspaces / self.shape.sessions;
+        let workspace = session * self.scenario.workspaces / self.scenario.sessions;
         let turn = self.turns[session];
-        self.turns[session] = (turn + 1) % self.shape.turns;
-        let blocks = self.shape.blocks(workspace, session, turn, self.sequence);
+        self.turns[session] = (turn + 1) % self.scenario.turns;
+        let blocks = self
+            .scenario
+            .blocks(workspace, session, turn, self.sequence);
         let bytes = blocks.last().map_or(0, |block| block.end);
         let tokens = TokenCount(u64::from(bytes / TOKEN_BYTES));
-        let long = self.rng.random::<f64>() < self.shape.long;
+        let long = self.rng.random::<f64>() < self.scenario.long_share;
         let mean = if long {
-            self.shape.hold_long
+            self.scenario.long_output_time
         } else {
-            self.shape.hold
+            self.scenario.output_time
         };
-        let hold = mean.mul_f64(-self.rng.random::<f64>().max(1e-12).ln());
-        let entry = self.rng.random_range(0..self.shape.entries);
+        let output_time = mean.mul_f64(-self.rng.random::<f64>().max(1e-12).ln());
+        let entry = self.rng.random_range(0..self.scenario.entries);
         let to = RouteTarget::Model {
             model: name("m"),
             version: name("v"),
@@ -178,10 +185,10 @@
         let request = RouteRequest::new(to, name(&format!("w{workspace}")), zone, name("r"))
             .with_prompt(blocks, tokens);
         self.dispatch(Job {
-            since: self.now,
+            waiting_since: self.now,
             entry,
             request,
-            hold,
+            output_time,
             long,
         });
     }
@@ -193,55 +200,62 @@
                 self.now,
                 self.policy,
                 &job.request,
-                &entry.ledger,
+                &entry.dispatches,
                 &mut self.rng,
             );
             let Choice::Target(id) = choice else {
                 break;
             };
-            let target = self.ids.binary_search(&id).expect("a known target");
-            entry.ledger.sent(self.now, &id, &job.request);
-            if self.engines[target].lost || self.engines[target].running.len() >= self.shape.slots {
+            let target = self
+                .ids
+                .binary_search(&id)
+                .expect("the view has only known targets");
+            entry
+                .dispatches
+                .record_dispatch(self.now, &id, &job.request);
+            if self.engines[target].lost
+                || self.engines[target].running.len() >= self.scenario.slots
+            {
                 let retry = Duration::from_millis(200);
-                entry.ledger.refused(self.now, &id, retry);
+                entry.dispatches.record_refusal(self.now, &id, retry);
                 job.request.excluded.insert(id);
-                self.outcome.busy += u32::from(self.is_warm());
+                self.outcome.busy += u32::from(self.is_warmed_up());
                 continue;
             }
             return self.start(target, job);
         }
-        if self.now.since(job.since) > self.shape.patience {
-            self.outcome.refused += u32::from(self.is_warm());
+        if self.now.since(job.waiting_since) > self.scenario.max_wait {
+            self.outcome.refused += u32::from(self.is_warmed_up());
             return;
         }
         job.request.excluded.clear();
-        self.schedule(PAUSE, Event::Try(job));
+        self.schedule(RETRY_DELAY, Event::Retry(job));
     }
 
     fn start(&mut self, target: usize, job: Job) {
         let engine = &mut self.engines[target];
-        let most = self.shape.cache_blocks;
-        let cached = engine.cache(&job.request.blocks, &mut self.clock, most);
+        let capacity = self.scenario.cache_blocks;
+        let cached = engine.cache(&job.request.blocks, &mut self.clock, capacity);
         let cached = TokenCount(u64::from(cached / TOKEN_BYTES));
         let tokens = job.request.tokens;
-        let prefill = self.shape.prefill * u32::try_from(tokens.0 - cached.0).unwrap_or(0);
-        engine.free = engine.free.max(self.now) + prefill;
-        let first = engine.free;
+        let prefill = self.scenario.prefill * u32::try_from(tokens.0 - cached.0).unwrap_or(0);
+        engine.idle_at = engine.idle_at.max(self.now) + prefill;
+        let first = engine.idle_at;
         self.sequence += 1;
         let number = self.sequence;
         engine.running.insert(number, (self.now, job.clone()));
-        let after = self.now.until(first + job.hold);
-        self.schedule(after, Event::End { target, number });
-        let ledger = &mut self.entries[job.entry].ledger;
-        ledger
-            .overlap
+        let after = self.now.until(first + job.output_time);
+        self.schedule(after, Event::Completion { target, number });
+        let dispatches = &mut self.entries[job.entry].dispatches;
+        dispatches
+            .cache_index
             .learn(&self.ids[target], &job.request.blocks, cached, tokens);
-        if self.is_warm() {
-            let wait = first.since(job.since).as_secs_f64();
+        if self.is_warmed_up() {
+            let wait = first.since(job.waiting_since).as_secs_f64();
             if job.request.resumed {
                 self.outcome.resumed.push(wait);
             } else {
-                self.outcome.first[usize::from(job.long)].push(wait);
+                self.outcome.first_token[usize::from(job.long)].push(wait);
                 self.outcome.tokens += tokens.0;
                 self.outcome.cached += cached.0;
             }
@@ -253,41 +267,41 @@
             return;
         };
         let held = self.now.since(began);
-        let ledger = &mut self.entries[job.entry].ledger;
-        ledger.ended(self.now, &self.ids[target], held);
+        let dispatches = &mut self.entries[job.entry].dispatches;
+        dispatches.record_end(self.now, &self.ids[target], held);
     }
 
     // -----------------------------------------------------------------------------------------
 
     fn report(&mut self) {
-        self.schedule(self.shape.period, Event::Report);
+        self.schedule(self.scenario.report_period, Event::ReportDue);
         let view = self.view();
-        if self.is_warm() {
+        if self.is_warmed_up() {
             let loads = self.engines.iter().filter(|engine| !engine.lost);
             let loads: Vec<usize> = loads.map(|engine| engine.running.len()).collect();
             let mean = loads.iter().sum::<usize>() as f64 / loads.len() as f64;
             let max = loads.iter().max().copied().unwrap_or_default();
-            self.outcome.peaks.push(max as f64 / mean.max(1.0));
+            self.outcome.peak_ratios.push(max as f64 / mean.max(1.0));
         }
-        self.schedule(self.shape.lag, Event::Reports(view));
+        self.schedule(self.scenario.report_delay, Event::ViewArrival(view));
     }
 
     fn observe(&mut self, view: &View) {
         for entry in &mut self.entries {
-            entry.ledger.observe(self.now, view);
-            entry.index = Index::new(view).with_costs(self.costs.clone());
+            entry.dispatches.observe(self.now, view);
+            entry.index = TargetIndex::new(view).with_costs(self.costs.clone());
         }
     }
 
-    /// Loses a third of the targets: one availability zone.
-    fn lose(&mut self) {
+    /// Fails a third of the targets, those of one availability zone, and resumes their requests.
+    fn lose_zone(&mut self) {
         let mut lost = Vec::new();
         for engine in self.engines.iter_mut().step_by(3) {
             engine.lost = true;
             lost.extend(std::mem::take(&mut engine.running).into_values());
         }
         for (_, mut job) in lost {
-            job.since = self.now;
+            job.waiting_since = self.now;
             job.request = job.request.resumed(Recovery::Latency);
             self.dispatch(job);
         }
@@ -306,8 +320,8 @@
     }
 
     fn target(&self, number: usize, engine: &Engine) -> TargetView {
-        let backlog = self.now.until(engine.free).as_secs_f64();
-        let prefill = backlog / self.shape.prefill.as_secs_f64().max(1e-9);
+        let backlog = self.now.until(engine.idle_at).as_secs_f64();
+        let prefill = backlog / self.scenario.prefill.as_secs_f64().max(1e-9);
         TargetView {
             target: Target {
                 agent: "127.0.0.1:1".parse().expect("a valid address"),
@@ -326,7 +340,7 @@
             incarnation: Incarnation(1),
             load: Load {
                 running: u32::try_from(engine.running.len()).unwrap_or(u32::MAX),
-                limit: u32::try_from(self.shape.slots).unwrap_or(u32::MAX),
+                limit: u32::try_from(self.scenario.slots).unwrap_or(u32::MAX),
                 prefill: TokenCount(prefill as u64),
                 ..Load::default()
             },
--- a/crates/cyclamenwharf/src/entry/upkeep.rs
+++ b/crates/cyclamenwharf/src/entry/upkeep.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_policy::queue::Lane;
+use cw_policy::queue::TargetPool;
 use cw_types::RouteTarget;
 use cw_types::Time;
 
@@ -15,7 +15,7 @@
 /// How often demands on quotas are exchanged, in periods of the queue.
 const EXCHANGE_PERIODS: u64 = 20;
 
-/// The most waiting requests of a lane that go on in one period.
+/// The most waiting requests of a target pool that go on in one period.
 const STARTS: usize = 16;
 
 /// Looks after the queue and the quotas for as long as the entry runs.
@@ -25,8 +25,8 @@
     for period in 0_u64.. {
         clock.tick().await;
         let now = front.clock.now();
-        for lane in front.line.tick(now) {
-            start_waiting(&front, now, &lane);
+        for pool in front.line.tick(now) {
+            start_waiting(&front, now, &pool);
         }
         if period % EXCHANGE_PERIODS == 0 {
             front.quotas.exchange(now, &front.view.load());
@@ -36,13 +36,13 @@
     }
 }
 
-/// Lets as many requests of a lane go on as the targets seem to have room for.
-fn start_waiting(front: &Frontend, now: Time, lane: &Lane) {
+/// Lets as many requests of a target pool go on as the targets seem to have room for.
+fn start_waiting(front: &Frontend, now: Time, pool: &TargetPool) {
     let view = front.view.load_full();
-    let room = front.router.room(now, &view, &RouteTarget::from(lane));
+    let room = front.router.room(now, &view, &RouteTarget::from(pool));
     // Without targets they go on too, and are told so.
     for _ in 0..room.unwrap_or(STARTS).min(STARTS) {
-        if !front.line.start_one(now, lane) {
+        if !front.line.start_one(now, pool) {
             return;
         }
     }
