--- a/crates/cw_policy/src/forward/directory_log.rs
+++ b/crates/cw_policy/src/forward/directory_log.rs
@@ -40,7 +40,7 @@
 
 impl DirectoryLog {
     /// The directory was read as a whole at this revision.
-    pub fn read(&mut self, revision: i64) {
+    pub fn record_read(&mut self, revision: i64) {
         if revision > self.newest {
             self.newest = revision;
             // What led there was not seen one by one.
@@ -50,7 +50,13 @@
     }
 
     /// A watch saw a change.
-    pub fn saw(&mut self, now: Time, key: &str, value: Option<bytes::Bytes>, revision: i64) {
+    pub fn record_change(
+        &mut self,
+        now: Time,
+        key: &str,
+        value: Option<bytes::Bytes>,
+        revision: i64,
+    ) {
         let last = self.recent.back().map(|(_, change)| change);
         // One change of the service may touch several keys.
         let previous = match last {
@@ -92,7 +98,7 @@
     }
 
     /// Another entry tells news.
-    pub fn hear(&mut self, news: &DirectoryNews) -> NewsStep {
+    pub fn receive(&mut self, news: &DirectoryNews) -> NewsStep {
         if news.newest <= self.newest {
             return NewsStep::Nothing;
         }
--- a/crates/cw_policy/src/forward/event_stream.rs
+++ b/crates/cw_policy/src/forward/event_stream.rs
@@ -9,7 +9,7 @@
 
 /// A stream that cannot be passed on any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum StreamFault {
+pub enum StreamError {
     /// An event is missing.
     #[snafu(display("event {found} came where {expected} was due"))]
     Gap {
@@ -56,13 +56,13 @@
     }
 
     /// Returns whether the bytes so far end within an event.
-    pub fn is_torn(&self) -> bool {
+    pub fn ends_mid_event(&self) -> bool {
         !self.rest.is_empty()
     }
 
     /// Returns whether the stream may end here: events have been passed on, all of them whole.
-    pub fn is_at_end(&self) -> bool {
-        self.last.is_some() && !self.is_torn()
+    pub fn may_end(&self) -> bool {
+        self.last.is_some() && !self.ends_mid_event()
     }
 
     /// The stream goes on from another target: half an event of the last one is dropped.
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// Fails when an event is missing or cannot be read; nothing of these bytes is to be passed on.
-    pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, StreamFault> {
+    pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, StreamError> {
         if self.rest.is_empty()
             && let Some(count) = self.whole(bytes)
         {
@@ -83,7 +83,7 @@
         }
         self.rest.extend_from_slice(bytes);
         if self.rest.len() > EVENT_MAX {
-            return Err(StreamFault::TooLong);
+            return Err(StreamError::TooLong);
         }
         let count = self.whole(&self.rest).unwrap_or(0);
         let whole = self.rest.split_to(count).freeze();
@@ -98,7 +98,7 @@
             .map(|at| at + 2)
     }
 
-    fn pass(&mut self, whole: Bytes, rest: &[u8]) -> Result<Bytes, StreamFault> {
+    fn pass(&mut self, whole: Bytes, rest: &[u8]) -> Result<Bytes, StreamError> {
         let mut start = 0;
         let mut at = 0;
         while let Some(length) = event_length(&whole[at..]) {
@@ -113,7 +113,7 @@
                     Some(last) if id != last + 1 => {
                         let expected = last + 1;
                         let found = id;
-                        return Err(StreamFault::Gap { expected, found });
+                        return Err(StreamError::Gap { expected, found });
                     }
                     _ => self.last = Some(id),
                 }
@@ -134,18 +134,18 @@
 }
 
 /// Returns the number of an event; `None` for a comment.
-fn number(event: &[u8]) -> Result<Option<u64>, StreamFault> {
+fn number(event: &[u8]) -> Result<Option<u64>, StreamError> {
     let mut fields = false;
     for line in event.split(|&byte| byte == b'\n') {
         if let Some(id) = line.strip_prefix(b"id:") {
-            let text = std::str::from_utf8(id).map_err(|_| StreamFault::NoNumber)?;
-            let id = text.trim().parse().map_err(|_| StreamFault::NoNumber)?;
+            let text = std::str::from_utf8(id).map_err(|_| StreamError::NoNumber)?;
+            let id = text.trim().parse().map_err(|_| StreamError::NoNumber)?;
             return Ok(Some(id));
         }
         fields |= !line.is_empty() && !line.starts_with(b":");
     }
     match fields {
-        true => Err(StreamFault::NoNumber),
+        true => Err(StreamError::NoNumber),
         false => Ok(None),
     }
 }
--- a/crates/cw_policy/src/forward/exchange.rs
+++ b/crates/cw_policy/src/forward/exchange.rs
@@ -202,7 +202,7 @@
     /// Returns when a target that was sent the request now is given up if it does not answer,
     /// `None` for never. `resumed` says that it goes on from a copy of the run; `reading` is the
     /// longest time that reading its prompt should take.
-    pub fn start_patience(
+    pub fn start_deadline(
         &self,
         now: Time,
         resumed: bool,
@@ -224,7 +224,7 @@
     }
 
     /// Returns when a target whose last event came now is given up, `None` for never.
-    pub fn patience(&self, now: Time) -> Option<Time> {
+    pub fn event_deadline(&self, now: Time) -> Option<Time> {
         let resumes = self.plan.repeat == Repeat::Resume && self.runs < self.plan.attempts;
         resumes.then(|| now + self.silence())
     }
--- a/crates/cw_policy/src/forward/fleet.rs
+++ b/crates/cw_policy/src/forward/fleet.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetLimits {
     /// How long after the directory's return a target that lapsed meanwhile may still come back.
-    pub relist: Duration,
+    pub relist_grace: Duration,
     /// How long the directory names a target that has stopped.
     pub lapse: Duration,
 }
@@ -36,7 +36,7 @@
 impl Default for FleetLimits {
     fn default() -> Self {
         Self {
-            relist: Duration::from_secs(2),
+            relist_grace: Duration::from_secs(2),
             lapse: Duration::from_secs(4),
         }
     }
@@ -99,7 +99,7 @@
     pub fn listed(&mut self, now: Time, listing: Listing) -> bool {
         match self.members.get_mut(&listing.id) {
             Some(member) if member.listing == listing && member.missing.is_none() => false,
-            Some(member) if member.listing.same_life(&listing) => {
+            Some(member) if member.listing.is_same_instance(&listing) => {
                 // A target that is leaving does not stay after all, whatever an old entry says.
                 let leaving = member.listing.leaving || listing.leaving;
                 member.listing = Listing { leaving, ..listing };
@@ -127,11 +127,11 @@
     /// used on.
     pub fn removed(&mut self, now: Time, id: &TargetId) -> bool {
         let trusted = self.is_trusted(now);
-        self.vanished(now, id, trusted)
+        self.unlisted(now, id, trusted)
     }
 
     /// An entry has vanished from the directory; `trusted` says whether that is the truth.
-    pub fn vanished(&mut self, now: Time, id: &TargetId, trusted: bool) -> bool {
+    pub fn unlisted(&mut self, now: Time, id: &TargetId, trusted: bool) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return false;
         };
@@ -145,7 +145,7 @@
     }
 
     /// The directory was read as a whole, and names these targets only.
-    pub fn relisted(&mut self, now: Time, names: &BTreeSet<TargetId>) {
+    pub fn retain_listed(&mut self, now: Time, names: &BTreeSet<TargetId>) {
         let gone: Vec<TargetId> = self
             .members
             .keys()
@@ -158,14 +158,14 @@
     }
 
     /// A call to the directory failed. Returns whether it answered before.
-    pub fn directory_lost(&mut self) -> bool {
+    pub fn directory_failed(&mut self) -> bool {
         let was_up = self.directory != Directory::Down;
         self.directory = Directory::Down;
         was_up
     }
 
     /// A call to the directory was answered. Returns whether it had failed before.
-    pub fn directory_back(&mut self, now: Time) -> bool {
+    pub fn directory_answered(&mut self, now: Time) -> bool {
         let was_down = self.directory == Directory::Down;
         if was_down {
             self.directory = Directory::Up(now);
@@ -177,7 +177,7 @@
     /// targets need to come back to it.
     pub fn is_trusted(&self, now: Time) -> bool {
         match self.directory {
-            Directory::Up(since) => now.since(since) >= self.limits.relist,
+            Directory::Up(since) => now.since(since) >= self.limits.relist_grace,
             Directory::Down => false,
         }
     }
@@ -192,7 +192,7 @@
         let Directory::Up(since) = self.directory else {
             return Vec::new();
         };
-        if now.since(since) < self.limits.relist {
+        if now.since(since) < self.limits.relist_grace {
             return Vec::new();
         }
         let gone: Vec<TargetId> = self
@@ -238,7 +238,7 @@
     }
 
     /// A target keeps a copy of a run, or no longer does.
-    pub fn copy(&mut self, id: &TargetId, demand: Demand, kept: bool) {
+    pub fn count_copy(&mut self, id: &TargetId, demand: Demand, kept: bool) {
         let Some(member) = self.members.get_mut(id) else {
             return;
         };
@@ -267,7 +267,7 @@
     }
 
     /// Something came from a target, so it lives.
-    pub fn heard(&mut self, now: Time, id: &TargetId) {
+    pub fn responded(&mut self, now: Time, id: &TargetId) {
         if let Some(member) = self.members.get_mut(id) {
             member.heard(now);
         }
--- a/crates/cw_policy/src/forward/listing.rs
+++ b/crates/cw_policy/src/forward/listing.rs
@@ -22,12 +22,14 @@
     /// Whether it takes no new work.
     pub leaving: bool,
     /// The Unix time of its start, in milliseconds: another one under the same id is another life.
-    pub born: Option<u64>,
+    pub started: Option<u64>,
 }
 
 impl Listing {
     /// Returns whether `other` is the same life of the same target.
-    pub fn same_life(&self, other: &Listing) -> bool {
-        self.born == other.born && self.address == other.address && self.service == other.service
+    pub fn is_same_instance(&self, other: &Listing) -> bool {
+        self.started == other.started
+            && self.address == other.address
+            && self.service == other.service
     }
 }
--- a/crates/cw_policy/src/forward/mod.rs
+++ b/crates/cw_policy/src/forward/mod.rs
@@ -5,17 +5,16 @@
 //!
 //! - [`ForwardConfig`]: routes by host and path, services and callers' keys, at one version.
 //! - [`Fleet`]: which targets there are, how loaded, and which one is next ([`Placement`]).
-//! - [`Fleet::heard_peer`]: what the other entries say they have at the targets.
+//! - [`Fleet::receive_peer`]: what the other entries say they have at the targets.
 //! - [`Roster`]: which other entries there are.
 //! - [`RunCopy`]: a copy of a run's memory at another engine.
-//! - [`Whereabouts`]: which target has read which prompt.
-//! - [`PromptPace`]: how long targets take to read prompts, and to answer them.
-//! - [`Outlook`]: whether a request can begin in time, or a queue stands ([`Crowd`]).
+//! - [`PromptLocations`]: which target has read which prompt.
+//! - [`RunTimes`]: how long targets take to read prompts, and to answer them.
+//! - [`StartEstimate`]: whether a request can begin in time, or a queue stands ([`StandingQueues`]).
 //! - [`DirectoryLog`]: how a few entries follow the directory for all.
 //! - [`Exchange`]: one request, from its arrival to its end.
 //! - [`EventStream`]: cuts a target's bytes into events and keeps them in order.
 
-mod crowd;
 mod directory_log;
 mod event_stream;
 mod exchange;
@@ -23,19 +22,19 @@
 mod forward_config;
 mod listing;
 mod member;
-mod outlook;
-mod pace;
 mod peers;
 mod placement;
+mod prompt_locations;
 mod roster;
 mod run_copy;
-mod whereabouts;
+mod run_times;
+mod standing_queues;
+mod start_estimate;
 
-pub use crowd::Crowd;
 pub use directory_log::DirectoryLog;
 pub use directory_log::NewsStep;
 pub use event_stream::EventStream;
-pub use event_stream::StreamFault;
+pub use event_stream::StreamError;
 pub use exchange::Exchange;
 pub use exchange::ExchangeEvent;
 pub use exchange::ExchangePlan;
@@ -55,14 +54,15 @@
 pub use member::Demand;
 pub use member::Fault;
 pub use member::ReportedLoad;
-pub use outlook::Backlog;
-pub use outlook::Outlook;
-pub use pace::PromptPace;
 pub use peers::PeerLimits;
 pub use placement::Need;
 pub use placement::Placement;
+pub use prompt_locations::PromptLocationLimits;
+pub use prompt_locations::PromptLocations;
 pub use roster::Roster;
 pub use run_copy::CopyName;
 pub use run_copy::RunCopy;
-pub use whereabouts::Whereabouts;
-pub use whereabouts::WhereaboutsLimits;
+pub use run_times::RunTimes;
+pub use standing_queues::StandingQueues;
+pub use start_estimate::Backlog;
+pub use start_estimate::StartEstimate;
--- a/crates/cw_policy/src/forward/peers.rs
+++ b/crates/cw_policy/src/forward/peers.rs
@@ -29,17 +29,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerLimits {
     /// How long the last message of an entry is believed, where there are few.
-    pub life: Duration,
+    pub ttl: Duration,
     /// How much longer for each entry: the more there are, the less often each tells.
-    pub step: Duration,
+    pub ttl_per_entry: Duration,
 }
 
 impl Default for PeerLimits {
     fn default() -> Self {
         Self {
             // Some messages may be lost; after as many the entry has gone, and its requests too.
-            life: Duration::from_millis(1500),
-            step: Duration::from_millis(30),
+            ttl: Duration::from_millis(1500),
+            ttl_per_entry: Duration::from_millis(30),
         }
     }
 }
@@ -82,7 +82,7 @@
 
 impl Fleet {
     /// Another entry says what it has at the targets. Returns whether the message is news.
-    pub fn heard_peer(&mut self, now: Time, message: &Outstanding) -> bool {
+    pub fn receive_peer(&mut self, now: Time, message: &Outstanding) -> bool {
         let known = self.peers.peers.get(&message.host);
         let is_old = known.is_some_and(|peer| {
             peer.incarnation == message.incarnation && peer.sequence >= message.sequence
@@ -115,15 +115,15 @@
     }
 
     /// Forgets what entries said that have not been heard for long. Returns which.
-    pub fn forget_peers(&mut self, now: Time) -> Vec<HostId> {
+    pub fn expire_peers(&mut self, now: Time) -> Vec<HostId> {
         let count = u32::try_from(self.entries.len()).unwrap_or(u32::MAX);
         let limits = self.peers.limits;
-        let life = limits.life + limits.step.saturating_mul(count);
+        let ttl = limits.ttl + limits.ttl_per_entry.saturating_mul(count);
         let gone: Vec<HostId> = self
             .peers
             .peers
             .iter()
-            .filter(|(_, peer)| now.since(peer.heard) > life)
+            .filter(|(_, peer)| now.since(peer.heard) > ttl)
             .map(|(host, _)| host.clone())
             .collect();
         for host in &gone {
@@ -142,7 +142,7 @@
     }
 
     /// Returns whether this entry writes down what all of them know.
-    pub fn is_scribe(&self, now: Time) -> bool {
+    pub fn is_writer(&self, now: Time) -> bool {
         self.watchers_before(now) == 0
     }
 
@@ -183,7 +183,7 @@
 
     /// Returns whether a target may have stopped without a sign: it was found lost itself, or
     /// several others of its availability zone were and nothing has come from it since.
-    pub fn is_doubted(&self, now: Time, id: &TargetId) -> bool {
+    pub fn is_suspect(&self, now: Time, id: &TargetId) -> bool {
         let Some(member) = self.members.get(id) else {
             return true;
         };
--- a/crates/cw_policy/src/forward/whereabouts.rs
+++ b/crates/cw_policy/src/forward/prompt_locations.rs
@@ -15,17 +15,17 @@
 
 /// Bounds on what is remembered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WhereaboutsLimits {
+pub struct PromptLocationLimits {
     /// How long a prompt is remembered: callers come back within seconds, or not at all.
-    pub life: Duration,
+    pub ttl: Duration,
     /// The most prompts that are remembered.
     pub capacity: usize,
 }
 
-impl Default for WhereaboutsLimits {
+impl Default for PromptLocationLimits {
     fn default() -> Self {
         Self {
-            life: Duration::from_secs(30),
+            ttl: Duration::from_secs(30),
             capacity: 8192,
         }
     }
@@ -33,15 +33,15 @@
 
 /// Which target has read which prompt, by this entry's own requests and by what others say.
 #[derive(Clone, Debug, Default)]
-pub struct Whereabouts {
-    limits: WhereaboutsLimits,
+pub struct PromptLocations {
+    limits: PromptLocationLimits,
     prompts: BTreeMap<PromptHash, (TargetHash, Time)>,
     order: VecDeque<(Time, PromptHash)>,
 }
 
-impl Whereabouts {
+impl PromptLocations {
     /// Returns an empty memory.
-    pub fn new(limits: WhereaboutsLimits) -> Self {
+    pub fn new(limits: PromptLocationLimits) -> Self {
         Self {
             limits,
             ..Self::default()
@@ -49,7 +49,7 @@
     }
 
     /// A target reads a prompt.
-    pub fn note(&mut self, now: Time, read: ReadPrompt) {
+    pub fn record(&mut self, now: Time, read: ReadPrompt) {
         self.prompts.insert(read.prompt, (read.target, now));
         self.order.push_back((now, read.prompt));
         while self.order.len() > self.limits.capacity {
@@ -60,20 +60,20 @@
     /// Returns the target that read a prompt last.
     pub fn find(&self, now: Time, prompt: PromptHash) -> Option<TargetHash> {
         let (target, at) = self.prompts.get(&prompt)?;
-        (now.since(*at) <= self.limits.life).then_some(*target)
+        (now.since(*at) <= self.limits.ttl).then_some(*target)
     }
 
     /// Forgets what is too old.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         while let Some((at, _)) = self.order.front()
-            && now.since(*at) > self.limits.life
+            && now.since(*at) > self.limits.ttl
         {
             self.forget_oldest();
         }
     }
 
     /// Returns what was noted after `since`.
-    pub fn noted_since(&self, since: Time) -> Vec<ReadPrompt> {
+    pub fn recorded_since(&self, since: Time) -> Vec<ReadPrompt> {
         self.order
             .iter()
             .rev()
--- a/crates/cw_policy/src/forward/roster.rs
+++ b/crates/cw_policy/src/forward/roster.rs
@@ -9,7 +9,7 @@
 
 /// How long an entry that is not registered is taken to be there after its last message: far longer
 /// than the pauses between messages, so that it takes many lost ones to forget it.
-const HEARD_LIFE: Duration = Duration::from_secs(5);
+const HEARD_TTL: Duration = Duration::from_secs(5);
 
 /// The other entries: those registered in the key-value service, and those heard of late.
 ///
@@ -23,12 +23,12 @@
 
 impl Roster {
     /// The service names these other entries.
-    pub fn register(&mut self, registered: BTreeMap<HostId, SocketAddr>) {
+    pub fn set_registered(&mut self, registered: BTreeMap<HostId, SocketAddr>) {
         self.registered = registered;
     }
 
     /// A message has come from another entry.
-    pub fn hear(&mut self, now: Time, host: &HostId, address: SocketAddr) {
+    pub fn record_message(&mut self, now: Time, host: &HostId, address: SocketAddr) {
         self.heard.insert(host.clone(), (address, now));
     }
 
@@ -37,7 +37,7 @@
         let mut others: BTreeMap<HostId, SocketAddr> = self
             .heard
             .iter()
-            .filter(|(_, (_, at))| now.since(*at) <= HEARD_LIFE)
+            .filter(|(_, (_, at))| now.since(*at) <= HEARD_TTL)
             .map(|(host, (address, _))| (host.clone(), *address))
             .collect();
         others.extend(self.registered.clone());
--- a/crates/cw_policy/src/forward/run_copy.rs
+++ b/crates/cw_policy/src/forward/run_copy.rs
@@ -29,8 +29,8 @@
 
 impl Fleet {
     /// Returns whether the keeper of a copy surely lives on.
-    pub fn keeps(&self, now: Time, copy: &RunCopy) -> bool {
-        self.may_keep(now, copy)
+    pub fn has_copy(&self, now: Time, copy: &RunCopy) -> bool {
+        self.may_have_copy(now, copy)
             && self
                 .members
                 .get(&copy.keeper)
@@ -38,7 +38,7 @@
     }
 
     /// Returns whether the keeper of a copy may live on.
-    pub fn may_keep(&self, now: Time, copy: &RunCopy) -> bool {
+    pub fn may_have_copy(&self, now: Time, copy: &RunCopy) -> bool {
         self.is_usable(now, &copy.keeper)
             && self
                 .members
--- a/crates/cw_policy/src/forward/pace.rs
+++ b/crates/cw_policy/src/forward/run_times.rs
@@ -25,14 +25,20 @@
 
 /// The usual times of runs by service, from what was seen.
 #[derive(Clone, Debug, Default)]
-pub struct PromptPace {
+pub struct RunTimes {
     paces: BTreeMap<ServiceName, Pace>,
 }
 
-impl PromptPace {
+impl RunTimes {
     /// A prompt of so many tokens was read in this time. `ahead` are the tokens that its target had
     /// to read until then, its own among them, if nothing else held it up.
-    pub fn read(&mut self, service: &ServiceName, tokens: u64, ahead: Option<u64>, time: Duration) {
+    pub fn record_prompt(
+        &mut self,
+        service: &ServiceName,
+        tokens: u64,
+        ahead: Option<u64>,
+        time: Duration,
+    ) {
         let pace = self.paces.entry(service.clone()).or_default();
         learn(&mut pace.per_token, time, tokens);
         if let Some(ahead) = ahead {
@@ -41,31 +47,31 @@
     }
 
     /// A whole answer took this long from its first event to its last.
-    pub fn ran(&mut self, service: &ServiceName, time: Duration) {
+    pub fn record_run(&mut self, service: &ServiceName, time: Duration) {
         let pace = self.paces.entry(service.clone()).or_default();
         learn(&mut pace.run, time, 1);
     }
 
     /// Returns the longest time that reading a prompt should take, if any was read before.
-    pub fn most(&self, service: &ServiceName, tokens: u64) -> Option<Duration> {
+    pub fn max_prompt_time(&self, service: &ServiceName, tokens: u64) -> Option<Duration> {
         let pace = self.paces.get(service)?.per_token?;
         Some(Duration::from_secs_f64(pace * tokens as f64 * MARGIN))
     }
 
     /// Returns the usual time in which a target reads so many tokens, if any were read before.
-    pub fn reading(&self, service: &ServiceName, tokens: u64) -> Option<Duration> {
+    pub fn prompt_time(&self, service: &ServiceName, tokens: u64) -> Option<Duration> {
         let pace = self.paces.get(service)?.per_ahead?;
         Some(Duration::from_secs_f64(pace * tokens as f64))
     }
 
     /// Returns how many tokens a target usually reads in this time, if any were read before.
-    pub fn tokens(&self, service: &ServiceName, time: Duration) -> Option<u64> {
+    pub fn tokens_within(&self, service: &ServiceName, time: Duration) -> Option<u64> {
         let pace = self.paces.get(service)?.per_ahead?;
         Some((time.as_secs_f64() / pace.max(f64::EPSILON)) as u64)
     }
 
     /// Returns how long a run usually holds its memory after its first event, if any has ended.
-    pub fn run(&self, service: &ServiceName) -> Option<Duration> {
+    pub fn run_time(&self, service: &ServiceName) -> Option<Duration> {
         let run = self.paces.get(service)?.run?;
         Some(Duration::from_secs_f64(run))
     }
--- a/crates/cw_policy/src/forward/crowd.rs
+++ b/crates/cw_policy/src/forward/standing_queues.rs
@@ -30,14 +30,14 @@
 
 /// The share of requests that have to wait for others, whichever target they go to, by service.
 #[derive(Clone, Debug, Default)]
-pub struct Crowd {
+pub struct StandingQueues {
     services: BTreeMap<ServiceName, Waits>,
 }
 
-impl Crowd {
+impl StandingQueues {
     /// Notes whether a request `waits` wherever it goes, and returns whether a queue stands: most
     /// have waited of late, and it has not been worked off.
-    pub(super) fn stands(
+    pub(super) fn observe(
         &mut self,
         now: Time,
         service: &ServiceName,
--- a/crates/cw_policy/tests/forward/directory_log.rs
+++ b/crates/cw_policy/tests/forward/directory_log.rs
@@ -24,13 +24,13 @@
 #[test]
 fn changes_are_applied_in_order_and_once() {
     let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
-    watcher.read(10);
-    other.read(10);
-    watcher.saw(at(0), "a", value("1"), 11);
-    watcher.saw(at(1), "a", None, 14);
+    watcher.record_read(10);
+    other.record_read(10);
+    watcher.record_change(at(0), "a", value("1"), 11);
+    watcher.record_change(at(1), "a", None, 14);
 
-    let step = other.hear(&watcher.news(at(2), &up(), 1));
-    let again = other.hear(&watcher.news(at(3), &up(), 1));
+    let step = other.receive(&watcher.news(at(2), &up(), 1));
+    let again = other.receive(&watcher.news(at(3), &up(), 1));
 
     let NewsStep::Apply(changes) = step else {
         panic!("{step:?}");
@@ -43,41 +43,44 @@
 #[test]
 fn a_missing_change_makes_an_entry_read() {
     let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
-    watcher.read(10);
-    other.read(10);
-    watcher.saw(at(0), "a", value("1"), 11);
+    watcher.record_read(10);
+    other.record_read(10);
+    watcher.record_change(at(0), "a", value("1"), 11);
     // The change is too old to be told when the next message gets through.
-    watcher.saw(at(5000), "b", value("1"), 15);
+    watcher.record_change(at(5000), "b", value("1"), 15);
 
-    let step = other.hear(&watcher.news(at(5000), &up(), 1));
+    let step = other.receive(&watcher.news(at(5000), &up(), 1));
 
     assert_eq!(step, NewsStep::Reread);
     assert!(other.is_behind());
-    other.read(15);
+    other.record_read(15);
     assert!(!other.is_behind());
 }
 
 #[test]
 fn a_list_that_the_watcher_read_makes_the_others_read() {
     let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
-    watcher.read(10);
-    other.read(10);
+    watcher.record_read(10);
+    other.record_read(10);
 
-    watcher.read(20);
+    watcher.record_read(20);
 
-    assert_eq!(other.hear(&watcher.news(at(0), &up(), 1)), NewsStep::Reread);
+    assert_eq!(
+        other.receive(&watcher.news(at(0), &up(), 1)),
+        NewsStep::Reread
+    );
 }
 
 #[test]
 fn one_revision_may_change_several_keys() {
     let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
-    watcher.read(10);
-    other.read(10);
+    watcher.record_read(10);
+    other.record_read(10);
     for key in ["a", "b", "c"] {
-        watcher.saw(at(0), key, None, 11);
+        watcher.record_change(at(0), key, None, 11);
     }
 
-    let step = other.hear(&watcher.news(at(1), &up(), 1));
+    let step = other.receive(&watcher.news(at(1), &up(), 1));
 
     let NewsStep::Apply(changes) = step else {
         panic!("{step:?}");
@@ -106,15 +109,15 @@
                 Some(new) => truth.insert(key.clone(), new.clone()),
                 None => truth.remove(&key),
             };
-            watcher.saw(now, &key, new, revision);
+            watcher.record_change(now, &key, new, revision);
             if rng.random_bool(0.6) {
                 continue;
             }
-            match other.hear(&watcher.news(now, &up(), 1)) {
+            match other.receive(&watcher.news(now, &up(), 1)) {
                 NewsStep::Nothing => {}
                 NewsStep::Reread => {
                     held = truth.clone();
-                    other.read(revision);
+                    other.record_read(revision);
                 }
                 NewsStep::Apply(changes) => {
                     for change in changes {
@@ -138,9 +141,9 @@
     let mut fleet = fleet(1, 1);
 
     let trusted = log.news(at(10_000), &fleet, 1);
-    fleet.directory_lost();
+    fleet.directory_failed();
     let away = log.news(at(10_000), &fleet, 1);
-    fleet.directory_back(at(11_000));
+    fleet.directory_answered(at(11_000));
     let back = log.news(at(11_100), &fleet, 1);
     let later = log.news(at(13_100), &fleet, 1);
 
--- a/crates/cw_policy/tests/forward/event_stream.rs
+++ b/crates/cw_policy/tests/forward/event_stream.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cw_policy::forward::EventStream;
-use cw_policy::forward::StreamFault;
+use cw_policy::forward::StreamError;
 use rstest::rstest;
 
 fn event(id: u64) -> String {
@@ -13,7 +13,7 @@
     ids.map(event).collect()
 }
 
-fn push(stream: &mut EventStream, text: &str) -> Result<String, StreamFault> {
+fn push(stream: &mut EventStream, text: &str) -> Result<String, StreamError> {
     let whole = stream.push(&Bytes::copy_from_slice(text.as_bytes()))?;
     Ok(String::from_utf8(whole.to_vec()).unwrap())
 }
@@ -29,7 +29,7 @@
 
         assert_eq!(first + &second, text, "cut at {cut}");
         assert_eq!(stream.last(), Some(3));
-        assert!(!stream.is_torn());
+        assert!(!stream.ends_mid_event());
     }
 }
 
@@ -52,7 +52,7 @@
     let passed = push(&mut stream, "id: 1\ndata: half").unwrap();
 
     assert_eq!(passed, "");
-    assert!(stream.is_torn());
+    assert!(stream.ends_mid_event());
     assert_eq!(stream.last(), None);
 }
 
@@ -78,10 +78,10 @@
 }
 
 #[rstest]
-#[case(events(1..=2) + &event(4), StreamFault::Gap { expected: 3, found: 4 })]
-#[case("data: without a number\n\n".to_owned(), StreamFault::NoNumber)]
-#[case("id: seven\ndata: x\n\n".to_owned(), StreamFault::NoNumber)]
-fn a_broken_stream_is_not_passed_on(#[case] text: String, #[case] fault: StreamFault) {
+#[case(events(1..=2) + &event(4), StreamError::Gap { expected: 3, found: 4 })]
+#[case("data: without a number\n\n".to_owned(), StreamError::NoNumber)]
+#[case("id: seven\ndata: x\n\n".to_owned(), StreamError::NoNumber)]
+fn a_broken_stream_is_not_passed_on(#[case] text: String, #[case] fault: StreamError) {
     let mut stream = EventStream::default();
 
     assert_eq!(push(&mut stream, &text), Err(fault));
@@ -94,7 +94,7 @@
 
     push(&mut stream, &chunk).unwrap();
 
-    assert_eq!(push(&mut stream, &chunk), Err(StreamFault::TooLong));
+    assert_eq!(push(&mut stream, &chunk), Err(StreamError::TooLong));
 }
 
 #[test]
--- a/crates/cw_policy/tests/forward/exchange.rs
+++ b/crates/cw_policy/tests/forward/exchange.rs
@@ -59,8 +59,8 @@
 fn a_request_that_may_run_once_waits_to_its_deadline() {
     let exchange = sent(Repeat::Never);
 
-    assert_eq!(exchange.start_patience(at(0), false, None), None);
-    assert_eq!(exchange.patience(at(0)), None);
+    assert_eq!(exchange.start_deadline(at(0), false, None), None);
+    assert_eq!(exchange.event_deadline(at(0)), None);
 }
 
 #[rstest]
@@ -267,10 +267,10 @@
 fn a_long_prompt_is_waited_for() {
     let exchange = sent(Repeat::Resume);
     let usual = exchange
-        .start_patience(at(0), false, Some(Duration::from_secs(1)))
+        .start_deadline(at(0), false, Some(Duration::from_secs(1)))
         .unwrap();
     let long = exchange
-        .start_patience(at(0), false, Some(Duration::from_secs(7)))
+        .start_deadline(at(0), false, Some(Duration::from_secs(7)))
         .unwrap();
 
     assert!(usual < at(4500), "{usual}");
@@ -281,10 +281,10 @@
 fn a_silent_stream_is_left_sooner_where_a_copy_is() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
-    let with_copy = exchange.patience(at(1000)).unwrap();
+    let with_copy = exchange.event_deadline(at(1000)).unwrap();
 
     exchange.set_copy(None);
-    let without = exchange.patience(at(1000)).unwrap();
+    let without = exchange.event_deadline(at(1000)).unwrap();
 
     assert!(with_copy < at(1700), "a pause of 700 ms is too long");
     assert!(without > at(1700), "reading the prompt anew takes longer");
@@ -295,12 +295,12 @@
 fn silence_is_borne_longer_after_a_move() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
-    let first = exchange.patience(at(0)).unwrap();
+    let first = exchange.event_deadline(at(0)).unwrap();
     exchange.on_event(at(400), ExchangeEvent::Lost(Fault::Silent), allowed);
     exchange.send(at(400), placement(engine(1, 0), Some(engine(2, 0))));
     exchange.begin();
 
-    let second = exchange.patience(at(0)).unwrap();
+    let second = exchange.event_deadline(at(0)).unwrap();
 
     assert!(second > first);
 }
@@ -313,5 +313,5 @@
     });
     exchange.send(at(0), placement(engine(0, 0), None));
 
-    assert_eq!(exchange.start_patience(at(0), false, None), None);
+    assert_eq!(exchange.start_deadline(at(0), false, None), None);
 }
--- a/crates/cw_policy/tests/forward/fixtures.rs
+++ b/crates/cw_policy/tests/forward/fixtures.rs
@@ -48,7 +48,7 @@
         zone: name(&format!("z{zone}")),
         slots: 12,
         leaving: false,
-        born: Some(1),
+        started: Some(1),
     }
 }
 
--- a/crates/cw_policy/tests/forward/fleet.rs
+++ b/crates/cw_policy/tests/forward/fleet.rs
@@ -29,8 +29,8 @@
 #[test]
 fn an_entry_that_lapses_while_the_directory_is_away_is_used_on() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_lost();
-    fleet.directory_back(at(10_000));
+    fleet.directory_failed();
+    fleet.directory_answered(at(10_000));
 
     fleet.removed(at(10_010), &engine(0, 0));
 
@@ -41,8 +41,8 @@
 #[test]
 fn an_entry_that_does_not_come_back_is_gone() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_lost();
-    fleet.directory_back(at(10_000));
+    fleet.directory_failed();
+    fleet.directory_answered(at(10_000));
     fleet.removed(at(10_010), &engine(0, 0));
 
     let gone = fleet.expire(at(12_100));
@@ -53,8 +53,8 @@
 #[test]
 fn an_entry_that_comes_back_stays() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_lost();
-    fleet.directory_back(at(10_000));
+    fleet.directory_failed();
+    fleet.directory_answered(at(10_000));
     fleet.removed(at(10_010), &engine(0, 0));
 
     fleet.listed(at(11_000), listing(0, 0));
@@ -66,7 +66,7 @@
 #[test]
 fn nothing_is_dropped_while_the_directory_is_away() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_lost();
+    fleet.directory_failed();
     fleet.removed(at(10_010), &engine(0, 0));
 
     assert!(fleet.expire(at(60_000)).is_empty());
@@ -76,7 +76,7 @@
 fn a_leaving_target_is_gone_at_once_when_its_entry_lapses() {
     let mut fleet = fleet(1, 2);
     fleet.listed(at(1), leaving());
-    fleet.directory_lost();
+    fleet.directory_failed();
 
     fleet.removed(at(10), &engine(0, 0));
 
@@ -108,7 +108,7 @@
     fleet.listed(
         at(2),
         Listing {
-            born: Some(2),
+            started: Some(2),
             ..listing(0, 0)
         },
     );
@@ -151,7 +151,7 @@
 fn a_list_drops_what_it_does_not_name() {
     let mut fleet = fleet(1, 3);
 
-    fleet.relisted(at(10_000), &BTreeSet::from([engine(0, 1)]));
+    fleet.retain_listed(at(10_000), &BTreeSet::from([engine(0, 1)]));
 
     assert_eq!(fleet.len(), 1);
 }
@@ -164,10 +164,10 @@
         fleet.failed(at(10_000), &engine(0, number), Fault::Silent);
     }
 
-    assert!(fleet.is_doubted(at(10_100), &engine(0, 5)));
-    assert!(!fleet.is_doubted(at(10_100), &engine(1, 5)));
-    fleet.heard(at(10_200), &engine(0, 5));
-    assert!(!fleet.is_doubted(at(10_300), &engine(0, 5)));
+    assert!(fleet.is_suspect(at(10_100), &engine(0, 5)));
+    assert!(!fleet.is_suspect(at(10_100), &engine(1, 5)));
+    fleet.responded(at(10_200), &engine(0, 5));
+    assert!(!fleet.is_suspect(at(10_300), &engine(0, 5)));
 }
 
 #[test]
@@ -179,5 +179,5 @@
 
     let later = at(10_000) + Duration::from_secs(5);
 
-    assert!(!fleet.is_doubted(later, &engine(0, 5)));
+    assert!(!fleet.is_suspect(later, &engine(0, 5)));
 }
--- a/crates/cw_policy/tests/forward/peers.rs
+++ b/crates/cw_policy/tests/forward/peers.rs
@@ -63,7 +63,7 @@
 fn a_prompt_of_another_entry_keeps_others_away() {
     let mut fleet = fleet(1, 4);
 
-    fleet.heard_peer(at(0), &reading("a", 1));
+    fleet.receive_peer(at(0), &reading("a", 1));
 
     assert_eq!(choices(&fleet, 10), 0);
 }
@@ -71,9 +71,9 @@
 #[test]
 fn the_newest_message_replaces_the_last() {
     let mut fleet = fleet(1, 4);
-    fleet.heard_peer(at(0), &reading("a", 1));
+    fleet.receive_peer(at(0), &reading("a", 1));
 
-    fleet.heard_peer(at(5), &message("a", 2));
+    fleet.receive_peer(at(5), &message("a", 2));
 
     assert!(choices(&fleet, 10) > 0);
 }
@@ -81,9 +81,9 @@
 #[test]
 fn a_message_that_comes_late_is_no_news() {
     let mut fleet = fleet(1, 4);
-    fleet.heard_peer(at(0), &message("a", 2));
+    fleet.receive_peer(at(0), &message("a", 2));
 
-    let is_news = fleet.heard_peer(at(5), &reading("a", 1));
+    let is_news = fleet.receive_peer(at(5), &reading("a", 1));
 
     assert!(!is_news);
     assert!(choices(&fleet, 10) > 0);
@@ -92,21 +92,21 @@
 #[test]
 fn a_new_life_counts_from_its_own_beginning() {
     let mut fleet = fleet(1, 4);
-    fleet.heard_peer(at(0), &message("a", 90));
+    fleet.receive_peer(at(0), &message("a", 90));
     let reborn = Outstanding {
         incarnation: Incarnation(2),
         ..reading("a", 1)
     };
 
-    assert!(fleet.heard_peer(at(5), &reborn));
+    assert!(fleet.receive_peer(at(5), &reborn));
 }
 
 #[test]
 fn a_dead_entry_holds_nothing() {
     let mut fleet = fleet(1, 4);
-    fleet.heard_peer(at(0), &reading("a", 1));
+    fleet.receive_peer(at(0), &reading("a", 1));
 
-    let gone = fleet.forget_peers(at(2000));
+    let gone = fleet.expire_peers(at(2000));
 
     assert_eq!(gone, vec![name("a")]);
     assert!(choices(&fleet, 2000) > 0);
@@ -118,10 +118,10 @@
     let mut fleet = fleet(1, 4);
     let hosts: Vec<HostId> = (0..300).map(|n| name(&format!("h{n}"))).collect();
     fleet.set_entries(&name("own"), hosts.into_iter());
-    fleet.heard_peer(at(0), &reading("h1", 1));
+    fleet.receive_peer(at(0), &reading("h1", 1));
 
-    assert!(fleet.forget_peers(at(4000)).is_empty());
-    assert_eq!(fleet.forget_peers(at(15_000)), vec![name("h1")]);
+    assert!(fleet.expire_peers(at(4000)).is_empty());
+    assert_eq!(fleet.expire_peers(at(15_000)), vec![name("h1")]);
 }
 
 #[test]
@@ -132,9 +132,9 @@
         ..message("a", 1)
     };
 
-    fleet.heard_peer(at(1000), &lost);
+    fleet.receive_peer(at(1000), &lost);
 
-    assert!(fleet.is_doubted(at(1010), &engine(0, 0)));
+    assert!(fleet.is_suspect(at(1010), &engine(0, 0)));
     assert!(
         fleet.lost_since(at(0)).is_empty(),
         "it would go round for ever"
@@ -151,9 +151,9 @@
             let others = hosts.iter().filter(|host| *host != own);
             fleet.set_entries(&name(own), others.clone().map(|host| name(host)));
             for other in others {
-                fleet.heard_peer(at(0), &message(other, 1));
+                fleet.receive_peer(at(0), &message(other, 1));
             }
-            (fleet.is_watcher(at(10)), fleet.is_scribe(at(10)))
+            (fleet.is_watcher(at(10)), fleet.is_writer(at(10)))
         })
         .collect();
 
@@ -168,14 +168,14 @@
 fn an_entry_that_hears_nobody_watches_itself() {
     let mut fleet = fleet(1, 1);
     fleet.set_entries(&name("d"), ["a", "b"].iter().map(|host| name(host)));
-    fleet.heard_peer(at(0), &message("a", 1));
-    fleet.heard_peer(at(0), &message("b", 1));
+    fleet.receive_peer(at(0), &message("a", 1));
+    fleet.receive_peer(at(0), &message("b", 1));
     assert!(!fleet.is_watcher(at(10)));
 
-    fleet.forget_peers(at(5000));
+    fleet.expire_peers(at(5000));
 
     assert!(fleet.is_watcher(at(5000)));
-    assert!(fleet.is_scribe(at(5000)));
+    assert!(fleet.is_writer(at(5000)));
 }
 
 /// Pattern: the store turns some machines away, the first ones among them, while changes are made.
@@ -183,14 +183,14 @@
 fn an_entry_watches_when_those_before_it_are_turned_away() {
     let mut fleet = fleet(1, 1);
     fleet.set_entries(&name("d"), ["a", "b"].iter().map(|host| name(host)));
-    fleet.heard_peer(at(0), &message("a", 1));
-    fleet.heard_peer(at(0), &message("b", 1));
+    fleet.receive_peer(at(0), &message("a", 1));
+    fleet.receive_peer(at(0), &message("b", 1));
     let mut turned_away = message("a", 2);
     if let Some(news) = &mut turned_away.directory {
         news.up = false;
     }
 
-    fleet.heard_peer(at(10), &turned_away);
+    fleet.receive_peer(at(10), &turned_away);
 
     assert!(fleet.is_watcher(at(20)));
 }
@@ -200,8 +200,8 @@
 fn an_entry_watches_when_those_before_it_have_stopped() {
     let mut fleet = fleet(1, 1);
     fleet.set_entries(&name("d"), ["a", "b"].iter().map(|host| name(host)));
-    fleet.heard_peer(at(0), &message("a", 1));
-    fleet.heard_peer(at(0), &message("b", 1));
+    fleet.receive_peer(at(0), &message("a", 1));
+    fleet.receive_peer(at(0), &message("b", 1));
 
     assert!(!fleet.is_watcher(at(900)));
     assert!(fleet.is_watcher(at(1100)));
@@ -215,7 +215,7 @@
 fn registered_entries_are_there() {
     let mut roster = Roster::default();
 
-    roster.register(BTreeMap::from([(name("a"), address(1))]));
+    roster.set_registered(BTreeMap::from([(name("a"), address(1))]));
 
     assert_eq!(
         roster.others(at(0)),
@@ -227,10 +227,10 @@
 #[test]
 fn an_entry_whose_record_has_lapsed_is_there_while_it_is_heard() {
     let mut roster = Roster::default();
-    roster.register(BTreeMap::from([(name("a"), address(1))]));
-    roster.hear(at(10_000), &name("a"), address(1));
+    roster.set_registered(BTreeMap::from([(name("a"), address(1))]));
+    roster.record_message(at(10_000), &name("a"), address(1));
 
-    roster.register(BTreeMap::new());
+    roster.set_registered(BTreeMap::new());
 
     assert!(roster.others(at(12_000)).contains_key(&name::<HostId>("a")));
     assert!(roster.others(at(20_000)).is_empty());
--- a/crates/cw_policy/tests/forward/outlook.rs
+++ b/crates/cw_policy/tests/forward/start_estimate.rs
@@ -4,10 +4,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use cw_policy::forward::Crowd;
 use cw_policy::forward::Fleet;
-use cw_policy::forward::Outlook;
-use cw_policy::forward::PromptPace;
+use cw_policy::forward::RunTimes;
+use cw_policy::forward::StandingQueues;
+use cw_policy::forward::StartEstimate;
 use cw_types::TargetId;
 use cw_types::Time;
 use rand::SeedableRng;
@@ -51,8 +51,8 @@
 /// Four engines that read one prompt after the other, and the entry before them.
 struct Engines {
     fleet: Fleet,
-    pace: PromptPace,
-    crowd: Crowd,
+    pace: RunTimes,
+    crowd: StandingQueues,
     rng: SmallRng,
     /// The prompts that each one has yet to read.
     queues: BTreeMap<TargetId, VecDeque<Waiting>>,
@@ -66,7 +66,7 @@
         Self {
             fleet: fleet(2, 2),
             pace,
-            crowd: Crowd::default(),
+            crowd: StandingQueues::default(),
             rng: SmallRng::seed_from_u64(3),
             queues: BTreeMap::new(),
             day: Day::default(),
@@ -82,7 +82,8 @@
                 self.fleet.ended(done.read, id, DEMAND, true);
                 let time = done.read.since(done.came);
                 let ahead = Some(done.ahead);
-                self.pace.read(&name("engines"), DEMAND.prompt, ahead, time);
+                self.pace
+                    .record_prompt(&name("engines"), DEMAND.prompt, ahead, time);
                 self.day.begun.push(time);
             }
         }
@@ -96,13 +97,13 @@
         let placed = self.fleet.place(now, &need, &mut self.rng).unwrap();
         let outlook = self
             .fleet
-            .outlook(now, &need, &self.pace, &mut self.crowd, OBJECTIVE);
+            .estimate_start(now, &need, &self.pace, &mut self.crowd, OBJECTIVE);
         let target = match outlook {
-            Outlook::Late { .. } if self.admits => {
+            StartEstimate::Late { .. } if self.admits => {
                 self.day.refused += 1;
                 return;
             }
-            Outlook::InTime | Outlook::Late { .. } => placed.target,
+            StartEstimate::InTime | StartEstimate::Late { .. } => placed.target,
         };
         let ahead = self.fleet.backlog(now, &target, &need, &self.pace).unread;
         self.fleet.sent(now, &target, DEMAND);
@@ -192,22 +193,22 @@
 fn a_prompt_that_is_long_to_read_is_not_refused_while_nothing_waits() {
     let fleet = fleet(1, 1);
     let wish = Wish::default();
-    let mut pace = PromptPace::default();
-    pace.read(&name("engines"), 8000, Some(8000), Duration::from_secs(9));
+    let mut pace = RunTimes::default();
+    pace.record_prompt(&name("engines"), 8000, Some(8000), Duration::from_secs(9));
 
     for second in 0..60 {
         let now = at(second * 1000);
-        let mut crowd = Crowd::default();
-        let outlook = fleet.outlook(now, &wish.need(), &pace, &mut crowd, OBJECTIVE);
+        let mut crowd = StandingQueues::default();
+        let outlook = fleet.estimate_start(now, &wish.need(), &pace, &mut crowd, OBJECTIVE);
 
-        assert_eq!(outlook, Outlook::InTime);
+        assert_eq!(outlook, StartEstimate::InTime);
     }
 }
 
 /// A fleet of one zone whose engines read a prompt in [`READING`].
-fn known(engines: usize) -> (Fleet, PromptPace) {
-    let mut pace = PromptPace::default();
-    pace.read(
+fn known(engines: usize) -> (Fleet, RunTimes) {
+    let mut pace = RunTimes::default();
+    pace.record_prompt(
         &name("engines"),
         DEMAND.prompt,
         Some(DEMAND.prompt),
@@ -216,9 +217,9 @@
     (fleet(1, engines), pace)
 }
 
-fn outlook(fleet: &Fleet, pace: &PromptPace, objective: Duration) -> Outlook {
-    let mut crowd = Crowd::default();
-    fleet.outlook(at(0), &Wish::default().need(), pace, &mut crowd, objective)
+fn outlook(fleet: &Fleet, pace: &RunTimes, objective: Duration) -> StartEstimate {
+    let mut crowd = StandingQueues::default();
+    fleet.estimate_start(at(0), &Wish::default().need(), pace, &mut crowd, objective)
 }
 
 #[test]
@@ -230,7 +231,7 @@
 
     let outlook = outlook(&fleet, &pace, OBJECTIVE);
 
-    assert_eq!(outlook, Outlook::InTime);
+    assert_eq!(outlook, StartEstimate::InTime);
 }
 
 /// Pattern: a route that aims for nothing, and a queue.
@@ -241,14 +242,14 @@
 
     let outlook = outlook(&fleet, &pace, Duration::ZERO);
 
-    assert_eq!(outlook, Outlook::InTime);
+    assert_eq!(outlook, StartEstimate::InTime);
 }
 
 /// Pattern: memory is full of runs that have been read, so nothing is unread but nobody can begin.
 #[test]
 fn memory_that_must_be_freed_first_counts() {
     let (mut fleet, mut pace) = known(1);
-    pace.ran(&name("engines"), Duration::from_secs(10));
+    pace.record_run(&name("engines"), Duration::from_secs(10));
     for _ in 0..18 {
         fleet.sent(at(0), &engine(0, 0), DEMAND);
         fleet.began(at(0), &engine(0, 0), DEMAND);
@@ -257,7 +258,7 @@
     let outlook = outlook(&fleet, &pace, OBJECTIVE);
 
     // 19 requests need 171,000 tokens, the memory has 88,000, and is free again in ten seconds.
-    let Outlook::Late { after, .. } = outlook else {
+    let StartEstimate::Late { after, .. } = outlook else {
         panic!("{outlook:?}")
     };
     assert!(after >= Duration::from_secs(9), "{after:?}");
--- a/crates/cyclamenwharf/src/forward/copying.rs
+++ b/crates/cyclamenwharf/src/forward/copying.rs
@@ -95,7 +95,7 @@
         let mut beliefs = shared.beliefs();
         let beliefs = &mut *beliefs;
         if let Some(copy) = self.exchange.copy()
-            && beliefs.fleet.keeps(now, copy)
+            && beliefs.fleet.has_copy(now, copy)
         {
             return copy.name.as_ref().map(|_| copy.keeper.clone());
         }
--- a/crates/cyclamenwharf/src/forward/directory.rs
+++ b/crates/cyclamenwharf/src/forward/directory.rs
@@ -145,7 +145,7 @@
     fn answered(&self) {
         self.shared.metrics.stored("answered");
         let now = self.shared.now();
-        if self.topic == Topic::Targets && self.shared.beliefs().fleet.directory_back(now) {
+        if self.topic == Topic::Targets && self.shared.beliefs().fleet.directory_answered(now) {
             info!("the key-value service answers again");
         }
     }
@@ -156,7 +156,7 @@
             info!(topic:? = self.topic; "the watched history is gone; reading anew");
             return;
         }
-        if self.topic == Topic::Targets && self.shared.beliefs().fleet.directory_lost() {
+        if self.topic == Topic::Targets && self.shared.beliefs().fleet.directory_failed() {
             warn!("the key-value service does not answer: {error}");
         }
     }
@@ -184,8 +184,8 @@
                 );
             }
         }
-        beliefs.fleet.relisted(now, &names);
-        beliefs.log.read(revision.0);
+        beliefs.fleet.retain_listed(now, &names);
+        beliefs.log.record_read(revision.0);
         count(&self.shared, beliefs.fleet.len());
     }
 
@@ -301,12 +301,12 @@
         let mut beliefs = self.shared.beliefs();
         if beliefs.fleet.is_empty() {
             // The service has not answered yet, so from now on the others' news count.
-            beliefs.fleet.directory_lost();
+            beliefs.fleet.directory_failed();
         }
         for (id, value) in &copy.targets {
             list(&self.shared, now, &mut beliefs, id, value, copy.newest);
         }
-        beliefs.log.read(copy.newest);
+        beliefs.log.record_read(copy.newest);
         count(&self.shared, beliefs.fleet.len());
     }
 
@@ -320,7 +320,9 @@
     fn change(&self, key: &str, value: Option<Bytes>, revision: ModRevision) {
         let now = self.shared.now();
         let mut beliefs = self.shared.beliefs();
-        beliefs.log.saw(now, key, value.clone(), revision.0);
+        beliefs
+            .log
+            .record_change(now, key, value.clone(), revision.0);
         let change = DirectoryChange {
             previous: 0,
             revision: revision.0,
@@ -351,7 +353,7 @@
     match &change.value {
         Some(value) => list(shared, now, beliefs, &id, value, change.revision),
         None => {
-            if beliefs.fleet.vanished(now, &id, trusted) {
+            if beliefs.fleet.unlisted(now, &id, trusted) {
                 info!(
                     target_id = id.as_str(),
                     revision = change.revision,
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -242,12 +242,12 @@
         for id in beliefs.fleet.expire(now) {
             info!(target_id = id.as_str(); "a target's entry did not come back");
         }
-        for host in beliefs.fleet.forget_peers(now) {
+        for host in beliefs.fleet.expire_peers(now) {
             info!(entry = host.as_str(); "another entry is no longer heard");
         }
         count(&shared, beliefs.fleet.len());
-        beliefs.own_prompts.forget(now);
-        beliefs.heard_prompts.forget(now);
+        beliefs.own_prompts.expire(now);
+        beliefs.heard_prompts.expire(now);
         let Beliefs {
             fleet, listings, ..
         } = &mut *beliefs;
--- a/crates/cyclamenwharf/src/forward/guards.rs
+++ b/crates/cyclamenwharf/src/forward/guards.rs
@@ -59,7 +59,7 @@
 
 impl CopyPlace {
     pub(super) fn take(shared: &Arc<Shared>, keeper: &TargetId, demand: Demand) -> Self {
-        shared.beliefs().fleet.copy(keeper, demand, true);
+        shared.beliefs().fleet.count_copy(keeper, demand, true);
         Self {
             shared: Arc::clone(shared),
             keeper: keeper.clone(),
@@ -78,6 +78,6 @@
 impl Drop for CopyPlace {
     fn drop(&mut self) {
         let mut beliefs = self.shared.beliefs();
-        beliefs.fleet.copy(&self.keeper, self.demand, false);
+        beliefs.fleet.count_copy(&self.keeper, self.demand, false);
     }
 }
--- a/crates/cyclamenwharf/src/forward/ledger.rs
+++ b/crates/cyclamenwharf/src/forward/ledger.rs
@@ -47,8 +47,8 @@
                 is_read = self.logged(self.recall().await);
             }
             let prompts = self.prompts();
-            let is_scribe = self.shared.beliefs().fleet.is_scribe(self.shared.now());
-            if is_read && is_scribe && prompts != written {
+            let is_writer = self.shared.beliefs().fleet.is_writer(self.shared.now());
+            if is_read && is_writer && prompts != written {
                 let swap = self.write(&prompts, &mut revision).await;
                 if self.logged(swap) {
                     written = prompts;
@@ -80,7 +80,7 @@
                 info!(prompts = prompts.len(); "where prompts were read is known again");
                 let mut beliefs = self.shared.beliefs();
                 for prompt in prompts {
-                    beliefs.heard_prompts.note(now, prompt);
+                    beliefs.heard_prompts.record(now, prompt);
                 }
             }
             Err(error) => warn!("the list of prompts cannot be read: {error}"),
@@ -91,8 +91,8 @@
     fn prompts(&self) -> Vec<ReadPrompt> {
         let since = self.shared.now().before(SPAN);
         let beliefs = self.shared.beliefs();
-        let mut prompts = beliefs.own_prompts.noted_since(since);
-        prompts.extend(beliefs.heard_prompts.noted_since(since));
+        let mut prompts = beliefs.own_prompts.recorded_since(since);
+        prompts.extend(beliefs.heard_prompts.recorded_since(since));
         prompts.truncate(PROMPTS_MAX);
         prompts
     }
--- a/crates/cyclamenwharf/src/forward/peer_exchange.rs
+++ b/crates/cyclamenwharf/src/forward/peer_exchange.rs
@@ -90,7 +90,7 @@
             sequence,
             shares,
             directory,
-            prompts: beliefs.own_prompts.noted_since(told),
+            prompts: beliefs.own_prompts.recorded_since(told),
             lost: beliefs.fleet.lost_since(told),
         }
     }
@@ -132,9 +132,9 @@
             return;
         }
         if !is_watcher {
-            beliefs.fleet.directory_back(now);
+            beliefs.fleet.directory_answered(now);
         }
-        match beliefs.log.hear(news) {
+        match beliefs.log.receive(news) {
             NewsStep::Nothing => {}
             NewsStep::Reread => self.shared.heard.notify_waiters(),
             NewsStep::Apply(changes) => {
@@ -151,14 +151,14 @@
     fn take(&self, message: &Outstanding, from: SocketAddr) {
         let now = self.shared.now();
         let mut beliefs = self.shared.beliefs();
-        beliefs.roster.hear(now, &message.host, from);
+        beliefs.roster.record_message(now, &message.host, from);
         let before = beliefs.fleet.peers();
-        if beliefs.fleet.heard_peer(now, message) {
+        if beliefs.fleet.receive_peer(now, message) {
             if let Some(news) = &message.directory {
                 self.hear_news(now, &mut beliefs, news);
             }
             for prompt in &message.prompts {
-                beliefs.heard_prompts.note(now, *prompt);
+                beliefs.heard_prompts.record(now, *prompt);
             }
         }
         if beliefs.fleet.peers() > before {
--- a/crates/cyclamenwharf/src/forward/placing.rs
+++ b/crates/cyclamenwharf/src/forward/placing.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use cw_policy::forward::Need;
-use cw_policy::forward::Outlook;
 use cw_policy::forward::Placement;
 use cw_policy::forward::Resume;
 use cw_policy::forward::RunCopy;
+use cw_policy::forward::StartEstimate;
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_wire::TargetHash;
@@ -36,7 +36,7 @@
         let beliefs = &mut *beliefs;
         let need = self.need(now, beliefs);
         if let Some(copy) = &resume.copy
-            && !beliefs.fleet.may_keep(now, copy)
+            && !beliefs.fleet.may_have_copy(now, copy)
         {
             info!(
                 request = self.parcel.head.id.as_str(),
@@ -48,7 +48,7 @@
         let kept = resume
             .copy
             .as_ref()
-            .filter(|copy| beliefs.fleet.may_keep(now, copy));
+            .filter(|copy| beliefs.fleet.may_have_copy(now, copy));
         if let Some(RunCopy { keeper: target, .. }) = kept {
             let copy = beliefs.fleet.keeper(now, &need, target, &mut beliefs.rng);
             let target = target.clone();
@@ -78,9 +78,9 @@
         let Beliefs {
             fleet, pace, crowd, ..
         } = beliefs;
-        match fleet.outlook(now, need, pace, crowd, plan.objective) {
-            Outlook::InTime => Choice::Go(placement, false),
-            Outlook::Late { after, limit } => {
+        match fleet.estimate_start(now, need, pace, crowd, plan.objective) {
+            StartEstimate::InTime => Choice::Go(placement, false),
+            StartEstimate::Late { after, limit } => {
                 info!(
                     request = self.parcel.head.id.as_str(),
                     route = self.parcel.admitted.route.name.as_str(),
--- a/crates/cyclamenwharf/src/forward/sending.rs
+++ b/crates/cyclamenwharf/src/forward/sending.rs
@@ -93,18 +93,20 @@
         if let Some(prompt) = self.prompt {
             let target = TargetHash::from(&placement.target);
             let mut beliefs = self.shared.beliefs();
-            beliefs.own_prompts.note(now, ReadPrompt { prompt, target });
+            beliefs
+                .own_prompts
+                .record(now, ReadPrompt { prompt, target });
         }
         self.exchange.send(now, placement.clone());
         self.sent = now;
         let reading = {
             let beliefs = self.shared.beliefs();
             let prompt = self.parcel.head.demand.prompt;
-            beliefs.pace.most(&self.parcel.service, prompt)
+            beliefs.pace.max_prompt_time(&self.parcel.service, prompt)
         };
         let from = self.copy_name(resume, address).filter(|_| resumed);
         let way = Way {
-            until: self.exchange.start_patience(now, resumed, reading),
+            until: self.exchange.start_deadline(now, resumed, reading),
             placement,
             address,
             from,
@@ -318,7 +320,7 @@
             let frame = match self.in_time(until, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 // There is nothing after the last event that the caller has.
-                Ok(None) if self.parcel.events.is_at_end() => {
+                Ok(None) if self.parcel.events.may_end() => {
                     run.place.begin();
                     self.give_back(run, reuse);
                     return Outcome::Finished(head);
@@ -366,7 +368,7 @@
             let mut beliefs = self.shared.beliefs();
             let ahead = (self.found.excess == 0).then_some(self.found.unread);
             let service = &self.parcel.service;
-            beliefs.pace.read(service, prompt, ahead, time);
+            beliefs.pace.record_prompt(service, prompt, ahead, time);
         }
     }
 
@@ -406,7 +408,7 @@
         loop {
             tokio::time::sleep(DOUBT_PERIOD).await;
             let now = self.shared.now();
-            if !self.shared.beliefs().fleet.is_doubted(now, id) {
+            if !self.shared.beliefs().fleet.is_suspect(now, id) {
                 continue;
             }
             let Some(address) = self.address(id) else {
@@ -415,7 +417,7 @@
             match Link::connect(address).await {
                 Ok(link) => {
                     let now = self.shared.now();
-                    self.shared.beliefs().fleet.heard(now, id);
+                    self.shared.beliefs().fleet.responded(now, id);
                     self.shared.pool.put(now, id, link, None);
                     tokio::time::sleep(DOUBT_REST).await;
                 }
--- a/crates/cyclamenwharf/src/forward/shared.rs
+++ b/crates/cyclamenwharf/src/forward/shared.rs
@@ -10,15 +10,15 @@
 use bytes::Bytes;
 use cw_policy::budget::ServiceBudgets;
 use cw_policy::budget::SharedBudget;
-use cw_policy::forward::Crowd;
 use cw_policy::forward::DirectoryLog;
 use cw_policy::forward::Fleet;
 use cw_policy::forward::FleetLimits;
 use cw_policy::forward::ForwardConfig;
-use cw_policy::forward::PromptPace;
+use cw_policy::forward::PromptLocationLimits;
+use cw_policy::forward::PromptLocations;
 use cw_policy::forward::Roster;
-use cw_policy::forward::Whereabouts;
-use cw_policy::forward::WhereaboutsLimits;
+use cw_policy::forward::RunTimes;
+use cw_policy::forward::StandingQueues;
 use cw_store::Dialect;
 use cw_types::HostId;
 use cw_types::TargetId;
@@ -55,13 +55,13 @@
     /// The newest version of the configuration that another entry has told.
     pub(super) told: u64,
     /// Where this entry's prompts were read.
-    pub(super) own_prompts: Whereabouts,
+    pub(super) own_prompts: PromptLocations,
     /// Where other entries' prompts were read, and those of earlier lives.
-    pub(super) heard_prompts: Whereabouts,
+    pub(super) heard_prompts: PromptLocations,
     /// How long prompts take.
-    pub(super) pace: PromptPace,
+    pub(super) pace: RunTimes,
     /// Whether requests have to wait for each other.
-    pub(super) crowd: Crowd,
+    pub(super) crowd: StandingQueues,
     /// What may be sent more than once.
     pub(super) budgets: ServiceBudgets,
     /// The other entries.
@@ -113,10 +113,10 @@
             }),
             log: DirectoryLog::default(),
             told: 0,
-            own_prompts: Whereabouts::new(WhereaboutsLimits::default()),
-            heard_prompts: Whereabouts::new(WhereaboutsLimits::default()),
-            pace: PromptPace::default(),
-            crowd: Crowd::default(),
+            own_prompts: PromptLocations::new(PromptLocationLimits::default()),
+            heard_prompts: PromptLocations::new(PromptLocationLimits::default()),
+            pace: RunTimes::default(),
+            crowd: StandingQueues::default(),
             budgets: ServiceBudgets::new(budget, ENTRIES_ASSUMED),
             roster: Roster::default(),
             rng: SmallRng::seed_from_u64(rand::random()),
@@ -147,7 +147,7 @@
         let now = self.now();
         let mut beliefs = self.beliefs();
         let before = beliefs.roster.others(now);
-        beliefs.roster.register(registered);
+        beliefs.roster.set_registered(registered);
         let others = beliefs.roster.others(now);
         if before != others {
             info!(others = others.len(); "the other entries have changed");
--- a/crates/cyclamenwharf/src/forward/streaming.rs
+++ b/crates/cyclamenwharf/src/forward/streaming.rs
@@ -155,7 +155,7 @@
             if self.is_settled(heard) {
                 self.tend_copy(heard, &mut copying);
             }
-            let until = self.exchange.patience(heard).unwrap_or(deadline);
+            let until = self.exchange.event_deadline(heard).unwrap_or(deadline);
             timer
                 .as_mut()
                 .reset(self.shared.clock.instant(until.min(deadline)));
@@ -191,7 +191,7 @@
                 self.log_break(&error);
                 return Err(broken());
             }
-            None if self.parcel.events.is_torn() => {
+            None if self.parcel.events.ends_mid_event() => {
                 info!(request = self.parcel.head.id.as_str(); "a stream ended within an event");
                 return Err(broken());
             }
@@ -215,7 +215,7 @@
         if let (1, Some(first)) = (self.exchange.sends(), self.here) {
             let time = self.shared.now().since(first);
             let mut beliefs = self.shared.beliefs();
-            beliefs.pace.ran(&self.parcel.service, time);
+            beliefs.pace.record_run(&self.parcel.service, time);
         }
     }
 
@@ -250,10 +250,10 @@
         };
         let now = self.shared.now();
         let mut beliefs = self.shared.beliefs();
-        beliefs.fleet.heard(heard, &placed.target);
+        beliefs.fleet.responded(heard, &placed.target);
         let copy = self.exchange.copy();
         self.is_settled(now)
             && beliefs.fleet.is_leaving(&placed.target)
-            && copy.is_some_and(|copy| beliefs.fleet.keeps(now, copy))
+            && copy.is_some_and(|copy| beliefs.fleet.has_copy(now, copy))
     }
 }
