--- a/crates/cw_policy/src/forward/directory_log.rs
+++ b/crates/cw_policy/src/forward/directory_log.rs
@@ -1,8 +1,9 @@
-//! How a few entries follow the directory for all.
+//! Distributes directory changes from the few entries that watch it to all others.
 //!
-//! Each call to the key-value service is charged and its rate is bounded, so only some entries watch
-//! it and tell the others. Datagrams may be lost: changes are told more than once, each with the
-//! revision of the one before it, and an entry that finds one missing reads the directory itself.
+//! Each call to the key-value service is charged and its rate is bounded, so only some entries
+//! watch it and forward the changes. Datagrams may be lost, so each change is sent more than once
+//! and carries the revision of the change before it. An entry that finds a gap reads the directory
+//! itself.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,24 +14,25 @@
 
 use super::Fleet;
 
-/// How long a change is told: some messages in a row.
-const TOLD: Duration = Duration::from_millis(900);
+/// How long a change is included in messages, which covers several messages in a row.
+const RESEND_TIME: Duration = Duration::from_millis(900);
 
-/// The most changes that are told at once; who misses some reads the directory.
+/// The maximum number of changes in one message. An entry that misses older ones reads the
+/// directory.
 const CHANGES_MAX: usize = 128;
 
-/// What an entry does with news.
+/// What an entry does after a [`DirectoryNews`] message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NewsStep {
-    /// Nothing is new.
+    /// The message contains no new change.
     Nothing,
-    /// These changes follow on what it knows.
+    /// The new changes, which directly follow the last known revision.
     Apply(Vec<DirectoryChange>),
-    /// Changes are missing: the directory must be read.
+    /// Changes are missing, so the directory must be read as a whole.
     Reread,
 }
 
-/// What an entry knows of the directory's changes.
+/// The directory changes that an entry knows of.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryLog {
     newest: i64,
@@ -39,17 +41,17 @@
 }
 
 impl DirectoryLog {
-    /// The directory was read as a whole at this revision.
+    /// Records that the whole directory was read at `revision`.
     pub fn record_read(&mut self, revision: i64) {
         if revision > self.newest {
             self.newest = revision;
-            // What led there was not seen one by one.
+            // The individual changes up to this revision are unknown.
             self.recent.clear();
         }
         self.behind = false;
     }
 
-    /// A watch saw a change.
+    /// Records a change that this entry's own watch delivered.
     pub fn record_change(
         &mut self,
         now: Time,
@@ -58,7 +60,7 @@
         revision: i64,
     ) {
         let last = self.recent.back().map(|(_, change)| change);
-        // One change of the service may touch several keys.
+        // One transaction of the key-value service may change several keys at the same revision.
         let previous = match last {
             Some(last) if last.revision == revision => last.previous,
             _ if revision <= self.newest => return,
@@ -77,10 +79,11 @@
         }
     }
 
-    /// Returns what to tell the others.
+    /// Returns the message for the other entries, after dropping changes that have been
+    /// sent for long enough.
     pub fn news(&mut self, now: Time, fleet: &Fleet, config: u64) -> DirectoryNews {
         while let Some((at, _)) = self.recent.front()
-            && now.since(*at) > TOLD
+            && now.since(*at) > RESEND_TIME
         {
             self.recent.pop_front();
         }
@@ -97,21 +100,21 @@
         }
     }
 
-    /// Another entry tells news.
+    /// Processes a message of another entry.
     pub fn receive(&mut self, news: &DirectoryNews) -> NewsStep {
         if news.newest <= self.newest {
             return NewsStep::Nothing;
         }
-        let fresh: Vec<DirectoryChange> = news
+        let new: Vec<DirectoryChange> = news
             .changes
             .iter()
             .filter(|change| change.revision > self.newest)
             .cloned()
             .collect();
-        let follows = fresh
+        let follows = new
             .first()
             .is_some_and(|change| change.previous <= self.newest);
-        let ends = fresh
+        let ends = new
             .last()
             .is_some_and(|change| change.revision == news.newest);
         if !follows || !ends {
@@ -119,15 +122,15 @@
             return NewsStep::Reread;
         }
         self.newest = news.newest;
-        NewsStep::Apply(fresh)
+        NewsStep::Apply(new)
     }
 
-    /// Returns the revision of the last change that is known.
+    /// Returns the revision of the last known change.
     pub fn newest(&self) -> i64 {
         self.newest
     }
 
-    /// Returns whether changes are missing.
+    /// Returns whether changes are missing, so that the directory must be read.
     pub fn is_behind(&self) -> bool {
         self.behind
     }
--- a/crates/cw_policy/src/forward/event_stream.rs
+++ b/crates/cw_policy/src/forward/event_stream.rs
@@ -1,43 +1,43 @@
-//! Cuts the bytes of a target into events and keeps them in order.
+//! Splits the byte stream of a target into server-sent events and keeps them in order.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use snafu::Snafu;
 
-/// The longest event, in bytes; a target that sends more sends no events.
-const EVENT_MAX: usize = 1 << 20;
+/// The maximum size of one event. A target that exceeds it is not sending events.
+const EVENT_MAX_BYTES: usize = 1 << 20;
 
-/// A stream that cannot be passed on any further.
+/// Why a stream cannot be passed on any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum StreamError {
     /// An event is missing.
-    #[snafu(display("event {found} came where {expected} was due"))]
+    #[snafu(display("received event {found}, expected event {expected}"))]
     Gap {
-        /// The id that was due.
+        /// The expected id.
         expected: u64,
-        /// The id that came.
+        /// The received id.
         found: u64,
     },
-    /// What came is no event with a number.
-    #[snafu(display("an event has no number"))]
-    NoNumber,
-    /// An event is longer than any can be.
-    #[snafu(display("an event is longer than {EVENT_MAX} bytes"))]
+    /// An event has no numeric id.
+    #[snafu(display("an event has no numeric id"))]
+    MissingId,
+    /// An event exceeds the maximum size.
+    #[snafu(display("an event is longer than {EVENT_MAX_BYTES} bytes"))]
     TooLong,
 }
 
-/// The events of one caller's stream, over all targets that it came from.
+/// The event stream of one caller, joined from all targets that served it.
 #[derive(Clone, Debug, Default)]
 pub struct EventStream {
     /// The id of the last event that was passed on.
     last: Option<u64>,
-    /// The bytes after the last whole event.
-    rest: BytesMut,
+    /// The bytes of an incomplete event.
+    partial: BytesMut,
     repeated: u64,
 }
 
 impl EventStream {
-    /// Returns a stream that goes on after event `last`.
+    /// Creates a stream that continues after event `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last,
@@ -50,64 +50,66 @@
         self.last
     }
 
-    /// Returns how many events came again and were dropped.
+    /// Returns how many duplicate events were dropped.
     pub fn repeated(&self) -> u64 {
         self.repeated
     }
 
-    /// Returns whether the bytes so far end within an event.
+    /// Returns whether the bytes received so far end within an event.
     pub fn ends_mid_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Returns whether the stream may end here: events have been passed on, all of them whole.
+    /// Returns whether the stream may end here: events have been passed on, and none is incomplete.
     pub fn may_end(&self) -> bool {
         self.last.is_some() && !self.ends_mid_event()
     }
 
-    /// The stream goes on from another target: half an event of the last one is dropped.
+    /// Continues the stream from another target, dropping the incomplete event of the previous one.
     pub fn restart(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 
-    /// Takes in bytes, and returns the whole events among them, in order and once each.
+    /// Adds bytes, and returns the complete new events, in order and without duplicates.
     ///
     /// # Errors
     ///
-    /// Fails when an event is missing or cannot be read; nothing of these bytes is to be passed on.
+    /// Fails when an event is missing, has no numeric id or is too long. None of the bytes may then
+    /// be passed on.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, StreamError> {
-        if self.rest.is_empty()
-            && let Some(count) = self.whole(bytes)
+        if self.partial.is_empty()
+            && let Some(count) = self.complete_len(bytes)
         {
-            return self.pass(bytes.slice(..count), &bytes[count..]);
+            return self.take_new(bytes.slice(..count), &bytes[count..]);
         }
-        self.rest.extend_from_slice(bytes);
-        if self.rest.len() > EVENT_MAX {
+        self.partial.extend_from_slice(bytes);
+        if self.partial.len() > EVENT_MAX_BYTES {
             return Err(StreamError::TooLong);
         }
-        let count = self.whole(&self.rest).unwrap_or(0);
-        let whole = self.rest.split_to(count).freeze();
-        self.pass(whole, &[])
+        let count = self.complete_len(&self.partial).unwrap_or(0);
+        let complete = self.partial.split_to(count).freeze();
+        self.take_new(complete, &[])
     }
 
-    /// Returns how many bytes end with the last whole event.
-    fn whole(&self, bytes: &[u8]) -> Option<usize> {
+    /// Returns the length of `bytes` up to the end of the last complete event.
+    fn complete_len(&self, bytes: &[u8]) -> Option<usize> {
         bytes
             .windows(2)
             .rposition(|pair| pair == b"\n\n")
             .map(|at| at + 2)
     }
 
-    fn pass(&mut self, whole: Bytes, rest: &[u8]) -> Result<Bytes, StreamError> {
+    /// Returns the events of `complete` that are new, and keeps `rest` as an incomplete event.
+    fn take_new(&mut self, complete: Bytes, rest: &[u8]) -> Result<Bytes, StreamError> {
         let mut start = 0;
         let mut at = 0;
-        while let Some(length) = event_length(&whole[at..]) {
-            let event = &whole[at..at + length];
-            if let Some(id) = number(event)? {
+        while let Some(length) = event_length(&complete[at..]) {
+            let event = &complete[at..at + length];
+            if let Some(id) = event_id(event)? {
                 match self.last {
                     Some(last) if id <= last => {
                         self.repeated += 1;
-                        // Repeats come at the beginning only, so what is left is one slice.
+                        // Duplicates occur only at the beginning, so the new events are one slice.
                         start = at + length;
                     }
                     Some(last) if id != last + 1 => {
@@ -120,12 +122,12 @@
             }
             at += length;
         }
-        self.rest.extend_from_slice(rest);
-        Ok(whole.slice(start..))
+        self.partial.extend_from_slice(rest);
+        Ok(complete.slice(start..))
     }
 }
 
-/// Returns the length of the first event, with the empty line that ends it.
+/// Returns the length of the first event, including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     bytes
         .windows(2)
@@ -133,19 +135,19 @@
         .map(|at| at + 2)
 }
 
-/// Returns the number of an event; `None` for a comment.
-fn number(event: &[u8]) -> Result<Option<u64>, StreamError> {
-    let mut fields = false;
+/// Returns the id of an event, `None` for a comment.
+fn event_id(event: &[u8]) -> Result<Option<u64>, StreamError> {
+    let mut has_fields = false;
     for line in event.split(|&byte| byte == b'\n') {
         if let Some(id) = line.strip_prefix(b"id:") {
-            let text = std::str::from_utf8(id).map_err(|_| StreamError::NoNumber)?;
-            let id = text.trim().parse().map_err(|_| StreamError::NoNumber)?;
+            let text = std::str::from_utf8(id).map_err(|_| StreamError::MissingId)?;
+            let id = text.trim().parse().map_err(|_| StreamError::MissingId)?;
             return Ok(Some(id));
         }
-        fields |= !line.is_empty() && !line.starts_with(b":");
+        has_fields |= !line.is_empty() && !line.starts_with(b":");
     }
-    match fields {
-        true => Err(StreamError::NoNumber),
+    match has_fields {
+        true => Err(StreamError::MissingId),
         false => Ok(None),
     }
 }
--- a/crates/cw_policy/src/forward/exchange.rs
+++ b/crates/cw_policy/src/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! One forwarded request, from its arrival to its end.
+//! The state machine of one forwarded request, from its arrival to its end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,126 +12,127 @@
 use super::Repeat;
 use super::RunCopy;
 
-/// How often a request may be turned away by targets that did not run it: once by each of a handful.
-const REFUSED_MAX: u32 = 6;
+/// The maximum number of sends that did not run, which allows one refusal from each of a few
+/// targets.
+const REFUSALS_MAX: u32 = 6;
 
-/// The pause before a request that found every target full asks again: half the time of a short
-/// request, after which a place is free.
-const FULL_PAUSE: Duration = Duration::from_millis(15);
+/// The delay before a request that found every target full is placed again. It is half the duration
+/// of a short request, after which a slot is free.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(15);
 
-/// The part of the objective that a request waits for a free target; beyond it an answer would
-/// hardly be in time, and the caller does better to come again.
+/// The fraction of the objective that a request waits for a free target. After a longer wait an
+/// answer in time is unlikely, and a retry by the caller is preferable.
 const WAIT_SHARE: f64 = 0.12;
 
-/// The part of the time to the deadline after which an unanswered request that may be repeated is
-/// sent again; the second send needs as long as the first.
+/// The fraction of the time to the deadline after which an unanswered request that may be repeated
+/// is sent again. The second send needs as long as the first.
 const REPEAT_SHARE: f64 = 0.4;
 
-/// The part of the objective after which a stream that has not begun is started elsewhere: the
-/// second start must still be in time.
+/// The fraction of the objective after which a stream that has not begun is started at another
+/// target. The second start must still meet the objective.
 const START_SHARE: f64 = 0.55;
 
-/// The part of the longest pause after which a stream with a copy goes on elsewhere. The other half
-/// is for the resumption itself.
+/// The fraction of the longest pause after which a stream with a copy moves to another target. The
+/// other half is left for the resumption itself.
 const SILENCE_SHARE: f64 = 0.5;
 
-/// How many times the longest pause a stream without a copy is waited for: to go on elsewhere its
-/// prompt must be read again, which takes longer than most pauses.
-const BARE_PAUSES: f64 = 1.5;
+/// The maximum silence of a stream without a copy, as a multiple of the longest pause. To resume
+/// elsewhere, its prompt must be read again, which takes longer than most pauses.
+const NO_COPY_PAUSES: f64 = 1.5;
 
-/// How much longer the next silence may be after one that moved the stream: where every target is
-/// slow, moving gains nothing.
+/// The factor by which the maximum silence grows each time that silence moves the stream. If every
+/// target is slow, moving does not help.
 const SILENCE_GROWTH: f64 = 2.0;
 
-/// The longest pause of a route that states none.
-const PAUSE_DEFAULT: Duration = Duration::from_secs(1);
+/// The longest pause for a route without a setting for it.
+const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
 
-/// The bounds on one request.
+/// The limits of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExchangePlan {
-    /// Whether it may be sent again.
+    /// Whether and how the request may be sent again.
     pub repeat: Repeat,
-    /// Whether its answer is a stream of events.
+    /// Whether the answer is a stream of events.
     pub streaming: bool,
-    /// The most targets that may run it.
+    /// The maximum number of targets that may run the request.
     pub attempts: u32,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Time,
-    /// When its answer is of no use any more.
+    /// The deadline, after which the answer is useless to the caller.
     pub deadline: Time,
-    /// The time to the answer, or to the first event, that is aimed for.
+    /// The latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between events that is aimed for.
+    /// The objective for the longest pause between events.
     pub pause: Option<Duration>,
 }
 
-/// What happened to a request.
+/// An event that ends a send or an attempt to place the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent {
-    /// No target can be chosen.
+    /// No target is available.
     NoTarget,
-    /// No target can begin it in time, and it was sent to none.
+    /// No target can start the request in time, and it was not sent.
     Crowded,
-    /// The target proves that it did not run the request, and will not.
+    /// The target provably has not run the request and will not run it.
     NotRun(Fault),
-    /// The target that was to go on from a copy of the run has none.
+    /// The target that should have resumed from a copy of the run does not have it.
     NoCopy,
-    /// It may have run, and the rest of its answer will not come.
+    /// The request may have run, and the rest of the answer is lost.
     Lost(Fault),
-    /// The target is leaving, and a copy of the run is elsewhere.
+    /// The target is leaving, and another one has a copy of the run.
     Leaving,
-    /// The target answered with a failure of its own.
+    /// The target answered with an error.
     Failed,
     /// The deadline has passed.
     Expired,
 }
 
-/// Where and from what a request goes on.
+/// The state from which a request resumes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Resume {
-    /// The copy of the run.
+    /// The copy of the run, `None` to start from the beginning.
     pub copy: Option<RunCopy>,
 }
 
-/// What to do next.
+/// The action that follows an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeStep {
     /// Send the request to a target.
     Send(Resume),
-    /// Choose a target again after a pause.
+    /// Select a target again after this delay.
     Wait(Duration),
-    /// Answer with an error; whether it ran is said by the kind.
+    /// Answer with an error, whose kind says whether the request ran.
     Refuse(ErrorKind),
-    /// Pass on the failure that the target answered with.
+    /// Pass on the error that the target answered with.
     PassOn,
-    /// Break the caller's stream off, which has begun.
+    /// Abort the caller's stream, which has already begun.
     Break(ErrorKind),
 }
 
-/// One request.
+/// The state of one request.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     plan: ExchangePlan,
-    /// Targets that it is not sent to again.
+    /// The targets that the request is not sent to again.
     excluded: BTreeSet<TargetId>,
-    /// Where it is now.
+    /// The current target, and the keeper that was selected with it.
     placed: Option<Placement>,
-    /// The copy of the run that is there.
+    /// The current copy of the run.
     copy: Option<RunCopy>,
-    /// Sends that may have run.
+    /// The number of sends that may have run.
     runs: u32,
-    /// Sends that did not run.
+    /// The number of sends that did not run.
     refused: u32,
-    /// Whether a part of an answer has been passed on.
+    /// Whether a part of an answer was passed on to the caller.
     begun: bool,
-    /// Whether the target where it is now has answered.
+    /// Whether the current target has answered.
     answering: bool,
-    /// How much longer than at first a silence may be.
-    growth: f64,
+    /// The maximum silence relative to its initial value, see [`SILENCE_GROWTH`].
+    silence_factor: f64,
 }
 
 impl Exchange {
-    /// Returns a request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub fn new(plan: ExchangePlan) -> Self {
         Self {
             plan,
@@ -142,36 +143,36 @@
             refused: 0,
             begun: false,
             answering: false,
-            growth: 1.0,
+            silence_factor: 1.0,
         }
     }
 
-    /// Returns the bounds on it.
+    /// Returns the limits of the request.
     pub fn plan(&self) -> &ExchangePlan {
         &self.plan
     }
 
-    /// Returns the targets that it is not sent to again.
+    /// Returns the targets that the request is not sent to again.
     pub fn excluded(&self) -> &BTreeSet<TargetId> {
         &self.excluded
     }
 
-    /// Returns where it is now.
+    /// Returns the current target and keeper.
     pub fn placed(&self) -> Option<&Placement> {
         self.placed.as_ref()
     }
 
-    /// Returns how often it was sent.
+    /// Returns how often the request was sent.
     pub fn sends(&self) -> u32 {
         self.runs + self.refused
     }
 
-    /// Returns whether another engine is to keep a copy of the run.
+    /// Returns whether another engine should keep a copy of the run.
     pub fn wants_copy(&self) -> bool {
         self.plan.repeat == Repeat::Resume
     }
 
-    /// It is sent to a target.
+    /// Records that the request is sent to a target.
     pub fn send(&mut self, now: Time, placement: Placement) {
         self.copy = placement.copy.clone().map(|keeper| RunCopy {
             keeper,
@@ -183,25 +184,27 @@
         self.runs += 1;
     }
 
-    /// Returns the copy of the run.
+    /// Returns the current copy of the run.
     pub fn copy(&self) -> Option<&RunCopy> {
         self.copy.as_ref()
     }
 
-    /// The copy of the run is another one now, or lost.
+    /// Replaces the copy of the run, with `None` if it was lost.
     pub fn set_copy(&mut self, copy: Option<RunCopy>) {
         self.copy = copy;
     }
 
-    /// A part of the answer is passed on.
+    /// Records that a part of the answer is passed on.
     pub fn begin(&mut self) {
         self.begun = true;
         self.answering = true;
     }
 
-    /// Returns when a target that was sent the request now is given up if it does not answer,
-    /// `None` for never. `resumed` says that it goes on from a copy of the run; `reading` is the
-    /// longest time that reading its prompt should take.
+    /// Returns the deadline for the first answer of a target that the request is sent to now,
+    /// `None` for no deadline.
+    ///
+    /// `resumed` says whether the target resumes from a copy of the run. `reading` is the maximum
+    /// expected time for reading the prompt.
     pub fn start_deadline(
         &self,
         now: Time,
@@ -209,13 +212,13 @@
         reading: Option<Duration>,
     ) -> Option<Time> {
         if self.runs >= self.plan.attempts {
-            // It cannot be sent again, so a late answer is the best that can come.
+            // The request cannot be sent again, so even a late answer is worth waiting for.
             return None;
         }
         match self.plan.repeat {
             Repeat::Never => None,
             Repeat::Whole => Some(now + now.until(self.plan.deadline).mul_f64(REPEAT_SHARE)),
-            Repeat::Resume if resumed => Some(now + self.pause().mul_f64(self.growth)),
+            Repeat::Resume if resumed => Some(now + self.pause().mul_f64(self.silence_factor)),
             Repeat::Resume => {
                 let start = self.plan.objective.mul_f64(START_SHARE);
                 Some(now + start.max(reading.unwrap_or(self.plan.objective)))
@@ -223,25 +226,27 @@
         }
     }
 
-    /// Returns when a target whose last event came now is given up, `None` for never.
+    /// Returns the deadline for the next event of a target whose last event came now, `None` for no
+    /// deadline.
     pub fn event_deadline(&self, now: Time) -> Option<Time> {
         let resumes = self.plan.repeat == Repeat::Resume && self.runs < self.plan.attempts;
-        resumes.then(|| now + self.silence())
+        resumes.then(|| now + self.silence_limit())
     }
 
     fn pause(&self) -> Duration {
-        self.plan.pause.unwrap_or(PAUSE_DEFAULT)
+        self.plan.pause.unwrap_or(DEFAULT_PAUSE)
     }
 
-    fn silence(&self) -> Duration {
+    /// Returns the maximum silence of a stream that has begun.
+    fn silence_limit(&self) -> Duration {
         let share = match &self.copy {
-            Some(_) => SILENCE_SHARE * self.growth,
-            None => BARE_PAUSES * self.growth,
+            Some(_) => SILENCE_SHARE * self.silence_factor,
+            None => NO_COPY_PAUSES * self.silence_factor,
         };
         self.pause().mul_f64(share)
     }
 
-    /// Returns what to do after an event. `spend` asks the budget for one more send.
+    /// Returns the action after an event. `spend` asks the budget for one more send.
     pub fn on_event(
         &mut self,
         now: Time,
@@ -249,44 +254,48 @@
         spend: impl FnOnce() -> bool,
     ) -> ExchangeStep {
         match event {
-            ExchangeEvent::NoTarget => self.unplaced(now),
+            ExchangeEvent::NoTarget => self.on_no_target(now),
             ExchangeEvent::Crowded => self.end(ErrorKind::Overloaded),
-            ExchangeEvent::NotRun(fault) => self.not_run(now, fault, spend),
-            ExchangeEvent::NoCopy => self.no_copy(now, spend),
-            ExchangeEvent::Lost(fault) => self.lost(now, fault, spend),
-            ExchangeEvent::Leaving => self.leave(spend),
-            ExchangeEvent::Failed => self.failed(now, spend),
+            ExchangeEvent::NotRun(fault) => self.on_not_run(now, fault, spend),
+            ExchangeEvent::NoCopy => self.on_no_copy(now, spend),
+            ExchangeEvent::Lost(fault) => self.on_lost(now, fault, spend),
+            ExchangeEvent::Leaving => self.on_leaving(spend),
+            ExchangeEvent::Failed => self.on_failed(now, spend),
             ExchangeEvent::Expired => self.end(ErrorKind::Expired),
         }
     }
 
-    // ---- What follows from each event ----
+    // ---- The action after each event ----
 
-    fn unplaced(&mut self, now: Time) -> ExchangeStep {
+    fn on_no_target(&mut self, now: Time) -> ExchangeStep {
         let waits = if self.begun {
             now < self.plan.deadline
         } else {
             now.since(self.plan.arrived) < self.plan.objective.mul_f64(WAIT_SHARE)
         };
         if waits {
-            // Those that were full or broke may have recovered.
+            // The excluded targets may have recovered.
             self.excluded.clear();
-            return ExchangeStep::Wait(FULL_PAUSE);
+            return ExchangeStep::Wait(FULL_RETRY_DELAY);
         }
         self.end(ErrorKind::NoTarget)
     }
 
-    fn not_run(&mut self, now: Time, fault: Fault, spend: impl FnOnce() -> bool) -> ExchangeStep {
+    fn on_not_run(
+        &mut self,
+        now: Time,
+        fault: Fault,
+        spend: impl FnOnce() -> bool,
+    ) -> ExchangeStep {
         self.runs = self.runs.saturating_sub(1);
         self.refused += 1;
-        // A keeper without the copy may still take the run from the beginning.
-        self.leave_target();
+        self.exclude_target();
         if now >= self.plan.deadline {
             return self.end(ErrorKind::Expired);
         }
-        // A send that reached no target is not counted, so the next one takes its place.
+        // A send that reached no target costs no budget, so the next one takes its place.
         let allowed = fault == Fault::Unreachable || spend();
-        if !self.begun && (self.refused >= REFUSED_MAX || !allowed) {
+        if !self.begun && (self.refused >= REFUSALS_MAX || !allowed) {
             let kind = match fault {
                 Fault::Full => ErrorKind::Overloaded,
                 _ => ErrorKind::NoTarget,
@@ -296,10 +305,10 @@
         ExchangeStep::Send(Resume::default())
     }
 
-    fn no_copy(&mut self, now: Time, spend: impl FnOnce() -> bool) -> ExchangeStep {
+    fn on_no_copy(&mut self, now: Time, spend: impl FnOnce() -> bool) -> ExchangeStep {
         self.runs = self.runs.saturating_sub(1);
         self.refused += 1;
-        // The target is as good as any other for a start from the beginning.
+        // The target may still run the request from the beginning, so it is not excluded.
         self.placed = None;
         self.copy = None;
         if now >= self.plan.deadline {
@@ -311,11 +320,11 @@
         }
     }
 
-    fn lost(&mut self, now: Time, fault: Fault, spend: impl FnOnce() -> bool) -> ExchangeStep {
+    fn on_lost(&mut self, now: Time, fault: Fault, spend: impl FnOnce() -> bool) -> ExchangeStep {
         if fault == Fault::Silent {
-            self.growth *= SILENCE_GROWTH;
+            self.silence_factor *= SILENCE_GROWTH;
         }
-        let copy = self.leave_target();
+        let copy = self.exclude_target();
         match self.plan.repeat {
             Repeat::Never => return self.end(ErrorKind::OutcomeUnknown),
             Repeat::Whole | Repeat::Resume => {}
@@ -329,9 +338,9 @@
         ExchangeStep::Send(Resume { copy })
     }
 
-    fn leave(&mut self, spend: impl FnOnce() -> bool) -> ExchangeStep {
-        let copy = self.leave_target();
-        // The move is not owed to a loss, so it is not counted among the attempts.
+    fn on_leaving(&mut self, spend: impl FnOnce() -> bool) -> ExchangeStep {
+        let copy = self.exclude_target();
+        // The move is not caused by a loss, so it does not count as an attempt.
         self.runs = self.runs.saturating_sub(1);
         match spend() {
             true => ExchangeStep::Send(Resume { copy }),
@@ -339,34 +348,36 @@
         }
     }
 
-    fn failed(&mut self, now: Time, spend: impl FnOnce() -> bool) -> ExchangeStep {
-        let again = self.plan.repeat != Repeat::Never
+    fn on_failed(&mut self, now: Time, spend: impl FnOnce() -> bool) -> ExchangeStep {
+        let may_retry = self.plan.repeat != Repeat::Never
             && self.runs < self.plan.attempts
             && now < self.plan.deadline;
-        if !again || !spend() {
+        if !may_retry || !spend() {
             return match self.begun {
                 true => self.end(ErrorKind::TargetFailed),
                 false => ExchangeStep::PassOn,
             };
         }
-        let copy = self.leave_target();
+        let copy = self.exclude_target();
         ExchangeStep::Send(Resume { copy })
     }
 
-    /// Leaves the present target for good, and returns the copy of the run.
+    /// Excludes the current target from further sends, and returns the copy of the run.
     ///
-    /// There is none before the first event: engines send memory on only as they generate.
-    fn leave_target(&mut self) -> Option<RunCopy> {
+    /// There is no copy before the first event, because engines replicate memory only as they
+    /// generate.
+    fn exclude_target(&mut self) -> Option<RunCopy> {
         let placed = self.placed.take()?;
         self.excluded.insert(placed.target);
         self.copy.take().filter(|_| self.answering)
     }
 
+    /// Returns the action that ends the request with an error.
     fn end(&self, kind: ErrorKind) -> ExchangeStep {
         if self.begun {
             return ExchangeStep::Break(kind);
         }
-        // An answer that says "not run" needs proof for each send.
+        // An error that says "not run" requires proof for every send.
         let proven = self.runs == 0 || self.plan.repeat != Repeat::Never;
         let kind = match kind {
             ErrorKind::Expired if self.runs > 0 => ErrorKind::TargetFailed,
--- a/crates/cw_policy/src/forward/fleet.rs
+++ b/crates/cw_policy/src/forward/fleet.rs
@@ -1,4 +1,4 @@
-//! The targets that the directory names.
+//! The targets that the directory lists, with their observed state.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,19 +17,20 @@
 use super::member::Member;
 use super::peers::Peers;
 
-/// How many targets of one availability zone must be lost at about the same time for the loss to be
-/// taken for one of the zone.
-const ZONE_LOSSES: usize = 3;
+/// The minimum number of targets of one availability zone that must be lost within
+/// [`ZONE_LOSS_WINDOW`] to count as a loss of the zone.
+const ZONE_LOSS_MIN: usize = 3;
 
-/// The time within which such losses fall: silence is noticed within a second.
-const ZONE_WINDOW: Duration = Duration::from_secs(1);
+/// The time window for the losses of one zone. A silent target is detected within a second.
+const ZONE_LOSS_WINDOW: Duration = Duration::from_secs(1);
 
-/// Bounds of the fleet's beliefs.
+/// Time limits for the state of the targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetLimits {
-    /// How long after the directory's return a target that lapsed meanwhile may still come back.
+    /// How long a target whose record expired during an outage of the directory may take to
+    /// register again after the outage.
     pub relist_grace: Duration,
-    /// How long the directory names a target that has stopped.
+    /// How long the directory still lists a target that has stopped.
     pub lapse: Duration,
 }
 
@@ -42,95 +43,96 @@
     }
 }
 
-/// Whether the directory can be read.
+/// The state of the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Directory {
-    /// It answers, and has done so since then.
+    /// The directory has answered since this time.
     Up(Time),
-    /// Its last call failed.
+    /// The last call to the directory failed.
     Down,
 }
 
-/// Whether a request may go to a target.
+/// Whether a request may be sent to a target, or why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usability {
-    /// It may.
+    /// Requests may be sent to the target.
     Usable,
-    /// The directory does not name the target.
+    /// The directory does not list the target, or another target has replaced it.
     Unlisted,
-    /// The target takes no new work.
+    /// The target is draining and accepts no new requests.
     Leaving,
-    /// The target could not be reached a moment ago.
+    /// The target is in backoff because it was recently found lost.
     Resting,
 }
 
-/// The targets that the directory names, with what this entry has seen of them.
+/// The targets that the directory lists, with their state as seen by this entry.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     limits: FleetLimits,
     directory: Directory,
     pub(super) members: BTreeMap<TargetId, Member>,
     pub(super) peers: Peers,
-    /// This entry, once it knows others.
-    pub(super) own: Option<HostId>,
-    /// All entries.
+    /// The host of this entry, once the other entries are known.
+    pub(super) own_host: Option<HostId>,
+    /// All entries, including this one.
     pub(super) entries: BTreeSet<HostId>,
-    /// When several targets of an availability zone were last lost at about the same time.
-    zones: BTreeMap<ZoneId, Time>,
+    /// The last loss of each availability zone, see [`ZONE_LOSS_MIN`].
+    zone_losses: BTreeMap<ZoneId, Time>,
 }
 
 impl Fleet {
-    /// Returns an empty fleet.
+    /// Creates a fleet without targets.
     pub fn new(limits: FleetLimits) -> Self {
         Self {
             limits,
             directory: Directory::Up(Time::default()),
             members: BTreeMap::new(),
             peers: Peers::default(),
-            own: None,
+            own_host: None,
             entries: BTreeSet::new(),
-            zones: BTreeMap::new(),
+            zone_losses: BTreeMap::new(),
         }
     }
 
     // ---- The directory ----
 
-    /// The directory has an entry, or a new value of one. Returns whether a belief changed.
+    /// Records that the directory lists a target. Returns whether the state changed.
     pub fn listed(&mut self, now: Time, listing: Listing) -> bool {
         match self.members.get_mut(&listing.id) {
-            Some(member) if member.listing == listing && member.missing.is_none() => false,
+            Some(member) if member.listing == listing && member.missing_since.is_none() => false,
             Some(member) if member.listing.is_same_instance(&listing) => {
-                // A target that is leaving does not stay after all, whatever an old entry says.
+                // A target never stops leaving, so a record that says otherwise is outdated.
                 let leaving = member.listing.leaving || listing.leaving;
                 member.listing = Listing { leaving, ..listing };
-                member.missing = None;
+                member.missing_since = None;
                 true
             }
             Some(member) => {
-                member.reborn(now, listing);
+                member.restart(now, listing);
                 true
             }
             None => {
                 let id = listing.id.clone();
                 let mut member = Member::new(now, listing);
-                member.peers = self.peers.at(member.hash);
-                member.own = self.is_own(&id);
+                member.peers = self.peers.total_at(member.hash);
+                member.preferred = self.prefers(&id);
                 self.members.insert(id, member);
                 true
             }
         }
     }
 
-    /// An entry has vanished from the directory. Returns whether a belief changed.
+    /// Records that the directory no longer lists a target. Returns whether the state changed.
     ///
-    /// An entry that lapsed while the directory was away may come back; until then its target is
-    /// used on.
+    /// A record that expired during an outage of the directory may be registered again. Until then
+    /// its target stays in use.
     pub fn removed(&mut self, now: Time, id: &TargetId) -> bool {
         let trusted = self.is_trusted(now);
         self.unlisted(now, id, trusted)
     }
 
-    /// An entry has vanished from the directory; `trusted` says whether that is the truth.
+    /// Records that the directory no longer lists a target, which is dropped if `trusted` is set
+    /// and marked as missing otherwise. Returns whether the state changed.
     pub fn unlisted(&mut self, now: Time, id: &TargetId, trusted: bool) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return false;
@@ -139,12 +141,13 @@
             self.members.remove(id);
             return true;
         }
-        let first = member.missing.is_none();
-        member.missing.get_or_insert(now);
+        let first = member.missing_since.is_none();
+        member.missing_since.get_or_insert(now);
         first
     }
 
-    /// The directory was read as a whole, and names these targets only.
+    /// Calls [`Self::removed`] for each target that is not in `names`, the full list of the
+    /// directory.
     pub fn retain_listed(&mut self, now: Time, names: &BTreeSet<TargetId>) {
         let gone: Vec<TargetId> = self
             .members
@@ -157,14 +160,14 @@
         }
     }
 
-    /// A call to the directory failed. Returns whether it answered before.
+    /// Records that a call to the directory failed. Returns whether the call before had succeeded.
     pub fn directory_failed(&mut self) -> bool {
         let was_up = self.directory != Directory::Down;
         self.directory = Directory::Down;
         was_up
     }
 
-    /// A call to the directory was answered. Returns whether it had failed before.
+    /// Records that the directory answered a call. Returns whether the call before had failed.
     pub fn directory_answered(&mut self, now: Time) -> bool {
         let was_down = self.directory == Directory::Down;
         if was_down {
@@ -173,8 +176,8 @@
         was_down
     }
 
-    /// Returns whether a target without an entry is gone: the directory has answered for longer than
-    /// targets need to come back to it.
+    /// Returns whether a target without a record in the directory is gone: the directory has
+    /// answered for longer than targets need to register again.
     pub fn is_trusted(&self, now: Time) -> bool {
         match self.directory {
             Directory::Up(since) => now.since(since) >= self.limits.relist_grace,
@@ -182,12 +185,12 @@
         }
     }
 
-    /// Returns whether the directory answered the last call.
+    /// Returns whether the last call to the directory succeeded.
     pub fn is_directory_up(&self) -> bool {
         self.directory != Directory::Down
     }
 
-    /// Drops targets whose entries did not come back in time. Returns which.
+    /// Drops the targets that did not register again in time, and returns their ids.
     pub fn expire(&mut self, now: Time) -> Vec<TargetId> {
         let Directory::Up(since) = self.directory else {
             return Vec::new();
@@ -198,7 +201,7 @@
         let gone: Vec<TargetId> = self
             .members
             .iter()
-            .filter(|(_, member)| member.missing.is_some())
+            .filter(|(_, member)| member.missing_since.is_some())
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
@@ -209,35 +212,35 @@
 
     // ---- Traffic ----
 
-    /// A request was sent to a target.
+    /// Records that a request was sent to a target.
     pub fn sent(&mut self, now: Time, id: &TargetId, demand: Demand) {
         if let Some(member) = self.members.get_mut(id) {
             member.runs += 1;
-            member.change(now, |member| member.unread += demand.prompt);
+            member.update_unread(now, |member| member.unread += demand.prompt);
             member.tokens += demand.tokens();
         }
     }
 
-    /// The answer of a request has begun.
+    /// Records that the answer to a request has begun.
     pub fn began(&mut self, now: Time, id: &TargetId, demand: Demand) {
         if let Some(member) = self.members.get_mut(id) {
-            member.change(now, |member| member.read(demand));
-            member.heard(now);
+            member.update_unread(now, |member| member.finish_read(demand));
+            member.responded(now);
         }
     }
 
-    /// A request has left its target; `began` says whether its answer had begun.
+    /// Records that a request has ended at its target. `began` says whether its answer had begun.
     pub fn ended(&mut self, now: Time, id: &TargetId, demand: Demand, began: bool) {
         if let Some(member) = self.members.get_mut(id) {
             member.runs = member.runs.saturating_sub(1);
             member.tokens = member.tokens.saturating_sub(demand.tokens());
             if !began {
-                member.change(now, |member| member.read(demand));
+                member.update_unread(now, |member| member.finish_read(demand));
             }
         }
     }
 
-    /// A target keeps a copy of a run, or no longer does.
+    /// Adds a copy of a run to the load of a target if `kept` is set, and removes it otherwise.
     pub fn count_copy(&mut self, id: &TargetId, demand: Demand, kept: bool) {
         let Some(member) = self.members.get_mut(id) else {
             return;
@@ -251,94 +254,97 @@
         }
     }
 
-    /// A target reported its load with an answer.
+    /// Records the load that a target reported in an answer.
     pub fn reported(&mut self, now: Time, id: &TargetId, load: ReportedLoad) {
         if let Some(member) = self.members.get_mut(id) {
             member.reported(now, load);
         }
     }
 
-    /// Something went wrong at a target.
+    /// Records a failure at a target.
     pub fn failed(&mut self, now: Time, id: &TargetId, fault: Fault) {
         if let Some(member) = self.members.get_mut(id) {
             member.failed(now, fault);
         }
-        self.note_loss(now, id);
+        self.record_zone_loss(now, id);
     }
 
-    /// Something came from a target, so it lives.
+    /// Records a response of a target, which shows that it is up.
     pub fn responded(&mut self, now: Time, id: &TargetId) {
         if let Some(member) = self.members.get_mut(id) {
-            member.heard(now);
+            member.responded(now);
         }
     }
 
-    /// Notes when a loss is one of several in an availability zone.
-    pub(super) fn note_loss(&mut self, now: Time, id: &TargetId) {
+    /// Records a loss of the target's availability zone if enough of its targets were lost
+    /// recently.
+    pub(super) fn record_zone_loss(&mut self, now: Time, id: &TargetId) {
         let Some(zone) = self.members.get(id).map(|member| &member.listing.zone) else {
             return;
         };
         let lost = self.members.values().filter(|member| {
-            let at = member.doubted.filter(|at| now.since(*at) < ZONE_WINDOW);
+            let at = member
+                .suspected_at
+                .filter(|at| now.since(*at) < ZONE_LOSS_WINDOW);
             member.listing.zone == *zone && at.is_some()
         });
-        if lost.count() >= ZONE_LOSSES {
-            self.zones.insert(zone.clone(), now);
+        if lost.count() >= ZONE_LOSS_MIN {
+            self.zone_losses.insert(zone.clone(), now);
         }
     }
 
-    /// Returns whether a target may be among those that its availability zone has lost: nothing has
-    /// come from it since, and the directory has not had the time to drop it.
-    pub(super) fn is_unproven(&self, now: Time, member: &Member) -> bool {
-        let lost = self.zones.get(&member.listing.zone);
+    /// Returns whether a target may have been lost with its availability zone: it has not responded
+    /// since the loss, and the directory may still list it although it has stopped.
+    pub(super) fn is_zone_suspect(&self, now: Time, member: &Member) -> bool {
+        let lost = self.zone_losses.get(&member.listing.zone);
         lost.is_some_and(|&at| {
-            now.since(at) < self.limits.lapse && member.heard < at && member.listed < at
+            now.since(at) < self.limits.lapse && member.responded_at < at && member.listed_at < at
         })
     }
 
-    // ---- Questions ----
+    // ---- Queries ----
 
-    /// Returns what the directory says of a target.
+    /// Returns the directory's record of a target.
     pub fn listing(&self, id: &TargetId) -> Option<&Listing> {
         self.members.get(id).map(|member| &member.listing)
     }
 
-    /// Returns whether work at this target should go on elsewhere.
+    /// Returns whether runs at this target should move to another one.
     pub fn is_leaving(&self, id: &TargetId) -> bool {
         self.members
             .get(id)
             .is_none_or(|member| member.listing.leaving)
     }
 
-    /// Returns whether a request may go to this target now.
+    /// Returns whether a request may be sent to this target now.
     pub fn is_usable(&self, now: Time, id: &TargetId) -> bool {
         self.usability(now, id) == Usability::Usable
     }
 
-    /// Returns whether a request may go to this target now, and why not.
+    /// Returns whether a request may be sent to this target now, or why not.
     pub fn usability(&self, now: Time, id: &TargetId) -> Usability {
         match self.members.get(id) {
             None => Usability::Unlisted,
             Some(member) if member.listing.leaving => Usability::Leaving,
             Some(member) if member.replaced => Usability::Unlisted,
-            Some(member) if member.rest > now => Usability::Resting,
+            Some(member) if member.backoff_until > now => Usability::Resting,
             Some(_) => Usability::Usable,
         }
     }
 
-    /// Returns what a target is thought to have: this entry's part, the other entries' by their
-    /// messages, and all others' by the target's last report.
+    /// Returns the estimated load of a target: the load of this entry, that of the other entries by
+    /// their messages, and the number of all other requests by the target's last report.
     pub fn load(&self, now: Time, id: &TargetId) -> Option<(TargetShare, TargetShare, f64)> {
         let member = self.members.get(id)?;
-        Some((member.share(), member.peers, member.foreign(now)))
+        Some((member.share(), member.peers, member.others(now)))
     }
 
-    /// Returns how many targets there are.
+    /// Returns the number of targets.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns whether there is no target.
+    /// Returns whether the fleet has no targets.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
--- a/crates/cw_policy/src/forward/forward_config.rs
+++ b/crates/cw_policy/src/forward/forward_config.rs
@@ -1,4 +1,4 @@
-//! Routes, services and keys of forwarded traffic.
+//! The configuration of forwarded traffic: routes, services and keys.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,43 +15,43 @@
 pub enum Repeat {
     /// Never once it may have run.
     Never,
-    /// From its beginning; the answer is held back until it is whole.
+    /// From the beginning. The answer is buffered until it is complete.
     Whole,
-    /// From the last event that the caller has.
+    /// From the last event that the caller received.
     Resume,
 }
 
-/// One route: which service answers, and how.
+/// A route: the requests that it matches, the services that answer them, and their limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardRoute {
-    /// Its name.
+    /// The name of the route.
     pub name: RouteName,
-    /// The host that callers name.
+    /// The host name that the route matches.
     pub host: String,
-    /// The beginning of the paths it takes, with a slash at both ends.
+    /// The path prefix that the route matches, with a slash at both ends.
     pub prefix: String,
-    /// The services that share its requests, with their weights.
+    /// The services that the requests are split among, with their weights.
     pub services: Vec<(ServiceName, u32)>,
-    /// Whether a request may be sent again.
+    /// Whether and how a request may be sent again.
     pub repeat: Repeat,
     /// Whether the answer is a stream of events.
     pub streaming: bool,
-    /// The longest time that a request may take.
+    /// The maximum duration of a request.
     pub timeout: Duration,
-    /// The time to the answer, or to the first event, that the operators aim for.
+    /// The latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between events that the operators aim for.
+    /// The objective for the longest pause between events.
     pub pause: Option<Duration>,
-    /// The most targets that may run one request.
+    /// The maximum number of targets that may run one request.
     pub attempts: u32,
-    /// Its rank; 0 is the most urgent.
+    /// The priority, where 0 is the most urgent.
     pub priority: u8,
-    /// Whether it needs no key.
+    /// Whether requests need no key.
     pub open: bool,
 }
 
 impl ForwardRoute {
-    /// Returns the service for a draw between 0 and 1.
+    /// Returns the service for a random `draw` in `0.0..1.0`, in proportion to the weights.
     pub fn service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.services.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * f64::from(total);
@@ -65,53 +65,53 @@
     }
 }
 
-/// A service: targets that answer alike.
+/// A service: a group of interchangeable targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardService {
-    /// The most connections that one target takes, over all entries.
+    /// The maximum number of connections to one target, summed over all entries.
     pub connections: u32,
-    /// The tokens that one engine's cache memory holds; `None` for a plain service.
+    /// The capacity of one engine's cache memory in tokens, `None` for a service without engines.
     pub memory: Option<u64>,
-    /// Whether engines keep copies of each other's runs.
+    /// Whether engines replicate the cache memory of runs to each other.
     pub copies: bool,
     /// How long an engine keeps a copy that was made on request.
     pub copy_life: Duration,
 }
 
-/// Bounds on what a caller may send, and how slowly.
+/// Limits on a caller's requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The longest body, in bytes.
+    /// The maximum size of a body, in bytes.
     pub body: usize,
-    /// How long a connection may be idle.
+    /// The maximum time that a connection may be idle.
     pub idle: Duration,
 }
 
-/// Who holds a key.
+/// The holder of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyHolder {
-    /// The workspace.
+    /// The workspace that the key belongs to.
     pub workspace: WorkspaceId,
-    /// Its rank, which goes before that of the route.
+    /// The priority of the holder's requests, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// A request that the configuration allows.
+/// A request that matches a route and presents the key that the route requires.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admitted {
-    /// Its route.
+    /// The matching route.
     pub route: Arc<ForwardRoute>,
-    /// The workspace of its key.
+    /// The workspace of the request's key.
     pub workspace: Option<WorkspaceId>,
-    /// Its rank; 0 is the most urgent.
+    /// The priority of the request, where 0 is the most urgent.
     pub priority: u8,
 }
 
-/// The configuration of forwarded traffic, as a whole.
+/// One version of the configuration of forwarded traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardConfig {
     version: u64,
-    /// Routes by host, those with the longest prefix first.
+    /// The routes by host, sorted by descending length of the prefix.
     routes: BTreeMap<String, Vec<Arc<ForwardRoute>>>,
     services: BTreeMap<ServiceName, ForwardService>,
     keys: BTreeMap<KeyHash, KeyHolder>,
@@ -119,7 +119,7 @@
 }
 
 impl ForwardConfig {
-    /// Returns a configuration without keys, whose routes are open to every caller.
+    /// Creates a configuration without keys, in which every caller may use every route.
     pub fn new(
         version: u64,
         routes: Vec<ForwardRoute>,
@@ -143,23 +143,24 @@
         }
     }
 
-    /// Returns it with keys; a route that is not open then needs one.
+    /// Returns the configuration with `keys`. Unless `keys` is empty, a route that is not open then
+    /// requires one.
     #[must_use]
     pub fn with_keys(self, keys: BTreeMap<KeyHash, KeyHolder>) -> Self {
         Self { keys, ..self }
     }
 
-    /// Returns its version; a later one is higher.
+    /// Returns the version, which increases with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns the bounds on callers.
+    /// Returns the limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Returns a service.
+    /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&ForwardService> {
         self.services.get(name)
     }
@@ -169,12 +170,12 @@
         self.services.keys()
     }
 
-    /// Finds the route of a request and who sends it.
+    /// Returns the route and the workspace of a request.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::UnknownModel`] when no route takes the path, [`ErrorKind::Unauthorized`] when
-    /// the route needs a key that this configuration does not have.
+    /// [`ErrorKind::UnknownModel`] when no route matches the host and path,
+    /// [`ErrorKind::Unauthorized`] when the route requires a key and the request has no valid one.
     pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<Admitted, ErrorKind> {
         let routes = self.routes.get(host).map_or(&[][..], Vec::as_slice);
         let route = routes
--- a/crates/cw_policy/src/forward/listing.rs
+++ b/crates/cw_policy/src/forward/listing.rs
@@ -1,4 +1,4 @@
-//! What the directory says of one target.
+//! The directory's record of one target.
 
 use std::net::SocketAddr;
 
@@ -6,27 +6,28 @@
 use cw_types::TargetId;
 use cw_types::ZoneId;
 
-/// What the directory says of one target.
+/// The directory's record of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// Its id.
+    /// The id of the target.
     pub id: TargetId,
-    /// The service that it answers for.
+    /// The service that the target belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: ZoneId,
-    /// How many requests it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the target is draining and accepts no new requests.
     pub leaving: bool,
-    /// The Unix time of its start, in milliseconds: another one under the same id is another life.
+    /// The Unix time at which the target started, in milliseconds. A different time under the same
+    /// id means that the target has restarted.
     pub started: Option<u64>,
 }
 
 impl Listing {
-    /// Returns whether `other` is the same life of the same target.
+    /// Returns whether `other` describes the same instance of the same target, without a restart.
     pub fn is_same_instance(&self, other: &Listing) -> bool {
         self.started == other.started
             && self.address == other.address
--- a/crates/cw_policy/src/forward/member.rs
+++ b/crates/cw_policy/src/forward/member.rs
@@ -1,4 +1,4 @@
-//! One target of the fleet, as this entry sees it.
+//! The state of one target as seen by this entry.
 
 use std::time::Duration;
 
@@ -8,53 +8,54 @@
 
 use super::Listing;
 
-/// The time over which evidence against a target loses half of its weight.
-const STRIKE_HALF_LIFE: Duration = Duration::from_secs(3);
+/// The half-life of a target's penalty.
+const PENALTY_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// The first rest of a target that could not be reached; the rest doubles with each failure.
-const REST_BASE: Duration = Duration::from_millis(250);
+/// The first backoff after a target could not be reached. It doubles with each further failure.
+const BACKOFF_BASE: Duration = Duration::from_millis(250);
 
-/// How often the rest of a target doubles at most; it is back within seconds as a rule.
-const REST_DOUBLINGS: u32 = 3;
+/// The maximum number of times that the backoff doubles. A target is usually back within seconds.
+const BACKOFF_DOUBLINGS: u32 = 3;
 
-/// The time over which a reported load is believed: about half the length of a generation.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
+/// The time over which the weight of a reported load falls to zero, which is about half the
+/// duration of a generation.
+const REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// What one request takes up at its target.
+/// The resources that one request uses at its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Tokens of its prompt.
+    /// The number of tokens in the prompt.
     pub prompt: u64,
-    /// Tokens that it may generate at most.
+    /// The maximum number of tokens to generate.
     pub output: u64,
 }
 
 impl Demand {
-    /// Returns the cache memory that it takes at its end, in tokens.
+    /// Returns the cache memory that the request uses at its end, in tokens.
     pub fn tokens(self) -> u64 {
         self.prompt.saturating_add(self.output)
     }
 }
 
-/// What went wrong at a target.
+/// A failure at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// A connection broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     Broken,
-    /// Nothing came for too long.
+    /// The target sent nothing until the deadline for its next bytes.
     Silent,
-    /// It answered with a failure of its own.
+    /// The target answered with an error.
     Failed,
-    /// It was too full to take the request.
+    /// The target rejected the request because it has no free capacity.
     Full,
-    /// Another target has its address.
+    /// Another target now listens at the address.
     Replaced,
 }
 
 impl Fault {
-    /// Returns how much it says against the target.
+    /// Returns how much the fault adds to the penalty of the target.
     fn weight(self) -> f64 {
         match self {
             Fault::Unreachable | Fault::Silent | Fault::Replaced => 2.0,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Returns whether the target is likely to be down.
+    /// Returns whether the fault suggests that the target is down.
     fn is_loss(self) -> bool {
         matches!(
             self,
@@ -72,56 +73,57 @@
     }
 }
 
-/// The load that a target reports with an answer.
+/// The load that a target reports in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that it runs.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// The number of queued requests.
     pub waiting: u32,
 }
 
-/// One target.
+/// The state of one target.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) listing: Listing,
-    /// The name that entries have for it among themselves.
+    /// The hash that identifies the target in messages between entries.
     pub(super) hash: TargetHash,
-    /// Requests that this entry has there.
+    /// The number of this entry's requests at the target.
     pub(super) runs: u32,
-    /// Tokens in the prompts of those whose answer has not begun.
+    /// The prompt tokens of those requests whose answer has not begun.
     pub(super) unread: u64,
-    /// Copies of this entry's runs that it keeps.
+    /// The number of copies of this entry's runs that the target keeps.
     pub(super) copies: u32,
-    /// Cache memory that runs and copies take, in tokens.
+    /// The cache memory that these runs and copies use, in tokens.
     pub(super) tokens: u64,
-    /// When its entry vanished from the directory while the directory was not to be trusted.
-    pub(super) missing: Option<Time>,
-    /// No request goes there before this, while others are left.
-    pub(super) rest: Time,
-    /// Losses in a row.
+    /// When the record of the target disappeared from the directory while the directory was not
+    /// trusted.
+    pub(super) missing_since: Option<Time>,
+    /// The end of the backoff. Until then, the target is used only if there is no other.
+    pub(super) backoff_until: Time,
+    /// The number of consecutive losses.
     losses: u32,
-    strikes: f64,
-    struck: Time,
-    /// Requests of other entries, by the last report.
-    foreign: f64,
-    reported: Time,
-    /// What other entries say they have there.
+    penalty: f64,
+    penalized_at: Time,
+    /// The number of other entries' requests in the last report of the target.
+    reported_others: f64,
+    reported_at: Time,
+    /// The load that other entries report to have at the target.
     pub(super) peers: TargetShare,
-    /// When somebody last found it lost, and nobody has heard of it since.
-    pub(super) doubted: Option<Time>,
-    /// When this entry itself last found that.
-    pub(super) found: Option<Time>,
-    /// When something last came from it.
-    pub(super) heard: Time,
-    /// When the directory first named this life of it.
-    pub(super) listed: Time,
-    /// Whether another target was found at its address.
+    /// When any entry last found the target lost, unless it has responded since.
+    pub(super) suspected_at: Option<Time>,
+    /// When this entry itself last found the target lost.
+    pub(super) lost_at: Option<Time>,
+    /// When the target last responded.
+    pub(super) responded_at: Time,
+    /// When the directory first listed this instance of the target.
+    pub(super) listed_at: Time,
+    /// Whether another target now listens at the address.
     pub(super) replaced: bool,
-    /// Whether this entry is the one that should prefer it.
-    pub(super) own: bool,
-    /// When it began to read the prompt that it reads now, as far as is known.
-    pub(super) reading: Time,
+    /// Whether this is the entry that prefers the target.
+    pub(super) preferred: bool,
+    /// The estimated time at which the target began to read its current prompt.
+    pub(super) reading_since: Time,
 }
 
 impl Member {
@@ -133,95 +135,100 @@
             unread: 0,
             copies: 0,
             tokens: 0,
-            missing: None,
-            rest: Time::default(),
+            missing_since: None,
+            backoff_until: Time::default(),
             losses: 0,
-            strikes: 0.0,
-            struck: Time::default(),
-            foreign: 0.0,
-            reported: Time::default(),
+            penalty: 0.0,
+            penalized_at: Time::default(),
+            reported_others: 0.0,
+            reported_at: Time::default(),
             peers: TargetShare::default(),
-            doubted: None,
-            found: None,
-            heard: Time::default(),
-            listed: now,
+            suspected_at: None,
+            lost_at: None,
+            responded_at: Time::default(),
+            listed_at: now,
             replaced: false,
-            own: false,
-            reading: now,
+            preferred: false,
+            reading_since: now,
         }
     }
 
-    /// A new life begins under the same id: nothing of the old one holds.
-    pub(super) fn reborn(&mut self, now: Time, listing: Listing) {
+    /// Resets the state after a restart under the same id. Only the outstanding load and the
+    /// preference remain.
+    pub(super) fn restart(&mut self, now: Time, listing: Listing) {
         *self = Self {
             runs: self.runs,
             unread: self.unread,
             copies: self.copies,
             tokens: self.tokens,
             peers: self.peers,
-            own: self.own,
+            preferred: self.preferred,
             ..Self::new(now, listing)
         };
     }
 
-    pub(super) fn strikes(&self, now: Time) -> f64 {
-        let age = now.since(self.struck).as_secs_f64() / STRIKE_HALF_LIFE.as_secs_f64();
-        self.strikes * (-age * std::f64::consts::LN_2).exp()
+    /// Returns the penalty, which decays with [`PENALTY_HALF_LIFE`].
+    pub(super) fn penalty(&self, now: Time) -> f64 {
+        let age = now.since(self.penalized_at).as_secs_f64() / PENALTY_HALF_LIFE.as_secs_f64();
+        self.penalty * (-age * std::f64::consts::LN_2).exp()
     }
 
     pub(super) fn failed(&mut self, now: Time, fault: Fault) {
-        self.strikes = self.strikes(now) + fault.weight();
-        self.struck = now;
+        self.penalty = self.penalty(now) + fault.weight();
+        self.penalized_at = now;
         if fault == Fault::Replaced {
             self.replaced = true;
         }
         if fault.is_loss() {
-            self.doubted = Some(now);
-            self.found = Some(now);
+            self.suspected_at = Some(now);
+            self.lost_at = Some(now);
         }
-        // A connection that broke says little of the target: the next attempt tells at once.
+        // A broken connection says little about the target, and the next attempt shows its state at
+        // once, so it causes no backoff.
         if fault.is_loss() && fault != Fault::Broken {
-            let rest = REST_BASE * 2_u32.pow(self.losses.min(REST_DOUBLINGS));
-            self.rest = self.rest.max(now + rest);
+            let backoff = BACKOFF_BASE * 2_u32.pow(self.losses.min(BACKOFF_DOUBLINGS));
+            self.backoff_until = self.backoff_until.max(now + backoff);
             self.losses += 1;
         }
     }
 
-    /// Returns the tokens that it has yet to read.
+    /// Returns the tokens that the target has yet to read, for all entries.
     pub(super) fn unread(&self) -> u64 {
         self.unread.saturating_add(self.peers.unread)
     }
 
-    /// It has read a prompt of this entry, or never will.
-    pub(super) fn read(&mut self, demand: Demand) {
+    /// Removes a prompt of this entry from the unread tokens, because it was read or never will be.
+    pub(super) fn finish_read(&mut self, demand: Demand) {
         self.unread = self.unread.saturating_sub(demand.prompt);
     }
 
-    /// What it has yet to read changes: it begins with the first prompt that comes, or with the
-    /// next one when it has read one.
-    pub(super) fn change(&mut self, now: Time, change: impl FnOnce(&mut Self)) {
+    /// Applies a change to the unread tokens.
+    ///
+    /// The target is taken to begin with a prompt when it had none to read before, or when the
+    /// number of unread tokens falls.
+    pub(super) fn update_unread(&mut self, now: Time, change: impl FnOnce(&mut Self)) {
         let before = self.unread();
         change(self);
         if before == 0 || self.unread() < before {
-            self.reading = now;
+            self.reading_since = now;
         }
     }
 
-    /// Something came from it: it lives.
-    pub(super) fn heard(&mut self, now: Time) {
-        self.heard = now;
+    /// Records a response of the target, which shows that it is up.
+    pub(super) fn responded(&mut self, now: Time) {
+        self.responded_at = now;
         self.losses = 0;
-        self.doubted = None;
-        self.rest = Time::default();
+        self.suspected_at = None;
+        self.backoff_until = Time::default();
     }
 
-    /// Another entry found it silent or out of reach.
-    pub(super) fn doubt(&mut self, now: Time) {
-        self.doubted = Some(now);
-        self.rest = self.rest.max(now + REST_BASE);
+    /// Records that another entry found the target lost.
+    pub(super) fn suspect(&mut self, now: Time) {
+        self.suspected_at = Some(now);
+        self.backoff_until = self.backoff_until.max(now + BACKOFF_BASE);
     }
 
-    /// Returns what this entry has there.
+    /// Returns the load of this entry at the target.
     pub(super) fn share(&self) -> TargetShare {
         TargetShare {
             runs: self.runs,
@@ -233,13 +240,13 @@
 
     pub(super) fn reported(&mut self, now: Time, load: ReportedLoad) {
         let all = f64::from(load.running) + f64::from(load.waiting);
-        self.foreign = (all - f64::from(self.runs)).max(0.0);
-        self.reported = now;
+        self.reported_others = (all - f64::from(self.runs)).max(0.0);
+        self.reported_at = now;
     }
 
-    /// Returns how many requests of other entries are thought to be there.
-    pub(super) fn foreign(&self, now: Time) -> f64 {
-        let age = now.since(self.reported).as_secs_f64() / REPORT_LIFE.as_secs_f64();
-        self.foreign * (1.0 - age).max(0.0)
+    /// Returns the estimated number of other entries' requests, by the last report of the target.
+    pub(super) fn others(&self, now: Time) -> f64 {
+        let age = now.since(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
+        self.reported_others * (1.0 - age).max(0.0)
     }
 }
--- a/crates/cw_policy/src/forward/mod.rs
+++ b/crates/cw_policy/src/forward/mod.rs
@@ -1,19 +1,22 @@
-//! Forwarded requests: opaque calls that pass through an entry to one of a service's targets.
+//! The policy for forwarded requests: opaque calls that an entry proxies to a target of a service.
 //!
-//! An entry neither reads nor writes what such a request or its answer says. It decides where the
-//! request goes, whether it may be sent again, and how a stream of events goes on after a loss.
+//! An entry neither interprets nor changes the content of such a request or its answer. It selects
+//! the target, decides whether the request may be sent again, and how a stream of events resumes
+//! after the loss of its target.
 //!
-//! - [`ForwardConfig`]: routes by host and path, services and callers' keys, at one version.
-//! - [`Fleet`]: which targets there are, how loaded, and which one is next ([`Placement`]).
-//! - [`Fleet::receive_peer`]: what the other entries say they have at the targets.
-//! - [`Roster`]: which other entries there are.
-//! - [`RunCopy`]: a copy of a run's memory at another engine.
-//! - [`PromptLocations`]: which target has read which prompt.
-//! - [`RunTimes`]: how long targets take to read prompts, and to answer them.
-//! - [`StartEstimate`]: whether a request can begin in time, or a queue stands ([`StandingQueues`]).
-//! - [`DirectoryLog`]: how a few entries follow the directory for all.
-//! - [`Exchange`]: one request, from its arrival to its end.
-//! - [`EventStream`]: cuts a target's bytes into events and keeps them in order.
+//! - [`ForwardConfig`]: one version of the routes by host and path, the services and the callers'
+//!   keys.
+//! - [`Fleet`]: the targets and their load, and the choice of one for a request ([`Placement`]).
+//! - [`Fleet::receive_peer`]: the load that the other entries report to have at the targets.
+//! - [`Roster`]: the list of the other entries.
+//! - [`RunCopy`]: a copy of a run's cache memory at another engine.
+//! - [`PromptLocations`]: the target that has read each prompt.
+//! - [`RunTimes`]: the mean times in which targets read prompts and generate answers.
+//! - [`StartEstimate`]: whether a request can start in time, also in view of a standing queue
+//!   ([`StandingQueues`]).
+//! - [`DirectoryLog`]: the directory changes that the watching entries send to all others.
+//! - [`Exchange`]: the state machine of one request.
+//! - [`EventStream`]: splits a target's bytes into events and keeps them in order.
 
 mod directory_log;
 mod event_stream;
--- a/crates/cw_policy/src/forward/peers.rs
+++ b/crates/cw_policy/src/forward/peers.rs
@@ -1,4 +1,4 @@
-//! What the other entries say they have at the targets.
+//! The load and the losses at the targets that the other entries report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,48 +14,51 @@
 
 use super::Fleet;
 
-/// How long a doubt about a target holds without a new one: engines that crashed are back within two
-/// seconds as a rule.
-const DOUBT_LIFE: Duration = Duration::from_secs(2);
+/// How long a target stays suspected after its last reported loss. Engines that crashed are usually
+/// back within two seconds.
+const SUSPICION_TTL: Duration = Duration::from_secs(2);
 
-/// How many entries watch the directory: when one dies, another still tells the rest.
+/// The number of entries that watch the directory. When one crashes, the other still sends the
+/// changes to the rest.
 const WATCHERS: usize = 2;
 
-/// How long an entry that watches the directory may be silent before others do so too. Changes must
-/// be in force within two seconds, even if those that watched have stopped without a sign.
-const WATCHER_SILENCE: Duration = Duration::from_millis(1000);
+/// How long an entry that watches the directory may be silent before another one takes over.
+/// Changes must take effect within two seconds, even if the watching entries have stopped silently.
+const WATCHER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Bounds on what is believed of other entries.
+/// How long the messages of other entries are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerLimits {
-    /// How long the last message of an entry is believed, where there are few.
+    /// How long the last message of an entry is valid if there are few entries.
     pub ttl: Duration,
-    /// How much longer for each entry: the more there are, the less often each tells.
+    /// The additional time for each entry. The more entries there are, the less often each one
+    /// sends.
     pub ttl_per_entry: Duration,
 }
 
 impl Default for PeerLimits {
     fn default() -> Self {
         Self {
-            // Some messages may be lost; after as many the entry has gone, and its requests too.
+            // The time allows for some lost messages. After it the entry is taken to have stopped,
+            // and its requests with it.
             ttl: Duration::from_millis(1500),
             ttl_per_entry: Duration::from_millis(30),
         }
     }
 }
 
-/// One other entry.
+/// The last message of one other entry.
 #[derive(Clone, Debug)]
 struct Peer {
-    heard: Time,
+    received_at: Time,
     incarnation: Incarnation,
     sequence: u64,
     shares: BTreeMap<TargetHash, TargetShare>,
-    /// Whether it watches the directory, and the directory answers it.
-    watches: bool,
+    /// Whether the entry watches the directory and the directory answers it.
+    watching: bool,
 }
 
-/// The other entries.
+/// The last messages of the other entries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     limits: PeerLimits,
@@ -63,8 +66,8 @@
 }
 
 impl Peers {
-    /// Returns what all of them have at a target.
-    pub(super) fn at(&self, hash: TargetHash) -> TargetShare {
+    /// Returns the total load of the other entries at a target.
+    pub(super) fn total_at(&self, hash: TargetHash) -> TargetShare {
         let mut sum = TargetShare::default();
         for share in self
             .peers
@@ -81,24 +84,24 @@
 }
 
 impl Fleet {
-    /// Another entry says what it has at the targets. Returns whether the message is news.
+    /// Processes a message of another entry. Returns false for a duplicate or outdated message.
     pub fn receive_peer(&mut self, now: Time, message: &Outstanding) -> bool {
         let known = self.peers.peers.get(&message.host);
-        let is_old = known.is_some_and(|peer| {
+        let is_stale = known.is_some_and(|peer| {
             peer.incarnation == message.incarnation && peer.sequence >= message.sequence
         });
-        if is_old {
+        if is_stale {
             return false;
         }
         let peer = Peer {
-            heard: now,
+            received_at: now,
             incarnation: message.incarnation,
             sequence: message.sequence,
             shares: message.shares.iter().copied().collect(),
-            watches: message.directory.as_ref().is_some_and(|news| news.up),
+            watching: message.directory.as_ref().is_some_and(|news| news.up),
         };
         self.peers.peers.insert(message.host.clone(), peer);
-        self.sum_up(now);
+        self.update_peer_shares(now);
         let lost: Vec<TargetId> = self
             .members
             .iter()
@@ -107,14 +110,14 @@
             .collect();
         for id in lost {
             if let Some(member) = self.members.get_mut(&id) {
-                member.doubt(now);
+                member.suspect(now);
             }
-            self.note_loss(now, &id);
+            self.record_zone_loss(now, &id);
         }
         true
     }
 
-    /// Forgets what entries said that have not been heard for long. Returns which.
+    /// Drops the entries whose last message is no longer valid, and returns their hosts.
     pub fn expire_peers(&mut self, now: Time) -> Vec<HostId> {
         let count = u32::try_from(self.entries.len()).unwrap_or(u32::MAX);
         let limits = self.peers.limits;
@@ -123,47 +126,48 @@
             .peers
             .peers
             .iter()
-            .filter(|(_, peer)| now.since(peer.heard) > ttl)
+            .filter(|(_, peer)| now.since(peer.received_at) > ttl)
             .map(|(host, _)| host.clone())
             .collect();
         for host in &gone {
             self.peers.peers.remove(host);
         }
         if !gone.is_empty() {
-            self.sum_up(now);
+            self.update_peer_shares(now);
         }
         gone
     }
 
-    /// Returns whether this entry is one of those that watch the directory for all: it is, unless
-    /// enough others do whose names come first and whom the directory answers.
+    /// Returns whether this entry has to watch the directory for all. It does unless
+    /// enough entries with a smaller host id watch it and get answers.
     pub fn is_watcher(&self, now: Time) -> bool {
         self.watchers_before(now) < WATCHERS
     }
 
-    /// Returns whether this entry writes down what all of them know.
+    /// Returns whether this entry writes the shared state of all entries to the store.
     pub fn is_writer(&self, now: Time) -> bool {
         self.watchers_before(now) == 0
     }
 
+    /// Returns how many active watchers have a smaller host id than this entry.
     fn watchers_before(&self, now: Time) -> usize {
-        let Some(own) = &self.own else {
+        let Some(own) = &self.own_host else {
             return 0;
         };
         self.peers
             .peers
             .iter()
-            .filter(|(host, peer)| *host < own && peer.watches)
-            .filter(|(_, peer)| now.since(peer.heard) < WATCHER_SILENCE)
+            .filter(|(host, peer)| *host < own && peer.watching)
+            .filter(|(_, peer)| now.since(peer.received_at) < WATCHER_TIMEOUT)
             .count()
     }
 
-    /// Returns how many other entries are heard.
+    /// Returns the number of other entries with a valid message.
     pub fn peers(&self) -> usize {
         self.peers.peers.len()
     }
 
-    /// Returns what this entry has at the targets.
+    /// Returns the load of this entry at the targets, without those where it has none.
     pub fn shares(&self) -> Vec<(TargetHash, TargetShare)> {
         self.members
             .values()
@@ -176,48 +180,52 @@
     pub fn lost_since(&self, since: Time) -> Vec<TargetHash> {
         self.members
             .iter()
-            .filter(|(_, member)| member.found.is_some_and(|at| at > since))
+            .filter(|(_, member)| member.lost_at.is_some_and(|at| at > since))
             .map(|(_, member)| member.hash)
             .collect()
     }
 
-    /// Returns whether a target may have stopped without a sign: it was found lost itself, or
-    /// several others of its availability zone were and nothing has come from it since.
+    /// Returns whether a target may have stopped silently: it was itself found lost, or it may have
+    /// been lost with its availability zone.
     pub fn is_suspect(&self, now: Time, id: &TargetId) -> bool {
         let Some(member) = self.members.get(id) else {
             return true;
         };
-        let doubted = member.doubted;
-        doubted.is_some_and(|at| now.since(at) < DOUBT_LIFE) || self.is_unproven(now, member)
+        let suspected_at = member.suspected_at;
+        suspected_at.is_some_and(|at| now.since(at) < SUSPICION_TTL)
+            || self.is_zone_suspect(now, member)
     }
 
-    /// Says which entries there are. Each target is preferred by one of them, which rendezvous
-    /// hashing picks, so that entries that choose at the same moment choose differently.
+    /// Sets the list of entries.
+    ///
+    /// Each target is preferred by one entry, selected by rendezvous hashing, so that entries that
+    /// place requests at the same moment choose different targets.
     pub fn set_entries(&mut self, own: &HostId, others: impl Iterator<Item = HostId>) {
         self.entries = others.chain([own.clone()]).collect();
-        self.own = Some(own.clone());
+        self.own_host = Some(own.clone());
         let ids: Vec<TargetId> = self.members.keys().cloned().collect();
         for id in ids {
-            let is_own = self.is_own(&id);
+            let prefers = self.prefers(&id);
             if let Some(member) = self.members.get_mut(&id) {
-                member.own = is_own;
+                member.preferred = prefers;
             }
         }
     }
 
-    pub(super) fn is_own(&self, id: &TargetId) -> bool {
+    /// Returns whether this is the entry that prefers the target.
+    pub(super) fn prefers(&self, id: &TargetId) -> bool {
         let weight = |host: &HostId| {
             let text = format!("{}/{}", host.as_str(), id.as_str());
             xxh3_64(text.as_bytes())
         };
         let preferring = self.entries.iter().max_by_key(|host| weight(host));
-        preferring.is_some() && preferring == self.own.as_ref()
+        preferring.is_some() && preferring == self.own_host.as_ref()
     }
 
-    fn sum_up(&mut self, now: Time) {
+    fn update_peer_shares(&mut self, now: Time) {
         for member in self.members.values_mut() {
-            let peers = self.peers.at(member.hash);
-            member.change(now, |member| member.peers = peers);
+            let peers = self.peers.total_at(member.hash);
+            member.update_unread(now, |member| member.peers = peers);
         }
     }
 }
--- a/crates/cw_policy/src/forward/placement.rs
+++ b/crates/cw_policy/src/forward/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of a target, and of another one that keeps a copy of the run.
+//! Selects the target of a request, and another one that keeps a copy of the run.
 
 use std::collections::BTreeSet;
 
@@ -14,75 +14,81 @@
 use super::Fleet;
 use super::member::Member;
 
-/// What one point of evidence against a target costs, in requests: one that went silent counts like
-/// one with four requests more.
-const STRIKE_COST: f64 = 2.0;
+/// The cost of one point of a target's penalty, in requests. A target that went silent costs as
+/// much as one with four more requests.
+const PENALTY_COST: f64 = 2.0;
 
-/// What a thousand tokens that have yet to be read cost, in requests: reading holds up all others
-/// there, and each prompt waits for those before it.
+/// The cost of a thousand unread tokens, in requests. Reading a prompt delays all other requests of
+/// the target, and each prompt waits for those before it.
 const UNREAD_COST: f64 = 0.3;
 
-/// What a copy of another engine's run costs, in requests: it takes memory but no steps.
+/// The cost of a copy of another engine's run, in requests. It uses memory but no generation steps.
 const COPY_COST: f64 = 0.25;
 
-/// What another availability zone costs, in requests: its bytes are charged and a little later.
+/// The cost of another availability zone, in requests. Traffic between zones is charged and
+/// slightly slower.
 const ZONE_COST: f64 = 0.2;
 
-/// What a target without a free slot or free memory costs, in requests: more than any load.
+/// The cost of a target without a free slot or free memory, in requests. It exceeds that of any
+/// load.
 const FULL_COST: f64 = 100.0;
 
-/// The part of an engine's memory that is given away; the rest is for shared prompt parts.
+/// The fraction of an engine's memory that is available to requests. The rest is reserved for
+/// shared prompt prefixes.
 const MEMORY_SHARE: f64 = 0.9;
 
-/// What a target that another entry prefers costs, in requests: two entries that choose within the
-/// same few milliseconds know nothing of each other's choice.
-const FOREIGN_COST: f64 = 0.5;
+/// The cost of a target that another entry prefers, in requests. Two entries that place requests
+/// within the same few milliseconds do not know of each other's choice.
+const NOT_PREFERRED_COST: f64 = 0.5;
 
-/// What a target costs that its availability zone may have lost, in requests: more than it is worth
-/// to be sure, less than being full.
-const UNPROVEN_COST: f64 = 10.0;
+/// The cost of a target that may have been lost with its availability zone, in requests. It is
+/// high enough to avoid such a target in most cases, and lower than [`FULL_COST`].
+const ZONE_SUSPECT_COST: f64 = 10.0;
 
-/// The largest random part of a cost, in requests: entries with like views choose differently.
+/// The upper bound of the random part of a cost, in requests. It makes entries with similar views
+/// choose different targets.
 const JITTER: f64 = 0.4;
 
-/// What a request needs of its target.
+/// The requirements of a request on its target.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
-    /// The service that answers.
+    /// The service that the request is for.
     pub service: &'a ServiceName,
-    /// The cache memory of one of its engines, in tokens; `None` for a plain service.
+    /// The cache memory of one engine of the service in tokens, `None` for a service without
+    /// engines.
     pub memory: Option<u64>,
-    /// What the request takes up.
+    /// The resources that the request uses.
     pub demand: Demand,
-    /// The availability zone that asks.
+    /// The availability zone of this entry.
     pub zone: &'a ZoneId,
-    /// Targets that the request must not go to.
+    /// The targets that the request must not be sent to.
     pub excluded: &'a BTreeSet<TargetId>,
-    /// Whether another engine is to keep a copy of the run.
+    /// Whether another engine should keep a copy of the run.
     pub copy: bool,
-    /// The target that has read the prompt before.
+    /// The target that has already read the prompt.
     pub read_at: Option<TargetHash>,
-    /// Whether the other entries say what they have at the targets.
+    /// Whether the load that other entries report is known. The targets' own reports are used
+    /// otherwise.
     pub peers: bool,
 }
 
-/// Where a request goes.
+/// The targets selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The target that runs it.
+    /// The target that runs the request.
     pub target: TargetId,
     /// The target that keeps a copy of the run.
     pub copy: Option<TargetId>,
 }
 
 impl Fleet {
-    /// Chooses a target, and one for the copy in another availability zone where there is one.
+    /// Selects a target, and one for the copy, preferably in another availability zone.
     ///
-    /// Targets that could not be reached a moment ago are taken only when no other is left.
+    /// Targets in backoff are used only when there is no other.
     pub fn place(&self, now: Time, need: &Need<'_>, rng: &mut impl Rng) -> Option<Placement> {
         let target = self
             .cheapest(now, need, rng, |member| {
-                member.rest <= now && !member.replaced
+                member.backoff_until <= now && !member.replaced
             })
             .or_else(|| self.cheapest(now, need, rng, |_| true))?;
         let copy = need
@@ -92,7 +98,8 @@
         Some(Placement { target, copy })
     }
 
-    /// Chooses who keeps a copy of a run at `target`: another failure domain, with free memory.
+    /// Selects the target that keeps a copy of a run at `target`. It has free memory, and is in
+    /// another availability zone if possible.
     pub fn keeper(
         &self,
         now: Time,
@@ -103,9 +110,9 @@
         let zone = &self.members.get(target)?.listing.zone;
         let fits = |member: &Member| {
             member.listing.id != *target
-                && member.rest <= now
+                && member.backoff_until <= now
                 && !member.replaced
-                && !self.is_unproven(now, member)
+                && !self.is_zone_suspect(now, member)
                 && has_memory(member, need)
         };
         self.cheapest(now, need, rng, |member| {
@@ -114,43 +121,45 @@
         .or_else(|| self.cheapest(now, need, rng, fits))
     }
 
-    /// Returns the targets that a request may go to without doubt.
-    pub(super) fn open<'a>(
+    /// Returns the eligible targets that are neither in backoff nor suspected.
+    pub(super) fn candidates<'a>(
         &'a self,
         now: Time,
         need: &'a Need<'_>,
     ) -> impl Iterator<Item = &'a Member> {
-        self.allowed(need).filter(move |member| {
-            member.rest <= now && !member.replaced && !self.is_unproven(now, member)
+        self.eligible(need).filter(move |member| {
+            member.backoff_until <= now && !member.replaced && !self.is_zone_suspect(now, member)
         })
     }
 
-    fn allowed<'a>(&'a self, need: &'a Need<'_>) -> impl Iterator<Item = &'a Member> {
+    /// Returns the targets of the service that are neither leaving nor excluded.
+    fn eligible<'a>(&'a self, need: &'a Need<'_>) -> impl Iterator<Item = &'a Member> {
         self.members
             .values()
             .filter(|member| member.listing.service == *need.service && !member.listing.leaving)
             .filter(|member| !need.excluded.contains(&member.listing.id))
     }
 
+    /// Returns the eligible target with the lowest cost among those that `accept` selects.
     fn cheapest(
         &self,
         now: Time,
         need: &Need<'_>,
         rng: &mut impl Rng,
-        open: impl Fn(&Member) -> bool,
+        accept: impl Fn(&Member) -> bool,
     ) -> Option<TargetId> {
-        self.allowed(need)
-            .filter(|member| open(member))
+        self.eligible(need)
+            .filter(|member| accept(member))
             .map(|member| {
                 let jitter = rng.random_range(0.0..JITTER);
-                // Trying the one that has read the prompt costs a few milliseconds at most times,
-                // reading it anew a second.
+                // Trying the target that has read the prompt usually costs a few milliseconds, even
+                // if it is down, while reading the prompt elsewhere costs a second.
                 let is_reader = need.read_at == Some(member.hash);
-                let unproven = match self.is_unproven(now, member) && !is_reader {
-                    true => UNPROVEN_COST,
+                let suspicion = match self.is_zone_suspect(now, member) && !is_reader {
+                    true => ZONE_SUSPECT_COST,
                     false => 0.0,
                 };
-                let cost = cost(now, member, need) + unproven + jitter;
+                let cost = cost(now, member, need) + suspicion + jitter;
                 (cost, &member.listing.id)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -158,38 +167,40 @@
     }
 }
 
+/// Returns the cost of sending a request to a target, in requests.
 fn cost(now: Time, member: &Member, need: &Need<'_>) -> f64 {
     let peers = member.peers;
     let others = match need.peers {
         true => f64::from(peers.runs),
-        false => member.foreign(now),
+        false => member.others(now),
     };
-    let busy = f64::from(member.runs) + others;
-    let mut cost = busy
+    let requests = f64::from(member.runs) + others;
+    let mut cost = requests
         + UNREAD_COST * (member.unread + peers.unread) as f64 / 1000.0
         + COPY_COST * f64::from(member.copies + peers.copies)
-        + STRIKE_COST * member.strikes(now);
+        + PENALTY_COST * member.penalty(now);
     if member.listing.zone != *need.zone {
         cost += ZONE_COST;
     }
-    if !member.own {
-        cost += FOREIGN_COST;
+    if !member.preferred {
+        cost += NOT_PREFERRED_COST;
     }
     if need.read_at == Some(member.hash) {
         cost -= UNREAD_COST * need.demand.prompt as f64 / 1000.0;
     }
     let slots = f64::from(member.listing.slots.max(1));
-    if busy >= slots || !has_memory(member, need) {
+    if requests >= slots || !has_memory(member, need) {
         cost += FULL_COST;
     }
     cost
 }
 
+/// Returns whether the target has enough free cache memory for the request.
 fn has_memory(member: &Member, need: &Need<'_>) -> bool {
     let Some(memory) = need.memory else {
         return true;
     };
-    let there = member.tokens.saturating_add(member.peers.tokens);
-    let taken = there.saturating_add(need.demand.tokens());
-    taken as f64 <= memory as f64 * MEMORY_SHARE
+    let used = member.tokens.saturating_add(member.peers.tokens);
+    let needed = used.saturating_add(need.demand.tokens());
+    needed as f64 <= memory as f64 * MEMORY_SHARE
 }
--- a/crates/cw_policy/src/forward/prompt_locations.rs
+++ b/crates/cw_policy/src/forward/prompt_locations.rs
@@ -1,8 +1,8 @@
-//! Which target has read which prompt.
+//! Records which target has read which prompt.
 //!
-//! When an entry dies, its callers come to another one with the last event that they have. The
-//! engine that ran the stream still has the prompt in its cache memory, so the stream goes on there
-//! within a fraction of the time that reading the prompt anew takes.
+//! When an entry crashes, its callers reconnect to another one with the id of their last event. The
+//! engine that ran the stream still has the prompt in its cache memory, so the stream resumes there
+//! within a fraction of the time that reading the prompt again takes.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,12 +13,12 @@
 use cw_wire::ReadPrompt;
 use cw_wire::TargetHash;
 
-/// Bounds on what is remembered.
+/// Limits on the recorded prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptLocationLimits {
-    /// How long a prompt is remembered: callers come back within seconds, or not at all.
+    /// How long a prompt is kept. Callers reconnect within seconds or not at all.
     pub ttl: Duration,
-    /// The most prompts that are remembered.
+    /// The maximum number of records.
     pub capacity: usize,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Which target has read which prompt, by this entry's own requests and by what others say.
+/// The last target that read each prompt, from this entry's own requests or those of other entries.
 #[derive(Clone, Debug, Default)]
 pub struct PromptLocations {
     limits: PromptLocationLimits,
@@ -40,7 +40,7 @@
 }
 
 impl PromptLocations {
-    /// Returns an empty memory.
+    /// Creates an empty record.
     pub fn new(limits: PromptLocationLimits) -> Self {
         Self {
             limits,
@@ -48,31 +48,31 @@
         }
     }
 
-    /// A target reads a prompt.
+    /// Records that a target reads a prompt.
     pub fn record(&mut self, now: Time, read: ReadPrompt) {
         self.prompts.insert(read.prompt, (read.target, now));
         self.order.push_back((now, read.prompt));
         while self.order.len() > self.limits.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// Returns the target that read a prompt last.
+    /// Returns the last target that read a prompt, unless the record has expired.
     pub fn find(&self, now: Time, prompt: PromptHash) -> Option<TargetHash> {
         let (target, at) = self.prompts.get(&prompt)?;
         (now.since(*at) <= self.limits.ttl).then_some(*target)
     }
 
-    /// Forgets what is too old.
+    /// Drops expired records.
     pub fn expire(&mut self, now: Time) {
         while let Some((at, _)) = self.order.front()
             && now.since(*at) > self.limits.ttl
         {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// Returns what was noted after `since`.
+    /// Returns the prompts recorded after `since`, newest first.
     pub fn recorded_since(&self, since: Time) -> Vec<ReadPrompt> {
         self.order
             .iter()
@@ -88,11 +88,11 @@
             .collect()
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((at, prompt)) = self.order.pop_front() else {
             return;
         };
-        // A prompt that was noted again stays until that note is the oldest.
+        // A prompt that was recorded again stays until its newest record is the oldest.
         if self
             .prompts
             .get(&prompt)
--- a/crates/cw_policy/src/forward/roster.rs
+++ b/crates/cw_policy/src/forward/roster.rs
@@ -1,4 +1,4 @@
-//! Which other entries there are.
+//! The list of the other entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,37 +7,38 @@
 use cw_types::HostId;
 use cw_types::Time;
 
-/// How long an entry that is not registered is taken to be there after its last message: far longer
-/// than the pauses between messages, so that it takes many lost ones to forget it.
-const HEARD_TTL: Duration = Duration::from_secs(5);
+/// How long an unregistered entry stays listed after its last message. It is far longer than the
+/// pauses between messages, so only the loss of many messages in a row removes the entry.
+const MESSAGE_TTL: Duration = Duration::from_secs(5);
 
-/// The other entries: those registered in the key-value service, and those heard of late.
+/// The other entries: those registered in the key-value service, and those that sent a message
+/// recently.
 ///
-/// The record of an entry lapses when the service turns the entry away for long, which is just when
-/// it needs the others most.
+/// The record of an entry expires when the service rejects the entry's calls for long. The entry
+/// depends on the others most in that time, so its messages keep it listed.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     registered: BTreeMap<HostId, SocketAddr>,
-    heard: BTreeMap<HostId, (SocketAddr, Time)>,
+    last_messages: BTreeMap<HostId, (SocketAddr, Time)>,
 }
 
 impl Roster {
-    /// The service names these other entries.
+    /// Replaces the entries that are registered in the key-value service.
     pub fn set_registered(&mut self, registered: BTreeMap<HostId, SocketAddr>) {
         self.registered = registered;
     }
 
-    /// A message has come from another entry.
+    /// Records a message from another entry.
     pub fn record_message(&mut self, now: Time, host: &HostId, address: SocketAddr) {
-        self.heard.insert(host.clone(), (address, now));
+        self.last_messages.insert(host.clone(), (address, now));
     }
 
-    /// Returns the other entries, and where they hear this one.
+    /// Returns the other entries with the addresses at which they receive messages.
     pub fn others(&self, now: Time) -> BTreeMap<HostId, SocketAddr> {
         let mut others: BTreeMap<HostId, SocketAddr> = self
-            .heard
+            .last_messages
             .iter()
-            .filter(|(_, (_, at))| now.since(*at) <= HEARD_TTL)
+            .filter(|(_, (_, at))| now.since(*at) <= MESSAGE_TTL)
             .map(|(host, (address, _))| (host.clone(), *address))
             .collect();
         others.extend(self.registered.clone());
--- a/crates/cw_policy/src/forward/run_copy.rs
+++ b/crates/cw_policy/src/forward/run_copy.rs
@@ -7,12 +7,12 @@
 
 use super::Fleet;
 
-/// How engines name a copy: by an address and a name there.
+/// The name of a copy among the engines: an address and a name at that address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyName {
-    /// The engine whose name it is.
+    /// The address of the engine that assigned the name.
     pub address: SocketAddr,
-    /// The name.
+    /// The name at that engine.
     pub name: String,
 }
 
@@ -21,28 +21,30 @@
 pub struct RunCopy {
     /// The engine that keeps it.
     pub keeper: TargetId,
-    /// When it was begun: a later life of the keeper does not have it.
+    /// When the copy was started. An instance of the keeper that starts later does not have it.
     pub since: Time,
-    /// What it is called; `None` when it is sent on as the run grows, and has the run's own id.
+    /// The name of the copy. It is `None` when the copy is replicated as the run proceeds, since it
+    /// then has the id of the run.
     pub name: Option<CopyName>,
 }
 
 impl Fleet {
-    /// Returns whether the keeper of a copy surely lives on.
+    /// Returns whether the keeper of a copy is usable and not suspected lost with its zone.
     pub fn has_copy(&self, now: Time, copy: &RunCopy) -> bool {
         self.may_have_copy(now, copy)
             && self
                 .members
                 .get(&copy.keeper)
-                .is_some_and(|member| !self.is_unproven(now, member))
+                .is_some_and(|member| !self.is_zone_suspect(now, member))
     }
 
-    /// Returns whether the keeper of a copy may live on.
+    /// Returns whether the keeper of a copy is usable and has not restarted since the copy was
+    /// started.
     pub fn may_have_copy(&self, now: Time, copy: &RunCopy) -> bool {
         self.is_usable(now, &copy.keeper)
             && self
                 .members
                 .get(&copy.keeper)
-                .is_some_and(|member| member.listed <= copy.since)
+                .is_some_and(|member| member.listed_at <= copy.since)
     }
 }
--- a/crates/cw_policy/src/forward/run_times.rs
+++ b/crates/cw_policy/src/forward/run_times.rs
@@ -1,37 +1,39 @@
-//! How long targets take to read prompts, and to answer them.
+//! Estimates how long targets take to read prompts and to generate answers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cw_types::ServiceName;
 
-/// The weight of the newest run in a mean.
-const NEWEST: f64 = 0.1;
+/// The weight of the newest sample in an exponential moving average.
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// How many times the usual time a prompt may take: some targets are slower than others, and other
-/// prompts may be read first.
-const MARGIN: f64 = 3.0;
+/// The maximum time for reading a prompt, as a multiple of the mean. Some targets are slower than
+/// others, and other prompts may be read first.
+const MAX_FACTOR: f64 = 3.0;
 
-/// What was seen of one service's targets.
+/// The mean times of one service's targets.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
-    /// The time to the first event for each token of the prompt, in seconds.
+struct ServiceTimes {
+    /// The time to the first event per token of the prompt, in seconds.
     per_token: Option<f64>,
-    /// The time to the first event for each token that was to be read until then, in seconds.
-    per_ahead: Option<f64>,
+    /// The time to the first event per token that the target had queued to read, in seconds.
+    per_queued: Option<f64>,
     /// The time from the first event to the last, in seconds.
     run: Option<f64>,
 }
 
-/// The usual times of runs by service, from what was seen.
+/// The mean times of runs by service, measured on this entry's own requests.
 #[derive(Clone, Debug, Default)]
 pub struct RunTimes {
-    paces: BTreeMap<ServiceName, Pace>,
+    services: BTreeMap<ServiceName, ServiceTimes>,
 }
 
 impl RunTimes {
-    /// A prompt of so many tokens was read in this time. `ahead` are the tokens that its target had
-    /// to read until then, its own among them, if nothing else held it up.
+    /// Records that a prompt of `tokens` tokens was read in `time`.
+    ///
+    /// `ahead` is the number of tokens that the target had queued to read, including this prompt.
+    /// It is `None` if something else delayed the run.
     pub fn record_prompt(
         &mut self,
         service: &ServiceName,
@@ -39,54 +41,58 @@
         ahead: Option<u64>,
         time: Duration,
     ) {
-        let pace = self.paces.entry(service.clone()).or_default();
-        learn(&mut pace.per_token, time, tokens);
+        let times = self.services.entry(service.clone()).or_default();
+        update_mean(&mut times.per_token, time, tokens);
         if let Some(ahead) = ahead {
-            learn(&mut pace.per_ahead, time, ahead);
+            update_mean(&mut times.per_queued, time, ahead);
         }
     }
 
-    /// A whole answer took this long from its first event to its last.
+    /// Records the time of a complete answer from its first event to its last.
     pub fn record_run(&mut self, service: &ServiceName, time: Duration) {
-        let pace = self.paces.entry(service.clone()).or_default();
-        learn(&mut pace.run, time, 1);
+        let times = self.services.entry(service.clone()).or_default();
+        update_mean(&mut times.run, time, 1);
     }
 
-    /// Returns the longest time that reading a prompt should take, if any was read before.
+    /// Returns the maximum expected time for reading a prompt, `None` before the first sample.
     pub fn max_prompt_time(&self, service: &ServiceName, tokens: u64) -> Option<Duration> {
-        let pace = self.paces.get(service)?.per_token?;
-        Some(Duration::from_secs_f64(pace * tokens as f64 * MARGIN))
+        let per_token = self.services.get(service)?.per_token?;
+        Some(Duration::from_secs_f64(
+            per_token * tokens as f64 * MAX_FACTOR,
+        ))
     }
 
-    /// Returns the usual time in which a target reads so many tokens, if any were read before.
+    /// Returns the mean time in which a target reads `tokens` tokens, `None` before the first
+    /// sample.
     pub fn prompt_time(&self, service: &ServiceName, tokens: u64) -> Option<Duration> {
-        let pace = self.paces.get(service)?.per_ahead?;
-        Some(Duration::from_secs_f64(pace * tokens as f64))
+        let per_queued = self.services.get(service)?.per_queued?;
+        Some(Duration::from_secs_f64(per_queued * tokens as f64))
     }
 
-    /// Returns how many tokens a target usually reads in this time, if any were read before.
+    /// Returns how many tokens a target reads in `time` on average, `None` before the first sample.
     pub fn tokens_within(&self, service: &ServiceName, time: Duration) -> Option<u64> {
-        let pace = self.paces.get(service)?.per_ahead?;
-        Some((time.as_secs_f64() / pace.max(f64::EPSILON)) as u64)
+        let per_queued = self.services.get(service)?.per_queued?;
+        Some((time.as_secs_f64() / per_queued.max(f64::EPSILON)) as u64)
     }
 
-    /// Returns how long a run usually holds its memory after its first event, if any has ended.
+    /// Returns how long a run holds its memory after its first event on average, `None` before the
+    /// first sample.
     pub fn run_time(&self, service: &ServiceName) -> Option<Duration> {
-        let run = self.paces.get(service)?.run?;
+        let run = self.services.get(service)?.run?;
         Some(Duration::from_secs_f64(run))
     }
 
-    /// Forgets the services that are no more.
+    /// Drops the times of the services for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ServiceName) -> bool) {
-        self.paces.retain(|name, _| keep(name));
+        self.services.retain(|name, _| keep(name));
     }
 }
 
-/// Takes a time for so many parts into the mean for one part.
-fn learn(mean: &mut Option<f64>, time: Duration, parts: u64) {
+/// Updates the mean time per part with a sample of `time` for `parts` parts.
+fn update_mean(mean: &mut Option<f64>, time: Duration, parts: u64) {
     if parts > 0 {
-        let seen = time.as_secs_f64() / parts as f64;
-        let mean = mean.get_or_insert(seen);
-        *mean += NEWEST * (seen - *mean);
+        let sample = time.as_secs_f64() / parts as f64;
+        let mean = mean.get_or_insert(sample);
+        *mean += NEWEST_WEIGHT * (sample - *mean);
     }
 }
--- a/crates/cw_policy/src/forward/standing_queues.rs
+++ b/crates/cw_policy/src/forward/standing_queues.rs
@@ -1,4 +1,4 @@
-//! Whether a queue stands before a service's targets.
+//! Detects standing queues: the state in which most requests of a service have to wait.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,37 +6,40 @@
 use cw_types::ServiceName;
 use cw_types::Time;
 
-/// The time constant of the share of requests that have to wait, in objectives: what has queued
-/// after a short burst is worked off within about one.
-const STANDING_TIME: f64 = 0.7;
+/// The time constant of the moving average of waiting requests, as a multiple of the objective. The
+/// queue left by a short burst drains within about one objective.
+const TIME_CONSTANT: f64 = 0.7;
 
-/// The share of requests that have to wait above which a queue stands: up to 0.3 of them do after the
-/// loss of a zone, 0.7 and more under lasting overload (`docs/platform-rounds.md`, round 17).
+/// The share of waiting requests above which a queue counts as standing. The share reaches 0.3
+/// after the loss of a zone, and 0.7 and more under lasting overload (`docs/platform-rounds.md`,
+/// round 17).
 const STANDING_SHARE: f64 = 0.4;
 
-/// The share below which it has been worked off: half of the above.
-const WORKED_OFF_SHARE: f64 = 0.2;
+/// The share of waiting requests below which a standing queue counts as cleared, which is half of
+/// [`STANDING_SHARE`].
+const CLEARED_SHARE: f64 = 0.2;
 
-/// What is known of one service.
+/// The wait statistics of one service.
 #[derive(Clone, Copy, Debug)]
-struct Waits {
-    /// When it was last asked for.
-    at: Time,
-    /// The share of requests that have to wait, the newest counting most.
-    share: f64,
-    /// Whether a queue stands.
-    stands: bool,
+struct WaitStats {
+    /// The time of the last update.
+    updated: Time,
+    /// The exponential moving average of the share of requests that have to wait.
+    wait_share: f64,
+    standing: bool,
 }
 
-/// The share of requests that have to wait for others, whichever target they go to, by service.
+/// Tracks, per service, the share of requests that have to wait for others at every target.
 #[derive(Clone, Debug, Default)]
 pub struct StandingQueues {
-    services: BTreeMap<ServiceName, Waits>,
+    services: BTreeMap<ServiceName, WaitStats>,
 }
 
 impl StandingQueues {
-    /// Notes whether a request `waits` wherever it goes, and returns whether a queue stands: most
-    /// have waited of late, and it has not been worked off.
+    /// Records whether a request `waits` at every target, and returns whether a queue is standing.
+    ///
+    /// A queue counts as standing from the time its moving average exceeds [`STANDING_SHARE`] until
+    /// it falls below [`CLEARED_SHARE`].
     pub(super) fn observe(
         &mut self,
         now: Time,
@@ -44,24 +47,24 @@
         waits: bool,
         objective: Duration,
     ) -> bool {
-        let waiting = self.services.entry(service.clone()).or_insert(Waits {
-            at: now,
-            share: 0.0,
-            stands: false,
+        let stats = self.services.entry(service.clone()).or_insert(WaitStats {
+            updated: now,
+            wait_share: 0.0,
+            standing: false,
         });
-        let memory = objective.mul_f64(STANDING_TIME).as_secs_f64();
-        let age = now.since(waiting.at).as_secs_f64();
-        let weight = 1.0 - (-age / memory.max(f64::EPSILON)).exp();
-        waiting.share += weight * (f64::from(u8::from(waits)) - waiting.share);
-        waiting.at = now;
-        waiting.stands = match waiting.stands {
-            true => waiting.share >= WORKED_OFF_SHARE,
-            false => waiting.share > STANDING_SHARE,
+        let time_constant = objective.mul_f64(TIME_CONSTANT).as_secs_f64();
+        let age = now.since(stats.updated).as_secs_f64();
+        let weight = 1.0 - (-age / time_constant.max(f64::EPSILON)).exp();
+        stats.wait_share += weight * (f64::from(u8::from(waits)) - stats.wait_share);
+        stats.updated = now;
+        stats.standing = match stats.standing {
+            true => stats.wait_share >= CLEARED_SHARE,
+            false => stats.wait_share > STANDING_SHARE,
         };
-        waiting.stands
+        stats.standing
     }
 
-    /// Forgets the services that are no more.
+    /// Drops the statistics of the services for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.services.retain(|name, _| keep(name));
     }
--- a/crates/cw_policy/src/forward/start_estimate.rs
+++ b/crates/cw_policy/src/forward/start_estimate.rs
@@ -1,4 +1,4 @@
-//! How soon a target can begin to answer.
+//! Estimates how soon a target can start to answer a request.
 
 use std::time::Duration;
 
@@ -11,71 +11,74 @@
 use super::StandingQueues;
 use super::member::Member;
 
-/// The part of the objective within which a request should begin by what is known; the rest is for
-/// what is not known, such as the requests that others send within the same moment. 0.4 refused what
-/// begins in time after the loss of a zone (`docs/platform-rounds.md`, round 17).
-const BEGIN_SHARE: f64 = 0.8;
+/// The fraction of the objective within which a request must be estimated to start. The rest allows
+/// for unknown load, such as requests that other entries send at the same moment. With 0.4,
+/// requests that start in time after the loss of a zone were refused (`docs/platform-rounds.md`,
+/// round 17).
+const START_SHARE: f64 = 0.8;
 
-/// The part of the objective that a request may wait for others where most had to wait so long of
-/// late: a queue that stands helps nobody, it only makes each one later. With less, engines idle
-/// between requests (`tests/forward/start_estimate.rs`, lasting overload).
-const STANDING_WAIT: f64 = 0.2;
+/// The fraction of the objective that a request may wait for others while a queue is standing. A
+/// standing queue only delays every request without raising throughput. With a smaller fraction,
+/// engines idle between requests (`tests/forward/start_estimate.rs`, lasting overload).
+const STANDING_WAIT_SHARE: f64 = 0.2;
 
-/// Whether a request can begin in time.
+/// Whether a request can start in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartEstimate {
-    /// It can, or nothing is known that says otherwise.
+    /// The request can start in time, as far as known.
     InTime,
-    /// No target can.
+    /// No target can start the request in time.
     Late {
-        /// The time after which the first can.
+        /// The shortest delay after which a target can start the request.
         after: Duration,
-        /// The time within which it should have begun.
+        /// The maximum allowed delay.
         limit: Duration,
     },
 }
 
-/// What a request would find at a target.
+/// The work that precedes a new request at a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// The tokens to read until it has been read, its own among them.
+    /// The tokens to read until the request has been read, including its own.
     pub unread: u64,
-    /// The cache memory that must be freed before it can run, in tokens.
+    /// The cache memory that must be freed before the request can run, in tokens.
     pub excess: u64,
 }
 
 impl Fleet {
-    /// Returns what a request would find at a target now.
-    pub fn backlog(&self, now: Time, id: &TargetId, need: &Need<'_>, pace: &RunTimes) -> Backlog {
+    /// Returns the work that would precede a request at a target now, zero for an unknown target.
+    pub fn backlog(&self, now: Time, id: &TargetId, need: &Need<'_>, times: &RunTimes) -> Backlog {
         self.members
             .get(id)
-            .map_or_else(Backlog::default, |member| backlog(now, member, need, pace))
+            .map_or_else(Backlog::default, |member| backlog(now, member, need, times))
     }
 
-    /// Returns whether a request can begin in time at some target, by its `objective`. What its
-    /// caller took to send it is not the targets' affair, and does not count.
+    /// Returns whether a request can start in time at some target, according to its `objective`.
+    ///
+    /// The estimate counts from now: the time that the caller took to send the request is not
+    /// caused by the targets.
     pub fn estimate_start(
         &self,
         now: Time,
         need: &Need<'_>,
-        pace: &RunTimes,
-        crowd: &mut StandingQueues,
+        times: &RunTimes,
+        queues: &mut StandingQueues,
         objective: Duration,
     ) -> StartEstimate {
-        let own = pace.prompt_time(need.service, need.demand.prompt);
-        let own = own.unwrap_or_default();
+        let own_time = times.prompt_time(need.service, need.demand.prompt);
+        let own_time = own_time.unwrap_or_default();
         let first = self
-            .open(now, need)
-            .map(|member| begins_after(backlog(now, member, need, pace), need, pace))
+            .candidates(now, need)
+            .map(|member| start_delay(backlog(now, member, need, times), need, times))
             .min();
         let after = match first {
             Some(after) if !objective.is_zero() => after,
             _ => return StartEstimate::InTime,
         };
-        let standing = own + objective.mul_f64(STANDING_WAIT);
-        let limit = match crowd.observe(now, need.service, after > standing, objective) {
-            true => standing,
-            false => objective.mul_f64(BEGIN_SHARE).max(standing),
+        let standing_limit = own_time + objective.mul_f64(STANDING_WAIT_SHARE);
+        let limit = match queues.observe(now, need.service, after > standing_limit, objective) {
+            true => standing_limit,
+            false => objective.mul_f64(START_SHARE).max(standing_limit),
         };
         match after <= limit {
             true => StartEstimate::InTime,
@@ -84,14 +87,15 @@
     }
 }
 
-fn backlog(now: Time, member: &Member, need: &Need<'_>, pace: &RunTimes) -> Backlog {
+/// Returns the work that would precede a request at a target.
+fn backlog(now: Time, member: &Member, need: &Need<'_>, times: &RunTimes) -> Backlog {
     let prompt = need.demand.prompt;
     let own = match need.read_at == Some(member.hash) {
         true => 0,
         false => prompt,
     };
-    // The prompt that it reads now may have been read in part; prompts are taken to be alike.
-    let read = pace.tokens_within(need.service, now.since(member.reading));
+    // The current prompt may have been read in part. It is assumed to be as long as this one.
+    let read = times.tokens_within(need.service, now.since(member.reading_since));
     let read = read.unwrap_or_default().min(prompt);
     let tokens = member
         .tokens
@@ -105,15 +109,16 @@
     }
 }
 
-/// Returns how long after it is sent a request begins, as far as the pace of others tells.
-fn begins_after(backlog: Backlog, need: &Need<'_>, pace: &RunTimes) -> Duration {
-    let reading = pace.prompt_time(need.service, backlog.unread);
+/// Returns the estimated delay from sending a request to its start, from the mean times of past
+/// runs.
+fn start_delay(backlog: Backlog, need: &Need<'_>, times: &RunTimes) -> Duration {
+    let reading = times.prompt_time(need.service, backlog.unread);
     let reading = reading.unwrap_or(Duration::ZERO);
-    let (Some(memory), Some(run)) = (need.memory, pace.run_time(need.service)) else {
+    let (Some(memory), Some(run)) = (need.memory, times.run_time(need.service)) else {
         return reading;
     };
-    // All of the memory is freed once in the time of a run.
+    // The whole memory is freed once within the duration of a run.
     let freed = run.mul_f64(backlog.excess as f64 / memory.max(1) as f64);
-    let own = pace.prompt_time(need.service, need.demand.prompt);
-    reading.max(freed + own.unwrap_or(Duration::ZERO))
+    let own_time = times.prompt_time(need.service, need.demand.prompt);
+    reading.max(freed + own_time.unwrap_or(Duration::ZERO))
 }
--- a/crates/cw_policy/tests/forward/budget.rs
+++ b/crates/cw_policy/tests/forward/budget.rs
@@ -1,4 +1,4 @@
-//! Further sends keep to the shared budget in any window.
+//! Tests that repeated sends stay within the budget shared by all entries.
 
 use std::time::Duration;
 
@@ -18,10 +18,11 @@
     window: Duration::from_secs(10),
 };
 
-/// The bound counts the requests of a window, of the one before it, or of the one half a window
-/// before it, whichever has most: repeats follow their requests.
+/// The number of repeated sends in any window stays within the bound.
 ///
-/// Every request fails and asks for more sends than it gets, at four entries whose traffic differs.
+/// Repeats follow their requests, so the bound counts the requests of the window, of the one before
+/// it, or of the one half a window before it, whichever has most. Four entries with different
+/// traffic take part, and every request fails and asks for more sends than it gets.
 #[test]
 fn all_entries_together_keep_to_the_budget_in_any_window() {
     let service: ServiceName = name("s");
@@ -56,12 +57,12 @@
         let spent = count(&further, begin);
         assert!(spent <= bound, "{spent} over {bound} from {begin} ms");
     }
-    assert!(further.len() > 400, "the slack is there in each window");
+    assert!(further.len() > 400, "the slack is available in each window");
 }
 
-/// Pattern: an availability zone is lost every few seconds, each loss with many streams.
+/// An availability zone is lost every few seconds, and many streams with it each time.
 #[test]
-fn the_slack_is_there_again_in_the_next_window() {
+fn the_slack_is_available_again_in_the_next_window() {
     let service: ServiceName = name("s");
     let mut budgets = ServiceBudgets::new(BUDGET, 4);
     let spend = |budgets: &mut ServiceBudgets, millis| {
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn more_entries_have_smaller_parts() {
+fn more_entries_have_smaller_shares() {
     let service: ServiceName = name("s");
     let mut budgets = ServiceBudgets::new(BUDGET, 4);
     budgets.share(23);
--- a/crates/cw_policy/tests/forward/config.rs
+++ b/crates/cw_policy/tests/forward/config.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request, and whose key it is.
+//! Tests of route matching and keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -53,7 +53,7 @@
 #[case("/a/x", "outer")]
 #[case("/a/b/x", "inner")]
 #[case("/a/bx", "outer")]
-fn the_longest_prefix_takes_a_request(#[case] path: &str, #[case] expected: &str) {
+fn the_longest_prefix_matches_a_request(#[case] path: &str, #[case] expected: &str) {
     let admitted = config().admit("a.example", path, Some("secret")).unwrap();
 
     assert_eq!(admitted.route.name.as_str(), expected);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_key_names_the_workspace_and_its_rank() {
+fn a_key_determines_the_workspace_and_its_priority() {
     let admitted = config().admit("a.example", "/a/x", Some("secret")).unwrap();
 
     assert_eq!(admitted.workspace, Some(name("w1")));
@@ -95,7 +95,7 @@
 #[case(0.899, "heavy")]
 #[case(0.901, "light")]
 #[case(0.999, "light")]
-fn services_share_by_weight(#[case] draw: f64, #[case] expected: &str) {
+fn services_are_drawn_by_weight(#[case] draw: f64, #[case] expected: &str) {
     let service = route("outer", "/a/").service(draw).cloned().unwrap();
 
     assert_eq!(service.as_str(), expected);
--- a/crates/cw_policy/tests/forward/directory_log.rs
+++ b/crates/cw_policy/tests/forward/directory_log.rs
@@ -1,4 +1,4 @@
-//! Entries that do not watch the directory miss nothing, whatever datagrams are lost.
+//! Tests that entries that do not watch the directory miss no change, whichever datagrams are lost.
 
 use bytes::Bytes;
 use cw_policy::forward::DirectoryLog;
@@ -12,8 +12,8 @@
 use crate::fixtures::at;
 use crate::fixtures::fleet;
 
-/// A fleet whose directory answers.
-fn up() -> Fleet {
+/// Creates a fleet whose directory answers.
+fn answering_fleet() -> Fleet {
     fleet(1, 1)
 }
 
@@ -29,8 +29,8 @@
     watcher.record_change(at(0), "a", value("1"), 11);
     watcher.record_change(at(1), "a", None, 14);
 
-    let step = other.receive(&watcher.news(at(2), &up(), 1));
-    let again = other.receive(&watcher.news(at(3), &up(), 1));
+    let step = other.receive(&watcher.news(at(2), &answering_fleet(), 1));
+    let again = other.receive(&watcher.news(at(3), &answering_fleet(), 1));
 
     let NewsStep::Apply(changes) = step else {
         panic!("{step:?}");
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn a_missing_change_makes_an_entry_read() {
+fn a_missing_change_makes_an_entry_read_the_directory() {
     let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
     watcher.record_read(10);
     other.record_read(10);
     watcher.record_change(at(0), "a", value("1"), 11);
-    // The change is too old to be told when the next message gets through.
+    // The first change is too old to be in the next message that arrives.
     watcher.record_change(at(5000), "b", value("1"), 15);
 
-    let step = other.receive(&watcher.news(at(5000), &up(), 1));
+    let step = other.receive(&watcher.news(at(5000), &answering_fleet(), 1));
 
     assert_eq!(step, NewsStep::Reread);
     assert!(other.is_behind());
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_list_that_the_watcher_read_makes_the_others_read() {
+fn a_full_read_by_the_watcher_makes_the_others_read_the_directory() {
     let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
     watcher.record_read(10);
     other.record_read(10);
@@ -66,7 +66,7 @@
     watcher.record_read(20);
 
     assert_eq!(
-        other.receive(&watcher.news(at(0), &up(), 1)),
+        other.receive(&watcher.news(at(0), &answering_fleet(), 1)),
         NewsStep::Reread
     );
 }
@@ -80,7 +80,7 @@
         watcher.record_change(at(0), key, None, 11);
     }
 
-    let step = other.receive(&watcher.news(at(1), &up(), 1));
+    let step = other.receive(&watcher.news(at(1), &answering_fleet(), 1));
 
     let NewsStep::Apply(changes) = step else {
         panic!("{step:?}");
@@ -88,14 +88,15 @@
     assert_eq!(changes.len(), 3);
 }
 
-/// A directory under random changes, a watcher, and an entry that loses most messages: after each
-/// message that it gets, and the read that it may ask for, it holds what the watcher holds.
+/// The directory changes at random, and an entry loses most of the watcher's messages. After each
+/// message that it receives, and the read that may follow, it must have the same state as the
+/// watcher.
 #[test]
-fn any_loss_leaves_the_same_directory() {
+fn any_loss_of_messages_leads_to_the_same_state() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut truth: BTreeMap<String, Bytes> = BTreeMap::new();
-        let mut held: BTreeMap<String, Bytes> = BTreeMap::new();
+        let mut expected: BTreeMap<String, Bytes> = BTreeMap::new();
+        let mut actual: BTreeMap<String, Bytes> = BTreeMap::new();
         let (mut watcher, mut other) = (DirectoryLog::default(), DirectoryLog::default());
         let mut revision = 1;
         for step in 0..300 {
@@ -106,49 +107,49 @@
                 .random_bool(0.7)
                 .then(|| Bytes::from(format!("{revision}")));
             match &new {
-                Some(new) => truth.insert(key.clone(), new.clone()),
-                None => truth.remove(&key),
+                Some(new) => expected.insert(key.clone(), new.clone()),
+                None => expected.remove(&key),
             };
             watcher.record_change(now, &key, new, revision);
             if rng.random_bool(0.6) {
                 continue;
             }
-            match other.receive(&watcher.news(now, &up(), 1)) {
+            match other.receive(&watcher.news(now, &answering_fleet(), 1)) {
                 NewsStep::Nothing => {}
                 NewsStep::Reread => {
-                    held = truth.clone();
+                    actual = expected.clone();
                     other.record_read(revision);
                 }
                 NewsStep::Apply(changes) => {
                     for change in changes {
                         match change.value {
-                            Some(new) => held.insert(change.key, new),
-                            None => held.remove(&change.key),
+                            Some(new) => actual.insert(change.key, new),
+                            None => actual.remove(&change.key),
                         };
                     }
                 }
             }
-            assert_eq!(held, truth, "seed {seed}, step {step}");
+            assert_eq!(actual, expected, "seed {seed}, step {step}");
         }
     }
 }
 
-/// Pattern: the store turns one machine away while engines leave; the others must not take over its
-/// doubt, nor it keep targets that the others know to be gone.
+/// The store rejects the calls of one machine while engines leave. The other entries must not stop
+/// trusting the directory because of it, and it must not keep targets that the others have dropped.
 #[test]
-fn only_an_entry_that_has_read_long_enough_says_what_is_gone() {
+fn the_directory_is_trusted_only_after_it_has_answered_long_enough() {
     let mut log = DirectoryLog::default();
     let mut fleet = fleet(1, 1);
 
     let trusted = log.news(at(10_000), &fleet, 1);
     fleet.directory_failed();
-    let away = log.news(at(10_000), &fleet, 1);
+    let failed = log.news(at(10_000), &fleet, 1);
     fleet.directory_answered(at(11_000));
     let back = log.news(at(11_100), &fleet, 1);
     let later = log.news(at(13_100), &fleet, 1);
 
     assert!(trusted.up && trusted.trusted);
-    assert!(!away.up && !away.trusted);
+    assert!(!failed.up && !failed.trusted);
     assert!(back.up && !back.trusted);
     assert!(later.up && later.trusted);
 }
--- a/crates/cw_policy/tests/forward/event_stream.rs
+++ b/crates/cw_policy/tests/forward/event_stream.rs
@@ -1,4 +1,4 @@
-//! Events reach the caller whole, in order and once, however the bytes are cut.
+//! Tests that events reach the caller complete, in order and once, however the bytes are split.
 
 use bytes::Bytes;
 use cw_policy::forward::EventStream;
@@ -19,15 +19,15 @@
 }
 
 #[test]
-fn any_cut_gives_the_same_events() {
+fn any_split_gives_the_same_events() {
     let text = events(1..=3);
-    for cut in 0..=text.len() {
+    for split in 0..=text.len() {
         let mut stream = EventStream::default();
 
-        let first = push(&mut stream, &text[..cut]).unwrap();
-        let second = push(&mut stream, &text[cut..]).unwrap();
+        let first = push(&mut stream, &text[..split]).unwrap();
+        let second = push(&mut stream, &text[split..]).unwrap();
 
-        assert_eq!(first + &second, text, "cut at {cut}");
+        assert_eq!(first + &second, text, "split at {split}");
         assert_eq!(stream.last(), Some(3));
         assert!(!stream.ends_mid_event());
     }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn half_an_event_is_held_back() {
+fn an_incomplete_event_is_held_back() {
     let mut stream = EventStream::default();
 
     let passed = push(&mut stream, "id: 1\ndata: half").unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_next_target_repeats_nothing() {
+fn events_repeated_by_the_next_target_are_dropped() {
     let mut stream = EventStream::default();
     push(&mut stream, &(events(1..=5) + "id: 6\nda")).unwrap();
 
@@ -79,8 +79,8 @@
 
 #[rstest]
 #[case(events(1..=2) + &event(4), StreamError::Gap { expected: 3, found: 4 })]
-#[case("data: without a number\n\n".to_owned(), StreamError::NoNumber)]
-#[case("id: seven\ndata: x\n\n".to_owned(), StreamError::NoNumber)]
+#[case("data: without a number\n\n".to_owned(), StreamError::MissingId)]
+#[case("id: seven\ndata: x\n\n".to_owned(), StreamError::MissingId)]
 fn a_broken_stream_is_not_passed_on(#[case] text: String, #[case] fault: StreamError) {
     let mut stream = EventStream::default();
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_endless_event_is_not_kept() {
+fn an_oversized_event_is_rejected() {
     let mut stream = EventStream::default();
     let chunk = "x".repeat(600 << 10);
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn lines_before_the_number_are_passed_on() {
+fn lines_before_the_id_are_passed_on() {
     let text = "x-weights: 2\nid: 1\ndata: x\n\n";
     let mut stream = EventStream::default();
 
--- a/crates/cw_policy/tests/forward/exchange.rs
+++ b/crates/cw_policy/tests/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! What follows from each event of a request.
+//! Tests of the action that follows each event of a request.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use crate::fixtures::placement;
 use crate::fixtures::plan;
 
-/// A request that was sent to the first engine at the origin, with a copy at another.
+/// Creates a request that was sent to the first engine at the origin, with a copy at another.
 fn sent(repeat: Repeat) -> Exchange {
     let mut exchange = Exchange::new(plan(repeat));
     exchange.send(at(0), placement(engine(0, 0), Some(engine(1, 0))));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_request_that_may_run_once_is_sent_on_when_it_surely_has_not_run() {
+fn a_request_that_may_run_once_is_sent_again_when_it_provably_has_not_run() {
     let mut exchange = sent(Repeat::Never);
 
     let step = exchange.on_event(at(10), ExchangeEvent::NotRun(Fault::Full), allowed);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_that_may_run_once_waits_to_its_deadline() {
+fn a_request_that_may_run_once_waits_until_its_deadline() {
     let exchange = sent(Repeat::Never);
 
     assert_eq!(exchange.start_deadline(at(0), false, None), None);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_target_out_of_reach_costs_no_budget() {
+fn an_unreachable_target_costs_no_budget() {
     let mut exchange = sent(Repeat::Never);
 
     let step = exchange.on_event(at(10), ExchangeEvent::NotRun(Fault::Unreachable), denied);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_begin_in_time_is_refused_as_not_run() {
+fn a_request_that_cannot_start_in_time_is_refused_as_not_run() {
     for repeat in [Repeat::Never, Repeat::Whole, Repeat::Resume] {
         let mut exchange = Exchange::new(plan(repeat));
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_lost_stream_goes_on_at_the_keeper_of_its_copy() {
+fn a_lost_stream_resumes_at_the_keeper_of_its_copy() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
 
@@ -140,7 +140,8 @@
     assert_eq!(step, ExchangeStep::Send(Resume { copy }));
 }
 
-/// Engines of a zone crash while many prompts are still being read.
+/// Engines of a zone crash while they still read many prompts. A run has no copy then, and starts
+/// from the beginning.
 #[test]
 fn before_the_first_event_there_is_no_copy() {
     let mut exchange = sent(Repeat::Resume);
@@ -150,9 +151,10 @@
     assert_eq!(step, ExchangeStep::Send(Resume::default()));
 }
 
-/// The keeper dies in one outage, the run in the next.
+/// The keeper is lost in one outage and the target in the next. The run must resume from the copy
+/// made in between.
 #[test]
-fn a_stream_goes_on_at_the_newest_copy() {
+fn a_stream_resumes_from_the_newest_copy() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
     let copy = RunCopy {
@@ -184,7 +186,7 @@
 }
 
 #[test]
-fn a_stream_is_broken_off_only_when_it_cannot_go_on() {
+fn a_stream_is_aborted_only_when_it_cannot_resume() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
 
@@ -209,9 +211,9 @@
     assert_eq!(sends, 5);
 }
 
-/// Leaving a target that is drained is no failure of the request.
+/// Moving off a target that drains is not a failure, so the number of moves is not limited.
 #[test]
-fn moving_off_a_leaving_target_is_no_attempt() {
+fn moving_off_a_leaving_target_does_not_count_as_an_attempt() {
     let mut exchange = Exchange::new(plan(Repeat::Resume));
     for number in 0..8 {
         exchange.send(
@@ -254,7 +256,7 @@
 #[rstest]
 #[case(Repeat::Never)]
 #[case(Repeat::Whole)]
-fn past_the_deadline_a_sent_request_is_not_said_to_have_not_run(#[case] repeat: Repeat) {
+fn a_sent_request_that_expires_is_not_reported_as_not_run(#[case] repeat: Repeat) {
     let mut exchange = sent(repeat);
 
     let step = exchange.on_event(at(25_000), ExchangeEvent::Expired, allowed);
@@ -262,7 +264,8 @@
     assert_eq!(step, ExchangeStep::Refuse(ErrorKind::TargetFailed));
 }
 
-/// A prompt of 14,000 tokens takes longer than the share of the objective that others get.
+/// A prompt of 14,000 tokens takes longer to read than the fraction of the objective that other
+/// requests get, and must not be given up while it is read.
 #[test]
 fn a_long_prompt_is_waited_for() {
     let exchange = sent(Repeat::Resume);
@@ -278,7 +281,7 @@
 }
 
 #[test]
-fn a_silent_stream_is_left_sooner_where_a_copy_is() {
+fn a_silent_stream_with_a_copy_is_given_up_sooner() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
     let with_copy = exchange.event_deadline(at(1000)).unwrap();
@@ -287,12 +290,12 @@
     let without = exchange.event_deadline(at(1000)).unwrap();
 
     assert!(with_copy < at(1700), "a pause of 700 ms is too long");
-    assert!(without > at(1700), "reading the prompt anew takes longer");
+    assert!(without > at(1700), "reading the prompt again takes longer");
 }
 
-/// Where every target is slow, moving on and on serves nobody.
+/// If every target is slow, a stream must not move from one to the next without end.
 #[test]
-fn silence_is_borne_longer_after_a_move() {
+fn the_maximum_silence_grows_after_a_move() {
     let mut exchange = sent(Repeat::Resume);
     exchange.begin();
     let first = exchange.event_deadline(at(0)).unwrap();
--- a/crates/cw_policy/tests/forward/fixtures.rs
+++ b/crates/cw_policy/tests/forward/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the tests are built from.
+//! Shared fixtures.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
@@ -17,7 +17,7 @@
 use cw_types::Time;
 use cw_types::ZoneId;
 
-/// A prompt and an output of usual size.
+/// A demand with a typical prompt and output.
 pub(crate) const DEMAND: Demand = Demand {
     prompt: 8000,
     output: 1000,
@@ -30,12 +30,12 @@
     text.parse().ok().expect("a name")
 }
 
-/// A moment so many milliseconds after the origin.
+/// Returns the time `millis` milliseconds after the origin.
 pub(crate) fn at(millis: u64) -> Time {
     Time::default() + Duration::from_millis(millis)
 }
 
-/// The engine `number` of a zone.
+/// Returns the id of engine `number` in a zone.
 pub(crate) fn engine(zone: usize, number: usize) -> TargetId {
     name(&format!("e{zone}-{number}"))
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// A fleet of `zones` zones with `engines` engines each, listed at the origin.
+/// Creates a fleet of `zones` zones with `engines` engines each, listed at the origin.
 pub(crate) fn fleet(zones: usize, engines: usize) -> Fleet {
     let mut fleet = Fleet::new(FleetLimits::default());
     for zone in 0..zones {
@@ -63,15 +63,15 @@
     fleet
 }
 
-/// What a request needs.
-pub(crate) struct Wish {
+/// A request for placement, which owns the values that [`Need`] borrows.
+pub(crate) struct TestRequest {
     pub(crate) service: ServiceName,
     pub(crate) zone: ZoneId,
     pub(crate) excluded: BTreeSet<TargetId>,
     pub(crate) demand: Demand,
 }
 
-impl Default for Wish {
+impl Default for TestRequest {
     fn default() -> Self {
         Self {
             service: name("engines"),
@@ -82,7 +82,7 @@
     }
 }
 
-impl Wish {
+impl TestRequest {
     pub(crate) fn need(&self) -> Need<'_> {
         Need {
             service: &self.service,
--- a/crates/cw_policy/tests/forward/fleet.rs
+++ b/crates/cw_policy/tests/forward/fleet.rs
@@ -1,4 +1,4 @@
-//! What is believed of the targets that the directory names.
+//! Tests of the state of the targets that the directory lists.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::fixtures::listing;
 
 #[test]
-fn an_entry_that_vanishes_is_gone() {
+fn an_unlisted_target_is_dropped() {
     let mut fleet = fleet(1, 2);
 
     let changed = fleet.removed(at(10_000), &engine(0, 0));
@@ -25,9 +25,9 @@
     );
 }
 
-/// Entries lapse while the directory is down, though their targets live.
+/// Records expire during an outage of the directory although their targets are up.
 #[test]
-fn an_entry_that_lapses_while_the_directory_is_away_is_used_on() {
+fn a_target_unlisted_during_an_outage_of_the_directory_stays_in_use() {
     let mut fleet = fleet(1, 2);
     fleet.directory_failed();
     fleet.directory_answered(at(10_000));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_entry_that_does_not_come_back_is_gone() {
+fn a_target_that_is_not_listed_again_is_dropped() {
     let mut fleet = fleet(1, 2);
     fleet.directory_failed();
     fleet.directory_answered(at(10_000));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_entry_that_comes_back_stays() {
+fn a_target_that_is_listed_again_stays() {
     let mut fleet = fleet(1, 2);
     fleet.directory_failed();
     fleet.directory_answered(at(10_000));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_dropped_while_the_directory_is_away() {
+fn nothing_is_dropped_during_an_outage_of_the_directory() {
     let mut fleet = fleet(1, 2);
     fleet.directory_failed();
     fleet.removed(at(10_010), &engine(0, 0));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_leaving_target_is_gone_at_once_when_its_entry_lapses() {
+fn a_leaving_target_is_dropped_as_soon_as_it_is_unlisted() {
     let mut fleet = fleet(1, 2);
     fleet.listed(at(1), leaving());
     fleet.directory_failed();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_leaving_target_takes_no_new_work_whatever_an_old_entry_says() {
+fn an_outdated_record_does_not_make_a_leaving_target_usable() {
     let mut fleet = fleet(1, 2);
     fleet.listed(at(1), leaving());
 
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn another_life_under_the_same_id_starts_anew() {
+fn a_restart_under_the_same_id_resets_the_state() {
     let mut fleet = fleet(1, 2);
     fleet.listed(at(1), leaving());
 
@@ -129,26 +129,29 @@
 }
 
 #[test]
-fn a_lost_target_rests_longer_with_each_loss() {
+fn the_backoff_grows_with_each_loss() {
     let mut fleet = fleet(1, 2);
-    let rest = |fleet: &cw_policy::forward::Fleet, from: u64| {
+    let backoff = |fleet: &cw_policy::forward::Fleet, from: u64| {
         (0..20_000)
             .step_by(10)
             .find(|wait| fleet.is_usable(at(from + wait), &engine(0, 0)))
-            .expect("it is used again")
+            .expect("the target becomes usable again")
     };
     fleet.failed(at(0), &engine(0, 0), Fault::Unreachable);
-    let first = rest(&fleet, 0);
+    let first = backoff(&fleet, 0);
 
     fleet.failed(at(1000), &engine(0, 0), Fault::Unreachable);
-    let second = rest(&fleet, 1000);
+    let second = backoff(&fleet, 1000);
 
     assert!(first > 0 && second > first, "{first} ms, then {second} ms");
-    assert!(second < 3000, "it must be back within seconds");
+    assert!(
+        second < 3000,
+        "the target must be usable again within seconds"
+    );
 }
 
 #[test]
-fn a_list_drops_what_it_does_not_name() {
+fn a_full_list_drops_the_targets_that_it_does_not_contain() {
     let mut fleet = fleet(1, 3);
 
     fleet.retain_listed(at(10_000), &BTreeSet::from([engine(0, 1)]));
@@ -156,9 +159,10 @@
     assert_eq!(fleet.len(), 1);
 }
 
-/// Engines of a zone go silent while prompts are being read, which says nothing by itself.
+/// Engines of a zone go silent while they read prompts, when silence alone does not indicate a
+/// loss.
 #[test]
-fn targets_of_a_lost_zone_are_doubted_until_they_are_heard() {
+fn targets_of_a_lost_zone_are_suspect_until_they_respond() {
     let mut fleet = fleet(2, 6);
     for number in 0..3 {
         fleet.failed(at(10_000), &engine(0, number), Fault::Silent);
@@ -171,7 +175,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_trusted_again_when_the_directory_has_had_time() {
+fn targets_of_a_lost_zone_are_trusted_again_after_the_directory_would_have_dropped_them() {
     let mut fleet = fleet(2, 6);
     for number in 0..3 {
         fleet.failed(at(10_000), &engine(0, number), Fault::Silent);
--- a/crates/cw_policy/tests/forward/main.rs
+++ b/crates/cw_policy/tests/forward/main.rs
@@ -1,4 +1,4 @@
-//! Tests of forwarded requests: where they go, and how they go on after a loss.
+//! Tests of the forwarding policy: the placement of requests, and their resumption after a loss.
 
 mod budget;
 mod config;
--- a/crates/cw_policy/tests/forward/peers.rs
+++ b/crates/cw_policy/tests/forward/peers.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other.
+//! Tests of the messages between entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::fixtures::Wish;
+use crate::fixtures::TestRequest;
 use crate::fixtures::at;
 use crate::fixtures::engine;
 use crate::fixtures::fleet;
@@ -38,6 +38,7 @@
     }
 }
 
+/// Returns a message of an entry with one unread prompt at the first engine.
 fn reading(host: &str, sequence: u64) -> Outstanding {
     let share = TargetShare {
         runs: 1,
@@ -51,16 +52,23 @@
     }
 }
 
+/// Returns how many of 100 placements choose the first engine.
 fn choices(fleet: &Fleet, now: u64) -> usize {
     let mut rng = SmallRng::seed_from_u64(1);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     (0..100)
-        .filter(|_| fleet.place(at(now), &wish.need(), &mut rng).unwrap().target == engine(0, 0))
+        .filter(|_| {
+            fleet
+                .place(at(now), &request.need(), &mut rng)
+                .unwrap()
+                .target
+                == engine(0, 0)
+        })
         .count()
 }
 
 #[test]
-fn a_prompt_of_another_entry_keeps_others_away() {
+fn a_target_with_a_prompt_of_another_entry_is_avoided() {
     let mut fleet = fleet(1, 4);
 
     fleet.receive_peer(at(0), &reading("a", 1));
@@ -79,30 +87,30 @@
 }
 
 #[test]
-fn a_message_that_comes_late_is_no_news() {
+fn an_outdated_message_is_ignored() {
     let mut fleet = fleet(1, 4);
     fleet.receive_peer(at(0), &message("a", 2));
 
-    let is_news = fleet.receive_peer(at(5), &reading("a", 1));
+    let is_new = fleet.receive_peer(at(5), &reading("a", 1));
 
-    assert!(!is_news);
+    assert!(!is_new);
     assert!(choices(&fleet, 10) > 0);
 }
 
 #[test]
-fn a_new_life_counts_from_its_own_beginning() {
+fn a_restarted_entry_restarts_its_sequence() {
     let mut fleet = fleet(1, 4);
     fleet.receive_peer(at(0), &message("a", 90));
-    let reborn = Outstanding {
+    let restarted = Outstanding {
         incarnation: Incarnation(2),
         ..reading("a", 1)
     };
 
-    assert!(fleet.receive_peer(at(5), &reborn));
+    assert!(fleet.receive_peer(at(5), &restarted));
 }
 
 #[test]
-fn a_dead_entry_holds_nothing() {
+fn the_load_of_a_stopped_entry_is_dropped() {
     let mut fleet = fleet(1, 4);
     fleet.receive_peer(at(0), &reading("a", 1));
 
@@ -112,9 +120,9 @@
     assert!(choices(&fleet, 2000) > 0);
 }
 
-/// With hundreds of entries each tells less often, and is not to be forgotten in between.
+/// With hundreds of entries each one sends less often, and must not expire between two messages.
 #[test]
-fn more_entries_are_believed_for_longer() {
+fn messages_are_valid_for_longer_with_more_entries() {
     let mut fleet = fleet(1, 4);
     let hosts: Vec<HostId> = (0..300).map(|n| name(&format!("h{n}"))).collect();
     fleet.set_entries(&name("own"), hosts.into_iter());
@@ -125,7 +133,7 @@
 }
 
 #[test]
-fn a_loss_that_another_entry_saw_is_believed_but_not_passed_on() {
+fn a_loss_reported_by_another_entry_is_believed_but_not_reported_again() {
     let mut fleet = fleet(1, 4);
     let lost = Outstanding {
         lost: vec![TargetHash::from(&engine(0, 0))],
@@ -137,12 +145,12 @@
     assert!(fleet.is_suspect(at(1010), &engine(0, 0)));
     assert!(
         fleet.lost_since(at(0)).is_empty(),
-        "it would go round for ever"
+        "entries would report it to each other forever"
     );
 }
 
 #[test]
-fn two_entries_watch_and_one_writes() {
+fn two_entries_watch_the_directory_and_one_writes_to_the_store() {
     let hosts = ["a", "b", "c", "d"];
     let roles: Vec<(bool, bool)> = hosts
         .iter()
@@ -163,9 +171,9 @@
     );
 }
 
-/// Pattern: an entry is cut off from all others, or starts alone.
+/// An entry is disconnected from all others, or starts alone.
 #[test]
-fn an_entry_that_hears_nobody_watches_itself() {
+fn an_entry_without_messages_watches_the_directory() {
     let mut fleet = fleet(1, 1);
     fleet.set_entries(&name("d"), ["a", "b"].iter().map(|host| name(host)));
     fleet.receive_peer(at(0), &message("a", 1));
@@ -178,26 +186,27 @@
     assert!(fleet.is_writer(at(5000)));
 }
 
-/// Pattern: the store turns some machines away, the first ones among them, while changes are made.
+/// The store rejects the calls of some machines, including the watching ones, while the directory
+/// changes.
 #[test]
-fn an_entry_watches_when_those_before_it_are_turned_away() {
+fn an_entry_watches_when_the_watchers_before_it_get_no_answers() {
     let mut fleet = fleet(1, 1);
     fleet.set_entries(&name("d"), ["a", "b"].iter().map(|host| name(host)));
     fleet.receive_peer(at(0), &message("a", 1));
     fleet.receive_peer(at(0), &message("b", 1));
-    let mut turned_away = message("a", 2);
-    if let Some(news) = &mut turned_away.directory {
+    let mut rejected = message("a", 2);
+    if let Some(news) = &mut rejected.directory {
         news.up = false;
     }
 
-    fleet.receive_peer(at(10), &turned_away);
+    fleet.receive_peer(at(10), &rejected);
 
     assert!(fleet.is_watcher(at(20)));
 }
 
-/// Pattern: machines freeze, so that nothing says that they no longer watch.
+/// Machines freeze, so no message says that they no longer watch the directory.
 #[test]
-fn an_entry_watches_when_those_before_it_have_stopped() {
+fn an_entry_watches_when_the_watchers_before_it_are_silent() {
     let mut fleet = fleet(1, 1);
     fleet.set_entries(&name("d"), ["a", "b"].iter().map(|host| name(host)));
     fleet.receive_peer(at(0), &message("a", 1));
@@ -212,7 +221,7 @@
 }
 
 #[test]
-fn registered_entries_are_there() {
+fn registered_entries_are_listed() {
     let mut roster = Roster::default();
 
     roster.set_registered(BTreeMap::from([(name("a"), address(1))]));
@@ -223,9 +232,9 @@
     );
 }
 
-/// Pattern: the store turns one machine away for longer than its record lasts.
+/// The store rejects the calls of one machine until after its record has expired.
 #[test]
-fn an_entry_whose_record_has_lapsed_is_there_while_it_is_heard() {
+fn an_entry_with_an_expired_record_is_listed_while_it_sends_messages() {
     let mut roster = Roster::default();
     roster.set_registered(BTreeMap::from([(name("a"), address(1))]));
     roster.record_message(at(10_000), &name("a"), address(1));
--- a/crates/cw_policy/tests/forward/placement.rs
+++ b/crates/cw_policy/tests/forward/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, under the loads and losses that the design is for.
+//! Tests of placement under the load and the losses that it is designed for.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use rand::rngs::SmallRng;
 
 use crate::fixtures::DEMAND;
-use crate::fixtures::Wish;
+use crate::fixtures::TestRequest;
 use crate::fixtures::at;
 use crate::fixtures::engine;
 use crate::fixtures::fleet;
@@ -23,16 +23,16 @@
     id.as_str().split('-').next().unwrap()
 }
 
-/// Pattern: a burst of long prompts at once.
+/// A burst of long prompts arrives at once.
 #[test]
 fn a_burst_of_prompts_is_spread_before_any_target_gets_a_second() {
     let mut fleet = fleet(3, 12);
     let mut rng = SmallRng::seed_from_u64(1);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     let mut counts: BTreeMap<TargetId, u32> = BTreeMap::new();
 
     for _ in 0..36 {
-        let placed = fleet.place(at(1000), &wish.need(), &mut rng).unwrap();
+        let placed = fleet.place(at(1000), &request.need(), &mut rng).unwrap();
         fleet.sent(at(1000), &placed.target, DEMAND);
         *counts.entry(placed.target).or_default() += 1;
     }
@@ -40,12 +40,12 @@
     assert_eq!(counts.len(), 36, "each engine reads one prompt: {counts:?}");
 }
 
-/// Pattern: several entries choose within the same milliseconds, without word of each other.
+/// Several entries place requests within the same milliseconds, without messages of each other.
 #[test]
-fn entries_that_choose_at_once_choose_differently() {
+fn entries_that_place_requests_at_once_choose_different_targets() {
     let hosts: Vec<HostId> = (0..4).map(|n| name(&format!("entry-{n}"))).collect();
     let mut rng = SmallRng::seed_from_u64(2);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     let mut collisions = 0;
 
     for _ in 0..200 {
@@ -54,7 +54,7 @@
             let mut fleet = fleet(3, 12);
             let others = hosts.iter().filter(|host| *host != own).cloned();
             fleet.set_entries(own, others);
-            let placed = fleet.place(at(1000), &wish.need(), &mut rng).unwrap();
+            let placed = fleet.place(at(1000), &request.need(), &mut rng).unwrap();
             *chosen.entry(placed.target).or_default() += 1;
         }
         collisions += chosen.values().filter(|count| **count > 1).count();
@@ -63,18 +63,18 @@
     assert_eq!(collisions, 0, "of 200 rounds");
 }
 
-/// Pattern: most engines of one availability zone crash at the same moment, by reset.
+/// Most engines of one availability zone crash at the same moment, and their connections are reset.
 #[test]
 fn after_the_loss_of_a_zone_no_copy_is_kept_there() {
     let mut fleet = fleet(3, 12);
     let mut rng = SmallRng::seed_from_u64(3);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     for number in 0..4 {
         fleet.failed(at(10_000), &engine(1, number), Fault::Broken);
     }
 
     for _ in 0..100 {
-        let placed = fleet.place(at(10_010), &wish.need(), &mut rng).unwrap();
+        let placed = fleet.place(at(10_010), &request.need(), &mut rng).unwrap();
 
         assert_ne!(
             zone_of(&placed.target),
@@ -90,10 +90,10 @@
 fn a_copy_is_kept_in_another_zone() {
     let fleet = fleet(3, 4);
     let mut rng = SmallRng::seed_from_u64(4);
-    let wish = Wish::default();
+    let request = TestRequest::default();
 
     for _ in 0..100 {
-        let placed = fleet.place(at(0), &wish.need(), &mut rng).unwrap();
+        let placed = fleet.place(at(0), &request.need(), &mut rng).unwrap();
         let keeper = placed.copy.expect("there is memory");
 
         assert_ne!(zone_of(&keeper), zone_of(&placed.target));
@@ -104,31 +104,31 @@
 fn a_copy_needs_free_memory() {
     let mut fleet = fleet(2, 1);
     let mut rng = SmallRng::seed_from_u64(5);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     let large = Demand {
         prompt: 80_000,
         output: 0,
     };
     fleet.sent(at(1000), &engine(1, 0), large);
 
-    let placed = fleet.place(at(0), &wish.need(), &mut rng).unwrap();
+    let placed = fleet.place(at(0), &request.need(), &mut rng).unwrap();
 
     assert_eq!(placed.target, engine(0, 0));
     assert_eq!(placed.copy, None);
 }
 
-/// Pattern: all entries die; callers come back with the events that they have.
+/// All entries crash, and callers reconnect with the id of their last event.
 #[test]
-fn a_prompt_goes_where_it_was_read() {
+fn a_prompt_is_sent_to_the_target_that_read_it() {
     let mut fleet = fleet(3, 12);
     let mut rng = SmallRng::seed_from_u64(6);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     let reader = engine(2, 7);
     fleet.sent(at(1000), &reader, DEMAND);
     fleet.began(at(900), &reader, DEMAND);
     let need = Need {
         read_at: Some(TargetHash::from(&reader)),
-        ..wish.need()
+        ..request.need()
     };
 
     for _ in 0..100 {
@@ -138,15 +138,15 @@
     }
 }
 
-/// Pattern: one engine refuses or fails part of its requests, its health check being good.
+/// One engine rejects or fails part of its requests although its health check succeeds.
 #[test]
-fn a_target_that_fails_gets_less_until_it_has_recovered() {
+fn a_failing_target_gets_fewer_requests_until_it_has_recovered() {
     let mut fleet = fleet(1, 4);
     let mut rng = SmallRng::seed_from_u64(7);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     let share = |fleet: &Fleet, now: u64, rng: &mut SmallRng| {
         (0..400)
-            .filter(|_| fleet.place(at(now), &wish.need(), rng).unwrap().target == engine(0, 0))
+            .filter(|_| fleet.place(at(now), &request.need(), rng).unwrap().target == engine(0, 0))
             .count()
     };
     for _ in 0..4 {
@@ -161,42 +161,42 @@
 }
 
 #[test]
-fn targets_that_rest_are_taken_when_no_other_is_left() {
+fn targets_in_backoff_are_used_when_there_is_no_other() {
     let mut fleet = fleet(1, 2);
     let mut rng = SmallRng::seed_from_u64(8);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     for number in 0..2 {
         fleet.failed(at(0), &engine(0, number), Fault::Unreachable);
     }
 
-    assert!(fleet.place(at(10), &wish.need(), &mut rng).is_some());
+    assert!(fleet.place(at(10), &request.need(), &mut rng).is_some());
 }
 
 #[test]
 fn a_service_without_targets_places_nothing() {
     let fleet = fleet(1, 2);
     let mut rng = SmallRng::seed_from_u64(9);
-    let wish = Wish {
+    let request = TestRequest {
         service: name("others"),
-        ..Wish::default()
+        ..TestRequest::default()
     };
 
-    assert_eq!(fleet.place(at(10), &wish.need(), &mut rng), None);
+    assert_eq!(fleet.place(at(10), &request.need(), &mut rng), None);
 }
 
-/// Pattern: the connections of entries are reset, those to engines and those of callers, who come
-/// back at once; the engines live.
+/// The connections of an entry to engines and callers are reset while the engines stay up. The
+/// callers reconnect at once.
 #[test]
-fn a_prompt_goes_where_it_was_read_though_its_connection_broke() {
+fn a_prompt_is_sent_to_the_target_that_read_it_although_its_connection_broke() {
     let mut fleet = fleet(3, 12);
     let mut rng = SmallRng::seed_from_u64(10);
-    let wish = Wish::default();
+    let request = TestRequest::default();
     for number in 0..6 {
         fleet.failed(at(1000), &engine(2, number), Fault::Broken);
     }
     let need = Need {
         read_at: Some(TargetHash::from(&engine(2, 3))),
-        ..wish.need()
+        ..request.need()
     };
 
     let placed = fleet.place(at(1010), &need, &mut rng).unwrap();
--- a/crates/cw_policy/tests/forward/prompts.rs
+++ b/crates/cw_policy/tests/forward/prompts.rs
@@ -1,4 +1,4 @@
-//! Where prompts were read, and how long reading takes.
+//! Tests of [`PromptLocations`] and [`RunTimes`].
 
 use std::time::Duration;
 
@@ -22,64 +22,64 @@
 }
 
 #[test]
-fn the_last_reader_is_found() {
-    let mut memory = PromptLocations::new(PromptLocationLimits::default());
-    memory.record(at(0), read("p", 1));
-    memory.record(at(10), read("p", 2));
+fn the_last_target_that_read_a_prompt_is_found() {
+    let mut locations = PromptLocations::new(PromptLocationLimits::default());
+    locations.record(at(0), read("p", 1));
+    locations.record(at(10), read("p", 2));
 
-    let found = memory.find(at(20), PromptHash::of("p"));
+    let found = locations.find(at(20), PromptHash::of("p"));
 
     assert_eq!(found, Some(TargetHash::from(&engine(0, 2))));
-    assert_eq!(memory.find(at(20), PromptHash::of("q")), None);
+    assert_eq!(locations.find(at(20), PromptHash::of("q")), None);
 }
 
 #[test]
-fn old_prompts_are_forgotten() {
-    let mut memory = PromptLocations::new(PromptLocationLimits::default());
-    memory.record(at(0), read("p", 1));
-    memory.record(at(29_000), read("q", 1));
+fn expired_prompts_are_dropped() {
+    let mut locations = PromptLocations::new(PromptLocationLimits::default());
+    locations.record(at(0), read("p", 1));
+    locations.record(at(29_000), read("q", 1));
 
-    memory.expire(at(31_000));
+    locations.expire(at(31_000));
 
-    assert_eq!(memory.find(at(31_000), PromptHash::of("p")), None);
-    assert_eq!(memory.recorded_since(at(0)), vec![read("q", 1)]);
+    assert_eq!(locations.find(at(31_000), PromptHash::of("p")), None);
+    assert_eq!(locations.recorded_since(at(0)), vec![read("q", 1)]);
 }
 
 #[test]
-fn the_memory_is_bounded() {
-    let mut memory = PromptLocations::new(PromptLocationLimits {
+fn the_number_of_records_is_bounded() {
+    let mut locations = PromptLocations::new(PromptLocationLimits {
         capacity: 10,
         ..PromptLocationLimits::default()
     });
 
     for number in 0..100 {
-        memory.record(at(number), read(&format!("p{number}"), 1));
+        locations.record(at(number), read(&format!("p{number}"), 1));
     }
 
-    assert_eq!(memory.recorded_since(at(0)).len(), 10);
+    assert_eq!(locations.recorded_since(at(0)).len(), 10);
 }
 
 #[test]
-fn only_news_is_told() {
-    let mut memory = PromptLocations::new(PromptLocationLimits::default());
-    memory.record(at(10), read("p", 1));
-    memory.record(at(20), read("q", 2));
+fn only_newer_records_are_returned() {
+    let mut locations = PromptLocations::new(PromptLocationLimits::default());
+    locations.record(at(10), read("p", 1));
+    locations.record(at(20), read("q", 2));
 
-    assert_eq!(memory.recorded_since(at(10)), vec![read("q", 2)]);
+    assert_eq!(locations.recorded_since(at(10)), vec![read("q", 2)]);
 }
 
 #[test]
-fn patience_follows_the_pace_and_the_length() {
+fn the_maximum_prompt_time_grows_with_mean_and_length() {
     let service: ServiceName = name("s");
-    let mut pace = RunTimes::default();
-    assert_eq!(pace.max_prompt_time(&service, 8000), None);
+    let mut times = RunTimes::default();
+    assert_eq!(times.max_prompt_time(&service, 8000), None);
 
     for _ in 0..50 {
-        pace.record_prompt(&service, 8000, None, Duration::from_millis(1200));
+        times.record_prompt(&service, 8000, None, Duration::from_millis(1200));
     }
 
-    let usual = pace.max_prompt_time(&service, 8000).unwrap();
-    let long = pace.max_prompt_time(&service, 14_000).unwrap();
+    let usual = times.max_prompt_time(&service, 8000).unwrap();
+    let long = times.max_prompt_time(&service, 14_000).unwrap();
     assert!(usual > Duration::from_millis(2400), "{usual:?}");
     assert!(long > Duration::from_millis(4200), "{long:?}");
 }
--- a/crates/cw_policy/tests/forward/start_estimate.rs
+++ b/crates/cw_policy/tests/forward/start_estimate.rs
@@ -1,4 +1,5 @@
-//! Who waits and who is refused, when prompts come faster than targets read them.
+//! Tests of which requests wait and which are refused when prompts arrive faster than targets read
+//! them.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,7 +15,7 @@
 use rand::rngs::SmallRng;
 
 use crate::fixtures::DEMAND;
-use crate::fixtures::Wish;
+use crate::fixtures::TestRequest;
 use crate::fixtures::at;
 use crate::fixtures::engine;
 use crate::fixtures::fleet;
@@ -23,243 +24,256 @@
 /// The time in which an engine reads one prompt.
 const READING: Duration = Duration::from_millis(1000);
 
-/// The time to the first event that is aimed for.
+/// The objective for the time to the first event.
 const OBJECTIVE: Duration = Duration::from_millis(4500);
 
-/// How long after its arrival each request began, and how many were refused.
+/// The delay from arrival to start of each request, and the number of refused requests.
 #[derive(Debug, Default)]
-struct Day {
-    begun: Vec<Duration>,
+struct Outcome {
+    delays: Vec<Duration>,
     refused: usize,
 }
 
-impl Day {
+impl Outcome {
     fn in_time(&self) -> usize {
-        self.begun.iter().filter(|time| **time <= OBJECTIVE).count()
+        self.delays
+            .iter()
+            .filter(|time| **time <= OBJECTIVE)
+            .count()
     }
 }
 
-/// A prompt that waits, or is being read.
-struct Waiting {
-    came: Time,
-    /// When it will have been read.
-    read: Time,
-    /// The tokens that were to be read when it came, its own among them.
+/// A prompt that is queued or being read.
+struct QueuedPrompt {
+    arrived: Time,
+    /// The time at which reading it ends.
+    read_at: Time,
+    /// The number of queued tokens when it arrived, including its own.
     ahead: u64,
 }
 
-/// Four engines that read one prompt after the other, and the entry before them.
-struct Engines {
+/// A simulation of four engines, which read one prompt at a time, behind one entry.
+struct Simulation {
     fleet: Fleet,
-    pace: RunTimes,
-    crowd: StandingQueues,
+    times: RunTimes,
+    standing: StandingQueues,
     rng: SmallRng,
-    /// The prompts that each one has yet to read.
-    queues: BTreeMap<TargetId, VecDeque<Waiting>>,
-    day: Day,
-    admits: bool,
+    /// The prompts that each engine has yet to read.
+    queues: BTreeMap<TargetId, VecDeque<QueuedPrompt>>,
+    outcome: Outcome,
+    /// Whether requests that cannot start in time are refused.
+    refuses_late: bool,
 }
 
-impl Engines {
-    fn new(admits: bool) -> Self {
-        let (_, pace) = known(0);
+impl Simulation {
+    fn new(refuses_late: bool) -> Self {
+        let (_, times) = measured_fleet(0);
         Self {
             fleet: fleet(2, 2),
-            pace,
-            crowd: StandingQueues::default(),
+            times,
+            standing: StandingQueues::default(),
             rng: SmallRng::seed_from_u64(3),
             queues: BTreeMap::new(),
-            day: Day::default(),
-            admits,
+            outcome: Outcome::default(),
+            refuses_late,
         }
     }
 
-    /// Lets the engines read until now.
+    /// Simulates the reading of prompts until `now`.
     fn read(&mut self, now: Time) {
         for (id, queue) in &mut self.queues {
-            while let Some(done) = queue.pop_front_if(|prompt| prompt.read <= now) {
-                self.fleet.began(done.read, id, DEMAND);
-                self.fleet.ended(done.read, id, DEMAND, true);
-                let time = done.read.since(done.came);
+            while let Some(done) = queue.pop_front_if(|prompt| prompt.read_at <= now) {
+                self.fleet.began(done.read_at, id, DEMAND);
+                self.fleet.ended(done.read_at, id, DEMAND, true);
+                let time = done.read_at.since(done.arrived);
                 let ahead = Some(done.ahead);
-                self.pace
+                self.times
                     .record_prompt(&name("engines"), DEMAND.prompt, ahead, time);
-                self.day.begun.push(time);
+                self.outcome.delays.push(time);
             }
         }
     }
 
-    /// A request comes.
-    fn ask(&mut self, now: Time) {
+    /// Simulates the arrival of one request.
+    fn request(&mut self, now: Time) {
         self.read(now);
-        let wish = Wish::default();
-        let need = wish.need();
+        let request = TestRequest::default();
+        let need = request.need();
         let placed = self.fleet.place(now, &need, &mut self.rng).unwrap();
-        let outlook = self
-            .fleet
-            .estimate_start(now, &need, &self.pace, &mut self.crowd, OBJECTIVE);
-        let target = match outlook {
-            StartEstimate::Late { .. } if self.admits => {
-                self.day.refused += 1;
+        let estimate =
+            self.fleet
+                .estimate_start(now, &need, &self.times, &mut self.standing, OBJECTIVE);
+        let target = match estimate {
+            StartEstimate::Late { .. } if self.refuses_late => {
+                self.outcome.refused += 1;
                 return;
             }
             StartEstimate::InTime | StartEstimate::Late { .. } => placed.target,
         };
-        let ahead = self.fleet.backlog(now, &target, &need, &self.pace).unread;
+        let ahead = self.fleet.backlog(now, &target, &need, &self.times).unread;
         self.fleet.sent(now, &target, DEMAND);
         let queue = self.queues.entry(target).or_default();
-        let free = queue.back().map_or(now, |last| last.read.max(now));
-        queue.push_back(Waiting {
-            came: now,
-            read: free + READING,
+        let free = queue.back().map_or(now, |last| last.read_at.max(now));
+        queue.push_back(QueuedPrompt {
+            arrived: now,
+            read_at: free + READING,
             ahead,
         });
     }
 
-    /// Requests come so many milliseconds after each other.
-    fn ask_every(&mut self, gap: u64, from: u64, to: u64) {
+    /// Simulates one request every `gap` milliseconds, between the times `from` and `to`.
+    fn request_every(&mut self, gap: u64, from: u64, to: u64) {
         for now in (from..to).step_by(usize::try_from(gap).unwrap()) {
-            self.ask(at(now));
+            self.request(at(now));
         }
     }
 
-    fn end(mut self) -> Day {
+    fn finish(mut self) -> Outcome {
         self.read(at(1_000_000));
-        self.day
+        self.outcome
     }
 }
 
-/// Pattern: half as many prompts again as the engines can read, for a minute.
+/// Prompts arrive for a minute at one and a half times the rate that the engines can read.
 #[test]
-fn lasting_overload_is_refused_and_the_rest_begins_in_time() {
-    let mut engines = Engines::new(true);
+fn lasting_overload_is_refused_and_the_rest_starts_in_time() {
+    let mut simulation = Simulation::new(true);
 
-    engines.ask_every(166, 0, 60_000);
+    simulation.request_every(166, 0, 60_000);
 
-    let day = engines.end();
-    // Four prompts a second can be read; nine in ten of them should be worth it.
-    assert!(day.in_time() >= 216, "{} in time", day.in_time());
+    let outcome = simulation.finish();
+    // The engines can read four prompts a second. Nine in ten of these must start in time.
+    assert!(outcome.in_time() >= 216, "{} in time", outcome.in_time());
     assert_eq!(
-        day.in_time(),
-        day.begun.len(),
-        "none that was taken is late"
+        outcome.in_time(),
+        outcome.delays.len(),
+        "every accepted request starts in time"
     );
-    assert!(day.refused <= 361 - 216, "{} refused", day.refused);
+    assert!(outcome.refused <= 361 - 216, "{} refused", outcome.refused);
 }
 
-/// The same without a word on the outlook: the queue grows, and what is read is late.
+/// Without refusals, the same load makes the queue grow until most requests start late.
 #[test]
-fn lasting_overload_makes_everybody_late_where_none_is_refused() {
-    let mut engines = Engines::new(false);
+fn lasting_overload_delays_most_requests_without_refusals() {
+    let mut simulation = Simulation::new(false);
 
-    engines.ask_every(166, 0, 60_000);
+    simulation.request_every(166, 0, 60_000);
 
-    let day = engines.end();
+    let outcome = simulation.finish();
     assert!(
-        day.in_time() < day.begun.len() / 2,
+        outcome.in_time() < outcome.delays.len() / 2,
         "{} in time",
-        day.in_time()
+        outcome.in_time()
     );
 }
 
-/// Pattern: 1.7 times the usual for three seconds, which is seven tenths of what can be read.
+/// The load rises to 1.7 times its usual rate for three seconds. The usual rate is seven tenths of
+/// what the engines can read.
 #[test]
-fn a_burst_waits_and_none_is_refused() {
-    let mut engines = Engines::new(true);
+fn a_burst_is_queued_and_none_is_refused() {
+    let mut simulation = Simulation::new(true);
 
-    engines.ask_every(357, 0, 10_000);
-    engines.ask_every(210, 10_000, 13_000);
-    engines.ask_every(357, 13_000, 30_000);
+    simulation.request_every(357, 0, 10_000);
+    simulation.request_every(210, 10_000, 13_000);
+    simulation.request_every(357, 13_000, 30_000);
 
-    let day = engines.end();
-    assert_eq!(day.refused, 0);
-    assert_eq!(day.in_time(), day.begun.len());
+    let outcome = simulation.finish();
+    assert_eq!(outcome.refused, 0);
+    assert_eq!(outcome.in_time(), outcome.delays.len());
 }
 
-/// Pattern: a queue that stood has been worked off.
+/// A standing queue has drained, and must not cause refusals any more.
 #[test]
-fn requests_are_taken_again_as_soon_as_the_load_falls() {
-    let mut engines = Engines::new(true);
-    engines.ask_every(100, 0, 30_000);
-    assert!(engines.day.refused > 0, "the load was too high");
-    let refused = engines.day.refused;
+fn requests_are_accepted_again_as_soon_as_the_load_falls() {
+    let mut simulation = Simulation::new(true);
+    simulation.request_every(100, 0, 30_000);
+    assert!(simulation.outcome.refused > 0, "the load was too high");
+    let refused = simulation.outcome.refused;
 
-    engines.ask_every(500, 33_000, 60_000);
+    simulation.request_every(500, 33_000, 60_000);
 
-    assert_eq!(engines.end().refused, refused);
+    assert_eq!(simulation.finish().refused, refused);
 }
 
 #[test]
-fn a_prompt_that_is_long_to_read_is_not_refused_while_nothing_waits() {
+fn a_prompt_that_takes_long_to_read_is_not_refused_while_nothing_waits() {
     let fleet = fleet(1, 1);
-    let wish = Wish::default();
-    let mut pace = RunTimes::default();
-    pace.record_prompt(&name("engines"), 8000, Some(8000), Duration::from_secs(9));
+    let request = TestRequest::default();
+    let mut times = RunTimes::default();
+    times.record_prompt(&name("engines"), 8000, Some(8000), Duration::from_secs(9));
 
     for second in 0..60 {
         let now = at(second * 1000);
-        let mut crowd = StandingQueues::default();
-        let outlook = fleet.estimate_start(now, &wish.need(), &pace, &mut crowd, OBJECTIVE);
+        let mut standing = StandingQueues::default();
+        let estimate = fleet.estimate_start(now, &request.need(), &times, &mut standing, OBJECTIVE);
 
-        assert_eq!(outlook, StartEstimate::InTime);
+        assert_eq!(estimate, StartEstimate::InTime);
     }
 }
 
-/// A fleet of one zone whose engines read a prompt in [`READING`].
-fn known(engines: usize) -> (Fleet, RunTimes) {
-    let mut pace = RunTimes::default();
-    pace.record_prompt(
+/// Creates a fleet of one zone, with a mean reading time of [`READING`] per prompt.
+fn measured_fleet(engines: usize) -> (Fleet, RunTimes) {
+    let mut times = RunTimes::default();
+    times.record_prompt(
         &name("engines"),
         DEMAND.prompt,
         Some(DEMAND.prompt),
         READING,
     );
-    (fleet(1, engines), pace)
+    (fleet(1, engines), times)
 }
 
-fn outlook(fleet: &Fleet, pace: &RunTimes, objective: Duration) -> StartEstimate {
-    let mut crowd = StandingQueues::default();
-    fleet.estimate_start(at(0), &Wish::default().need(), pace, &mut crowd, objective)
+fn estimate(fleet: &Fleet, times: &RunTimes, objective: Duration) -> StartEstimate {
+    let mut standing = StandingQueues::default();
+    fleet.estimate_start(
+        at(0),
+        &TestRequest::default().need(),
+        times,
+        &mut standing,
+        objective,
+    )
 }
 
 #[test]
-fn a_request_is_taken_as_long_as_one_target_is_free() {
-    let (mut fleet, pace) = known(2);
+fn a_request_is_accepted_as_long_as_one_target_is_free() {
+    let (mut fleet, times) = measured_fleet(2);
     for _ in 0..5 {
         fleet.sent(at(0), &engine(0, 0), DEMAND);
     }
 
-    let outlook = outlook(&fleet, &pace, OBJECTIVE);
+    let estimate = estimate(&fleet, &times, OBJECTIVE);
 
-    assert_eq!(outlook, StartEstimate::InTime);
+    assert_eq!(estimate, StartEstimate::InTime);
 }
 
-/// Pattern: a route that aims for nothing, and a queue.
+/// A route has no latency objective, and its target has a queue.
 #[test]
-fn nothing_is_refused_for_want_of_time_where_no_time_is_aimed_for() {
-    let (mut fleet, pace) = known(1);
+fn nothing_is_refused_without_a_latency_objective() {
+    let (mut fleet, times) = measured_fleet(1);
     fleet.sent(at(0), &engine(0, 0), DEMAND);
 
-    let outlook = outlook(&fleet, &pace, Duration::ZERO);
+    let estimate = estimate(&fleet, &times, Duration::ZERO);
 
-    assert_eq!(outlook, StartEstimate::InTime);
+    assert_eq!(estimate, StartEstimate::InTime);
 }
 
-/// Pattern: memory is full of runs that have been read, so nothing is unread but nobody can begin.
+/// The memory is full of runs whose prompts have been read, so no token is unread but no request
+/// can start.
 #[test]
-fn memory_that_must_be_freed_first_counts() {
-    let (mut fleet, mut pace) = known(1);
-    pace.record_run(&name("engines"), Duration::from_secs(10));
+fn memory_that_must_be_freed_first_delays_the_start() {
+    let (mut fleet, mut times) = measured_fleet(1);
+    times.record_run(&name("engines"), Duration::from_secs(10));
     for _ in 0..18 {
         fleet.sent(at(0), &engine(0, 0), DEMAND);
         fleet.began(at(0), &engine(0, 0), DEMAND);
     }
 
-    let outlook = outlook(&fleet, &pace, OBJECTIVE);
+    let estimate = estimate(&fleet, &times, OBJECTIVE);
 
-    // 19 requests need 171,000 tokens, the memory has 88,000, and is free again in ten seconds.
-    let StartEstimate::Late { after, .. } = outlook else {
-        panic!("{outlook:?}")
+    // 19 requests need 171,000 tokens of memory and the engine has 88,000, which are all freed
+    // within ten seconds.
+    let StartEstimate::Late { after, .. } = estimate else {
+        panic!("{estimate:?}")
     };
     assert!(after >= Duration::from_secs(9), "{after:?}");
 }
