--- a/crates/cw_policy/tests/forward/main.rs
+++ b/crates/cw_policy/tests/forward/main.rs
@@ -1,4 +1,4 @@
-//! Tests of forwarded requests: where they go, and how they go on after a loss.
+//! Tests of the forwarding policy: the placement of requests, and their resumption after a loss.
 
 mod budget;
 mod config;
@@ -7,7 +7,7 @@
 mod exchange;
 mod fixtures;
 mod fleet;
-mod memory;
-mod outlook;
 mod peers;
 mod placement;
+mod prompts;
+mod start_estimate;
