--- a/crates/cw_policy/src/forward/mod.rs
+++ b/crates/cw_policy/src/forward/mod.rs
@@ -1,21 +1,23 @@
-//! Forwarded requests: opaque calls that pass through an entry to one of a service's targets.
+//! The policy for forwarded requests: opaque calls that an entry proxies to a target of a service.
 //!
-//! An entry neither reads nor writes what such a request or its answer says. It decides where the
-//! request goes, whether it may be sent again, and how a stream of events goes on after a loss.
+//! An entry neither interprets nor changes the content of such a request or its answer. It selects
+//! the target, decides whether the request may be sent again, and how a stream of events resumes
+//! after the loss of its target.
 //!
-//! - [`ForwardConfig`]: routes by host and path, services and callers' keys, at one version.
-//! - [`Fleet`]: which targets there are, how loaded, and which one is next ([`Placement`]).
-//! - [`Fleet::heard_peer`]: what the other entries say they have at the targets.
-//! - [`Roster`]: which other entries there are.
-//! - [`RunCopy`]: a copy of a run's memory at another engine.
-//! - [`Whereabouts`]: which target has read which prompt.
-//! - [`PromptPace`]: how long targets take to read prompts, and to answer them.
-//! - [`Outlook`]: whether a request can begin in time, or a queue stands ([`Crowd`]).
-//! - [`DirectoryLog`]: how a few entries follow the directory for all.
-//! - [`Exchange`]: one request, from its arrival to its end.
-//! - [`EventStream`]: cuts a target's bytes into events and keeps them in order.
+//! - [`ForwardConfig`]: one version of the routes by host and path, the services and the callers'
+//!   keys.
+//! - [`Fleet`]: the targets and their load, and the choice of one for a request ([`Placement`]).
+//! - [`Fleet::receive_peer`]: the load that the other entries report to have at the targets.
+//! - [`Roster`]: the list of the other entries.
+//! - [`RunCopy`]: a copy of a run's cache memory at another engine.
+//! - [`PromptLocations`]: the target that has read each prompt.
+//! - [`RunTimes`]: the mean times in which targets read prompts and generate answers.
+//! - [`StartEstimate`]: whether a request can start in time, also in view of a standing queue
+//!   ([`StandingQueues`]).
+//! - [`DirectoryLog`]: the directory changes that the watching entries send to all others.
+//! - [`Exchange`]: the state machine of one request.
+//! - [`EventStream`]: splits a target's bytes into events and keeps them in order.
 
-mod crowd;
 mod directory_log;
 mod event_stream;
 mod exchange;
@@ -23,19 +25,19 @@
 mod forward_config;
 mod listing;
 mod member;
-mod outlook;
-mod pace;
 mod peers;
 mod placement;
+mod prompt_locations;
 mod roster;
 mod run_copy;
-mod whereabouts;
+mod run_times;
+mod standing_queues;
+mod start_estimate;
 
-pub use crowd::Crowd;
 pub use directory_log::DirectoryLog;
 pub use directory_log::NewsStep;
 pub use event_stream::EventStream;
-pub use event_stream::StreamFault;
+pub use event_stream::StreamError;
 pub use exchange::Exchange;
 pub use exchange::ExchangeEvent;
 pub use exchange::ExchangePlan;
@@ -55,14 +57,15 @@
 pub use member::Demand;
 pub use member::Fault;
 pub use member::ReportedLoad;
-pub use outlook::Backlog;
-pub use outlook::Outlook;
-pub use pace::PromptPace;
 pub use peers::PeerLimits;
 pub use placement::Need;
 pub use placement::Placement;
+pub use prompt_locations::PromptLocationLimits;
+pub use prompt_locations::PromptLocations;
 pub use roster::Roster;
 pub use run_copy::CopyName;
 pub use run_copy::RunCopy;
-pub use whereabouts::Whereabouts;
-pub use whereabouts::WhereaboutsLimits;
+pub use run_times::RunTimes;
+pub use standing_queues::StandingQueues;
+pub use start_estimate::Backlog;
+pub use start_estimate::StartEstimate;
--- /dev/null
+++ b/crates/cw_policy/src/queue/queue_event.rs
@@ -0,0 +1,40 @@
+//! The events and the steps of the queue's state machine.
+
+use std::time::Duration;
+
+use cw_types::ErrorKind;
+use cw_types::GenerationId;
+
+use super::QueuedRequest;
+use super::TargetPool;
+
+/// An event that the queue handles.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum QueueEvent {
+    /// A new request is to wait.
+    Offered(QueuedRequest),
+    /// A target of this pool seems to have capacity for one request.
+    CapacityAvailable(TargetPool),
+    /// A started request found no target and waits again, at its old position.
+    Returned(QueuedRequest),
+    /// The caller of a request has disconnected.
+    CallerGone(GenerationId),
+    /// Time has passed.
+    Tick,
+}
+
+/// A step that the queue's owner takes.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum QueueStep {
+    /// Chooses a target for the request.
+    Start(QueuedRequest),
+    /// Refuses the request, which was not run.
+    Refuse {
+        /// The request.
+        request: QueuedRequest,
+        /// The reason.
+        kind: ErrorKind,
+        /// The time after which the caller may retry.
+        retry: Duration,
+    },
+}
--- a/crates/cw_policy/src/routing/choice.rs
+++ b/crates/cw_policy/src/routing/choice.rs
@@ -4,10 +4,10 @@
 use cw_types::Time;
 use rand::Rng;
 
-use super::Index;
-use super::Ledger;
+use super::DispatchLog;
 use super::Policy;
 use super::RouteRequest;
+use super::TargetIndex;
 use crate::View;
 
 /// What to do with an attempt.
@@ -15,22 +15,22 @@
 pub enum Choice {
     /// Send it to this target.
     Target(TargetId),
-    /// Every target that could run it has asked for patience: decide again then.
+    /// Every target that could run it is closed after a refusal: decide again at `until`.
     Wait {
-        /// When the first of them may be tried again.
+        /// The earliest time at which one of them may be tried again.
         until: Time,
     },
     /// No live target can run it.
     NoTarget,
 }
 
-/// Chooses a target by the default policy, with an [`Index`] made for this one decision.
+/// Chooses a target by the default policy, with a [`TargetIndex`] made for this one decision.
 pub fn choose(
     now: Time,
     view: &View,
     request: &RouteRequest,
-    ledger: &Ledger,
+    dispatches: &DispatchLog,
     rng: &mut impl Rng,
 ) -> Choice {
-    Index::new(view).choose(now, Policy::default(), request, ledger, rng)
+    TargetIndex::new(view).choose(now, Policy::default(), request, dispatches, rng)
 }
--- a/crates/cw_policy/tests/forward/budget.rs
+++ b/crates/cw_policy/tests/forward/budget.rs
@@ -1,4 +1,4 @@
-//! Further sends keep to the shared budget in any window.
+//! Tests that repeated sends stay within the budget shared by all entries.
 
 use std::time::Duration;
 
@@ -18,10 +18,11 @@
     window: Duration::from_secs(10),
 };
 
-/// The bound counts the requests of a window, of the one before it, or of the one half a window
-/// before it, whichever has most: repeats follow their requests.
+/// The number of repeated sends in any window stays within the bound.
 ///
-/// Every request fails and asks for more sends than it gets, at four entries whose traffic differs.
+/// Repeats follow their requests, so the bound counts the requests of the window, of the one before
+/// it, or of the one half a window before it, whichever has most. Four entries with different
+/// traffic take part, and every request fails and asks for more sends than it gets.
 #[test]
 fn all_entries_together_keep_to_the_budget_in_any_window() {
     let service: ServiceName = name("s");
@@ -34,11 +35,11 @@
         let at_entry = rng.random_range(0..10_usize).min(3);
         let entry = &mut entries[at_entry];
         if rng.random_bool(0.4) {
-            entry.first(at(millis), &service);
+            entry.record_first(at(millis), &service);
             firsts.push(millis);
         }
         for _ in 0..3 {
-            if entry.spend(at(millis), &service) {
+            if entry.try_spend(at(millis), &service) {
                 further.push(millis);
             }
         }
@@ -56,17 +57,17 @@
         let spent = count(&further, begin);
         assert!(spent <= bound, "{spent} over {bound} from {begin} ms");
     }
-    assert!(further.len() > 400, "the slack is there in each window");
+    assert!(further.len() > 400, "the slack is available in each window");
 }
 
-/// Pattern: an availability zone is lost every few seconds, each loss with many streams.
+/// An availability zone is lost every few seconds, and many streams with it each time.
 #[test]
-fn the_slack_is_there_again_in_the_next_window() {
+fn the_slack_is_available_again_in_the_next_window() {
     let service: ServiceName = name("s");
     let mut budgets = ServiceBudgets::new(BUDGET, 4);
     let spend = |budgets: &mut ServiceBudgets, millis| {
         (0..100)
-            .filter(|_| budgets.spend(at(millis), &service))
+            .filter(|_| budgets.try_spend(at(millis), &service))
             .count()
     };
 
@@ -78,12 +79,14 @@
 }
 
 #[test]
-fn more_entries_have_smaller_parts() {
+fn more_entries_have_smaller_shares() {
     let service: ServiceName = name("s");
     let mut budgets = ServiceBudgets::new(BUDGET, 4);
-    budgets.share(23);
+    budgets.set_entries(23);
 
-    let allowed = (0..100).filter(|_| budgets.spend(at(0), &service)).count();
+    let allowed = (0..100)
+        .filter(|_| budgets.try_spend(at(0), &service))
+        .count();
 
     assert_eq!(allowed, 6);
 }
--- a/crates/cw_policy/tests/forward/event_stream.rs
+++ b/crates/cw_policy/tests/forward/event_stream.rs
@@ -1,8 +1,8 @@
-//! Events reach the caller whole, in order and once, however the bytes are cut.
+//! Tests that events reach the caller complete, in order and once, however the bytes are split.
 
 use bytes::Bytes;
 use cw_policy::forward::EventStream;
-use cw_policy::forward::StreamFault;
+use cw_policy::forward::StreamError;
 use rstest::rstest;
 
 fn event(id: u64) -> String {
@@ -13,23 +13,23 @@
     ids.map(event).collect()
 }
 
-fn push(stream: &mut EventStream, text: &str) -> Result<String, StreamFault> {
+fn push(stream: &mut EventStream, text: &str) -> Result<String, StreamError> {
     let whole = stream.push(&Bytes::copy_from_slice(text.as_bytes()))?;
     Ok(String::from_utf8(whole.to_vec()).unwrap())
 }
 
 #[test]
-fn any_cut_gives_the_same_events() {
+fn any_split_gives_the_same_events() {
     let text = events(1..=3);
-    for cut in 0..=text.len() {
+    for split in 0..=text.len() {
         let mut stream = EventStream::default();
 
-        let first = push(&mut stream, &text[..cut]).unwrap();
-        let second = push(&mut stream, &text[cut..]).unwrap();
+        let first = push(&mut stream, &text[..split]).unwrap();
+        let second = push(&mut stream, &text[split..]).unwrap();
 
-        assert_eq!(first + &second, text, "cut at {cut}");
+        assert_eq!(first + &second, text, "split at {split}");
         assert_eq!(stream.last(), Some(3));
-        assert!(!stream.is_torn());
+        assert!(!stream.ends_mid_event());
     }
 }
 
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn half_an_event_is_held_back() {
+fn an_incomplete_event_is_held_back() {
     let mut stream = EventStream::default();
 
     let passed = push(&mut stream, "id: 1\ndata: half").unwrap();
 
     assert_eq!(passed, "");
-    assert!(stream.is_torn());
+    assert!(stream.ends_mid_event());
     assert_eq!(stream.last(), None);
 }
 
 #[test]
-fn the_next_target_repeats_nothing() {
+fn events_repeated_by_the_next_target_are_dropped() {
     let mut stream = EventStream::default();
     push(&mut stream, &(events(1..=5) + "id: 6\nda")).unwrap();
 
@@ -78,27 +78,27 @@
 }
 
 #[rstest]
-#[case(events(1..=2) + &event(4), StreamFault::Gap { expected: 3, found: 4 })]
-#[case("data: without a number\n\n".to_owned(), StreamFault::NoNumber)]
-#[case("id: seven\ndata: x\n\n".to_owned(), StreamFault::NoNumber)]
-fn a_broken_stream_is_not_passed_on(#[case] text: String, #[case] fault: StreamFault) {
+#[case(events(1..=2) + &event(4), StreamError::Gap { expected: 3, found: 4 })]
+#[case("data: without a number\n\n".to_owned(), StreamError::MissingId)]
+#[case("id: seven\ndata: x\n\n".to_owned(), StreamError::MissingId)]
+fn a_broken_stream_is_not_passed_on(#[case] text: String, #[case] fault: StreamError) {
     let mut stream = EventStream::default();
 
     assert_eq!(push(&mut stream, &text), Err(fault));
 }
 
 #[test]
-fn an_endless_event_is_not_kept() {
+fn an_oversized_event_is_rejected() {
     let mut stream = EventStream::default();
     let chunk = "x".repeat(600 << 10);
 
     push(&mut stream, &chunk).unwrap();
 
-    assert_eq!(push(&mut stream, &chunk), Err(StreamFault::TooLong));
+    assert_eq!(push(&mut stream, &chunk), Err(StreamError::TooLong));
 }
 
 #[test]
-fn lines_before_the_number_are_passed_on() {
+fn lines_before_the_id_are_passed_on() {
     let text = "x-weights: 2\nid: 1\ndata: x\n\n";
     let mut stream = EventStream::default();
 
