--- a/crates/cw_testkit/src/experiment/capacity/calls.rs
+++ b/crates/cw_testkit/src/experiment/capacity/calls.rs
@@ -102,7 +102,7 @@
         for n in 0..count {
             let settings = settings(n, platform.clone());
             let control = start_control(&supervisor, &settings).await;
-            let host = host(&settings, control.peers);
+            let host = host(&settings, control.peer_address);
             host_list.update(|hosts| hosts.push(host));
             controls.push(control);
         }
--- a/crates/cw_testkit/src/experiment/capacity/in_force.rs
+++ b/crates/cw_testkit/src/experiment/capacity/in_force.rs
@@ -122,7 +122,7 @@
 }
 
 async fn call<M: Serialize>(place: &Place, n: usize, path: &str, message: &M) {
-    let admin = place.controls[n % ENTRIES].admin;
+    let admin = place.controls[n % ENTRIES].admin_address;
     let body = serde_json::to_vec(message).expect("JSON");
     let request = Request::post(format!("http://{admin}{path}"))
         .header("content-type", "application/json")
--- a/crates/cw_testkit/src/experiment/capacity/message.rs
+++ b/crates/cw_testkit/src/experiment/capacity/message.rs
@@ -35,7 +35,7 @@
 /// Sends empty batches to an entry's control state.
 pub(super) async fn measure() -> MessageCost {
     let place = Place::start(1).await;
-    let peer = place.controls[0].peers;
+    let peer = place.controls[0].peer_address;
     let client = PeerClient::new(Place::SECRET);
     let batch = empty();
     let start = cpu();
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -173,7 +173,7 @@
             self.processes.on_state(now, state);
         }
         for (age, demand) in &batch.demands {
-            self.parts.demands.hear(ago(now, *age), demand.clone());
+            self.parts.demands.receive(ago(now, *age), demand.clone());
         }
         if batch.revision > self.in_force.revision() {
             self.ask_config(&batch.relay);
--- a/crates/cyclamenwharf/src/control/demand_exchange.rs
+++ b/crates/cyclamenwharf/src/control/demand_exchange.rs
@@ -18,19 +18,19 @@
 #[derive(Debug, Default)]
 struct Inner {
     own: Option<Demand>,
-    heard: BTreeMap<HostId, (Time, Demand)>,
+    received: BTreeMap<HostId, (Time, Demand)>,
 }
 
 impl DemandExchange {
     /// States what this entry wants; the relays pass the newest statement on.
-    pub fn state(&self, demand: Demand) {
+    pub fn set_own(&self, demand: Demand) {
         self.lock().own = Some(demand);
     }
 
     /// Takes what others said since the last call, with the moment at which each said it.
-    pub fn take(&self) -> Vec<(Time, Demand)> {
-        let heard = std::mem::take(&mut self.lock().heard);
-        heard.into_values().collect()
+    pub fn take_received(&self) -> Vec<(Time, Demand)> {
+        let received = std::mem::take(&mut self.lock().received);
+        received.into_values().collect()
     }
 
     /// Returns what this entry wants.
@@ -39,8 +39,10 @@
     }
 
     /// Notes what another entry said.
-    pub(super) fn hear(&self, at: Time, demand: Demand) {
-        self.lock().heard.insert(demand.from.clone(), (at, demand));
+    pub(super) fn receive(&self, at: Time, demand: Demand) {
+        self.lock()
+            .received
+            .insert(demand.from.clone(), (at, demand));
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
--- a/crates/cyclamenwharf/src/control/mod.rs
+++ b/crates/cyclamenwharf/src/control/mod.rs
@@ -68,9 +68,9 @@
     /// The view in force.
     pub view: SharedView,
     /// Where the peers' server listens.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where the operators' server listens.
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
     /// The demands on quotas, to and from the other entries.
     pub demands: Arc<DemandExchange>,
 }
@@ -102,8 +102,8 @@
         Ok(Self {
             view,
             demands,
-            peers: addresses.peers,
-            admin: addresses.admin,
+            peer_address: addresses.peers,
+            admin_address: addresses.admin,
         })
     }
 }
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/handle.rs
@@ -116,8 +116,8 @@
             ..parts
         };
         let mut handle = serve(traffic, supervisor, parts)?;
-        handle.peers = control.peers;
-        handle.admin = control.admin;
+        handle.peers = control.peer_address;
+        handle.admin = control.admin_address;
         Ok(handle)
     }
 
--- a/crates/cyclamenwharf/src/entry/quota_gate.rs
+++ b/crates/cyclamenwharf/src/entry/quota_gate.rs
@@ -82,7 +82,7 @@
     /// Hears what other entries want, and states what this one wants.
     pub(crate) fn exchange(&self, now: Time, view: &View) {
         let hosts: BTreeSet<HostId> = view.entries.iter().map(|e| e.host.clone()).collect();
-        let heard = self.demands.take();
+        let heard = self.demands.take_received();
         let mut quotas = self.lock();
         quotas.set_entries(&hosts);
         let period = Relay::period(hosts.len());
@@ -90,7 +90,7 @@
         for (at, demand) in heard {
             quotas.on_demand(now, now.since(at), demand);
         }
-        self.demands.state(quotas.demand(now));
+        self.demands.set_own(quotas.demand(now));
     }
 
     fn lock(&self) -> MutexGuard<'_, Quotas> {
--- a/crates/cyclamenwharf/tests/control/in_force.rs
+++ b/crates/cyclamenwharf/tests/control/in_force.rs
@@ -49,7 +49,7 @@
 
     let up = report(1, TargetState::Up);
     let answer: ReportResponse = client()
-        .call(a.control.peers, path::REPORTS, &up, LIMIT)
+        .call(a.control.peer_address, path::REPORTS, &up, LIMIT)
         .await
         .expect("an answer");
 
@@ -105,13 +105,13 @@
     let client = client();
     let up = report(1, TargetState::Up);
     let first = client
-        .call::<_, ReportResponse>(a.control.peers, path::REPORTS, &up, LIMIT)
+        .call::<_, ReportResponse>(a.control.peer_address, path::REPORTS, &up, LIMIT)
         .await;
     assert!(first.is_ok());
 
     a.supervisor.stop();
 
-    let address = a.control.peers;
+    let address = a.control.peer_address;
     until("the port is closed", || {
         std::net::TcpStream::connect(address).is_err()
     })
--- a/crates/cyclamenwharf/tests/control/operators.rs
+++ b/crates/cyclamenwharf/tests/control/operators.rs
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn accepted_change_is_in_force_on_every_entry_and_audited() {
     let (_platform, a, b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
 
     let proposal = operator.propose("c1", vec![priority("p", 3)]).await;
     let change = operator.accept("c1").await.expect("an acceptance");
@@ -71,14 +71,14 @@
     for node in [&a, &b] {
         until("it is in force", || node.revision() == Revision(2)).await;
     }
-    let history = Operator::first(b.control.admin).history().await;
+    let history = Operator::first(b.control.admin_address).history().await;
     assert_eq!(history, [change]);
 }
 
 #[tokio::test]
 async fn lost_answers_of_an_acceptance_are_settled() {
     let (platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     operator
         .propose("c1", vec![priority("p", 3)])
         .await
@@ -99,7 +99,7 @@
 #[tokio::test]
 async fn acceptance_without_the_service_is_refused_and_may_be_repeated() {
     let (platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     operator
         .propose("c1", vec![priority("p", 3)])
         .await
@@ -118,8 +118,8 @@
 async fn race_is_a_conflict_that_names_the_other_change() {
     let (_platform, a, b) = two().await;
     let (one, two) = (
-        Operator::first(a.control.admin),
-        Operator::first(b.control.admin),
+        Operator::first(a.control.admin_address),
+        Operator::first(b.control.admin_address),
     );
     one.propose("one", vec![priority("p", 1)])
         .await
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn restored_service_is_held_with_an_alarm_until_it_is_put_back() {
     let (platform, a, b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     let backup = platform.key_value.backup();
     for (id, rank) in [("c1", 1), ("c2", 2)] {
         let proposed = operator.propose(id, vec![priority("p", rank)]).await;
@@ -191,7 +191,7 @@
 #[tokio::test]
 async fn roles_are_kept() {
     let (_platform, a, _b) = two().await;
-    let first = Operator::first(a.control.admin);
+    let first = Operator::first(a.control.admin_address);
     let record = |name: &str, role: &str| {
         let key = KeyHash::of(name).to_string();
         put("operator", name, json!({ "keys": [key], "role": role }))
@@ -205,9 +205,9 @@
     first.accept("operators").await.expect("an acceptance");
     until("it is in force", || a.revision() == Revision(2)).await;
     let [rita, paul, anna] =
-        ["rita", "paul", "anna"].map(|key| Operator::new(a.control.admin, key));
+        ["rita", "paul", "anna"].map(|key| Operator::new(a.control.admin_address, key));
 
-    let stranger = Operator::new(a.control.admin, "nobody")
+    let stranger = Operator::new(a.control.admin_address, "nobody")
         .get::<serde_json::Value>("/v1/status")
         .await;
     let secret = first.get::<serde_json::Value>("/v1/status").await;
@@ -236,11 +236,11 @@
 #[tokio::test]
 async fn drained_host_is_leaving_everywhere_and_its_agent_is_told() {
     let (_platform, a, b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     let id: TargetId = "target-1".parse().expect("a valid name");
     let up = report(1, TargetState::Up);
     let before: ReportResponse = client()
-        .call(b.control.peers, path::REPORTS, &up, LIMIT)
+        .call(b.control.peer_address, path::REPORTS, &up, LIMIT)
         .await
         .expect("an answer");
 
@@ -260,7 +260,7 @@
     }
     let next = report(2, TargetState::Up);
     let after: ReportResponse = client()
-        .call(b.control.peers, path::REPORTS, &next, LIMIT)
+        .call(b.control.peer_address, path::REPORTS, &next, LIMIT)
         .await
         .expect("an answer");
     assert!(!before.drained);
@@ -270,7 +270,7 @@
 #[tokio::test]
 async fn earlier_body_comes_back_as_a_new_revision() {
     let (_platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     for (id, rank) in [("c1", 1), ("c2", 2)] {
         let proposed = operator.propose(id, vec![priority("p", rank)]).await;
         proposed.expect("a proposal");
@@ -300,7 +300,7 @@
 #[tokio::test]
 async fn rejected_change_stays_rejected_and_review_says_why() {
     let (_platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     operator
         .propose("c1", vec![priority("p", 1)])
         .await
@@ -318,7 +318,7 @@
 #[tokio::test]
 async fn schema_that_nobody_reads_is_refused_with_the_names_of_the_processes() {
     let (_platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     let edit = match priority("p", 1) {
         EditMessage::Put(record) => EditMessage::Put(cyclamenwharf::admin::RecordMessage {
             schema: Some(9),
@@ -347,7 +347,7 @@
 #[tokio::test]
 async fn entry_does_not_accept_on_top_of_another_history() {
     let (platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin);
+    let operator = Operator::first(a.control.admin_address);
     let proposed = operator.propose("ours", vec![priority("p", 1)]).await;
     proposed.expect("a proposal");
     operator.accept("ours").await.expect("an acceptance");
--- a/crates/cyclamenwharf/tests/control/rig.rs
+++ b/crates/cyclamenwharf/tests/control/rig.rs
@@ -82,7 +82,7 @@
             traces: Default::default(),
         };
         let control = Control::start(parts).await.expect("free ports");
-        let peers = control.peers;
+        let peers = control.peer_address;
         self.host_list.update(|hosts| {
             hosts.retain(|host| host.host != settings.host);
             hosts.push(Host {
