--- a/crates/cyclamenwharf/src/control/admin/desk.rs
+++ b/crates/cyclamenwharf/src/control/admin/change_service.rs
@@ -1,4 +1,4 @@
-//! What stands behind the operators' interface: proposals and their acceptance.
+//! The proposals of changes and their acceptance, as the admin API offers them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,50 +37,52 @@
 use super::AdminErrorKind;
 use super::ErrorMessage;
 use super::auth::Caller;
-use super::keys::Stored;
-use super::keys::decode;
+use super::stored::Stored;
+use super::stored::decode;
 use crate::control::Event;
 use crate::control::Inspection;
-use crate::control::lease_calls::Holder;
+use crate::control::lease_calls::LeaseHolder;
 use crate::control::lease_calls::PLANNER_KEY;
 use crate::control::store_task::CONFIG_KEY;
 
-/// Where proposals are kept.
-const PROPOSALS: &str = "cyclamenwharf/proposals/";
+/// The prefix of the keys of proposals.
+const PROPOSAL_PREFIX: &str = "cyclamenwharf/proposals/";
 
-/// How often a write that met another one, or lost its answer, is tried.
-const ATTEMPTS: u32 = 8;
+/// The maximum number of attempts of a write that conflicts or whose response is lost.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// The pause before a failed call is tried again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The delay before a retry after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How many changes a snapshot remembers before old proposals are removed.
-const KEPT_CHANGES: usize = 512;
+/// The number of changes in the history of a snapshot from which old proposals are removed.
+const PRUNE_MIN_CHANGES: usize = 512;
 
-/// How many revisions lie between two removals of old proposals.
-const FORGET_PERIOD: u64 = 64;
+/// The number of revisions between two removals of old proposals.
+const PRUNE_PERIOD: u64 = 64;
 
-/// What stands behind the operators' interface.
+/// Stores, accepts and rejects the proposals of operators.
 #[derive(Clone)]
-pub(in crate::control) struct Desk {
+pub(in crate::control) struct ChangeService {
     pub(in crate::control) key_value: Arc<dyn KeyValue>,
     pub(in crate::control) events: mpsc::Sender<Event>,
 }
 
-impl Desk {
-    /// Asks the control state how things are.
+impl ChangeService {
+    /// Returns a copy of the control state.
     pub(super) async fn inspect(&self) -> Result<Inspection, ErrorMessage> {
-        let stopping = || ErrorMessage::new(AdminErrorKind::Unavailable, "the process is stopping");
-        let (answer, receiver) = oneshot::channel();
-        let sent = self.events.send(Event::Inspect { answer }).await;
-        sent.map_err(|_| stopping())?;
-        receiver.await.map_err(|_| stopping())
+        let shutting_down =
+            || ErrorMessage::new(AdminErrorKind::Unavailable, "the process is shutting down");
+        let (reply, receiver) = oneshot::channel();
+        let sent = self.events.send(Event::Inspect { reply }).await;
+        sent.map_err(|_| shutting_down())?;
+        receiver.await.map_err(|_| shutting_down())
     }
 
-    /// Returns who holds the planner's lease, if the key-value service says so.
-    pub(super) async fn planner(&self) -> Option<(HostId, FencingNumber)> {
+    /// Returns the holder of the planner's lease and its fencing number from the key-value service,
+    /// or `None` if nobody holds the lease or the call fails.
+    pub(super) async fn lease_holder(&self) -> Option<(HostId, FencingNumber)> {
         let found = self.key_value.get(PLANNER_KEY).await.ok()??;
-        let holder: Holder = serde_json::from_slice(&found.value).ok()?;
+        let holder: LeaseHolder = serde_json::from_slice(&found.value).ok()?;
         let created = u64::try_from(found.created.0).ok()?;
         Some((holder.host, FencingNumber(created)))
     }
@@ -88,7 +90,7 @@
     // ------------------------------------------------------------------------
     // Proposals
 
-    /// Keeps a proposal. A repeat with the same id and edits returns the one that is kept.
+    /// Stores a proposal. A repeated call with the same id and edits returns the stored one.
     pub(super) async fn propose(
         &self,
         caller: &Caller,
@@ -97,13 +99,13 @@
         edits: Vec<Edit>,
     ) -> Result<Proposal, ErrorMessage> {
         if edits.is_empty() {
-            return Err(bad("a change has at least one edit"));
+            return Err(bad_request("a change requires at least one edit"));
         }
         let snapshot = self.snapshot().await?.value;
         let proposal = Proposal::new(id, caller.actor.clone(), unix_now(), edits, &snapshot);
         let proposal = proposal.with_reason(reason);
-        let key = key_of(&proposal.id);
-        let written = self.put(&key, None, &proposal).await;
+        let key = proposal_key(&proposal.id);
+        let written = self.write_key(&key, None, &proposal).await;
         let found = match written {
             Ok(Swap::Done(_)) => return Ok(proposal),
             Ok(Swap::Conflict(_)) | Err(StoreError::Lost { .. }) => {
@@ -115,55 +117,62 @@
             Some(old) if old.value.is_repeat(&proposal) => Ok(old.value),
             Some(old) => {
                 let message = format!(
-                    "change {} was proposed by {} with other edits",
+                    "change {} was already proposed by {} with other edits",
                     old.value.id, old.value.proposer
                 );
                 Err(ErrorMessage::new(AdminErrorKind::Conflict, message))
             }
             None => Err(ErrorMessage::new(
                 AdminErrorKind::OutcomeUnknown,
-                "the answer of the key-value service was lost",
+                "the response of the key-value service was lost",
             )),
         }
     }
 
-    /// Returns all proposals that are kept.
+    /// Returns all stored proposals.
     pub(super) async fn proposals(&self) -> Result<Vec<Proposal>, ErrorMessage> {
-        let found = self.key_value.list(PROPOSALS).await?;
+        let found = self.key_value.list(PROPOSAL_PREFIX).await?;
         found.iter().map(|found| decode(&found.value)).collect()
     }
 
-    /// Returns one proposal.
+    /// Returns one stored proposal.
     pub(super) async fn proposal(&self, id: &ChangeId) -> Result<Proposal, ErrorMessage> {
         Ok(self.stored_proposal(id).await?.value)
     }
 
-    /// Rejects a proposal that waits.
+    /// Rejects a proposal that is not decided yet.
     pub(super) async fn reject(
         &self,
         caller: &Caller,
         id: &ChangeId,
     ) -> Result<Proposal, ErrorMessage> {
-        let in_force = self.inspect().await?.snapshot();
-        for _ in 0..ATTEMPTS {
+        let snapshot = self.inspect().await?.snapshot();
+        for _ in 0..MAX_ATTEMPTS {
             let stored = self.stored_proposal(id).await?;
-            let rejected = match reject(&in_force, &stored.value, &caller.actor) {
+            let rejected = match reject(&snapshot, &stored.value, &caller.actor) {
                 RejectDecision::Write(rejected) => rejected,
                 RejectDecision::AlreadyRejected => return Ok(stored.value),
-                RejectDecision::RejectedBy(by) => return Err(taken(id, "rejected", &by)),
-                RejectDecision::AcceptedBy(by) => return Err(taken(id, "accepted", &by)),
+                RejectDecision::RejectedBy(by) => return Err(already_decided(id, "rejected", &by)),
+                RejectDecision::AcceptedBy(by) => return Err(already_decided(id, "accepted", &by)),
             };
-            match self.put(&key_of(id), stored.modified, &rejected).await {
+            match self
+                .write_key(&proposal_key(id), stored.modified, &rejected)
+                .await
+            {
                 Ok(Swap::Done(_)) => return Ok(*rejected),
                 Ok(Swap::Conflict(_)) | Err(StoreError::Lost { .. }) => continue,
                 Err(error) => return Err(error.into()),
             }
         }
-        Err(unknown())
+        Err(outcome_unknown())
     }
 
-    /// Proposes the body that a record had at an earlier revision.
-    pub(super) async fn earlier(
+    /// Returns the edit that restores a record to its state at `revision`.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`AdminErrorKind::NotFound`] if the history of the snapshot lacks the change.
+    pub(super) async fn earlier_edit(
         &self,
         key: &RecordKey,
         revision: Revision,
@@ -172,19 +181,24 @@
         let touched =
             |change: &&Change| change.revision <= revision && change.touched.contains(key);
         let Some(change) = snapshot.changes.iter().rev().find(touched) else {
-            let message = format!("no change of {key} up to revision {revision} is remembered");
+            let message = format!("the history has no change of {key} up to revision {revision}");
             return Err(ErrorMessage::new(AdminErrorKind::NotFound, message));
         };
         let proposal = self.proposal(&change.id).await?;
         let edit = proposal.edits.into_iter().find(|edit| edit.key() == *key);
-        edit.ok_or_else(|| ErrorMessage::new(AdminErrorKind::Internal, "the edit is not kept"))
+        edit.ok_or_else(|| {
+            ErrorMessage::new(
+                AdminErrorKind::Internal,
+                "the stored proposal lacks the edit",
+            )
+        })
     }
 
     // ------------------------------------------------------------------------
     // Acceptance
 
-    /// Says why a proposal would be refused now, if so.
-    pub(super) async fn refusal(
+    /// Returns the reason why an acceptance would be refused now, or `None` if it would not be.
+    pub(super) async fn check_accept(
         &self,
         caller: &Caller,
         proposal: &Proposal,
@@ -198,14 +212,14 @@
         }
     }
 
-    /// Accepts a proposal. It may be repeated: a change is accepted once.
+    /// Accepts a proposal. A repeated call returns the same change, which is accepted only once.
     pub(super) async fn accept(
         &self,
         caller: &Caller,
         id: &ChangeId,
     ) -> Result<Change, ErrorMessage> {
         let inspection = self.inspect().await?;
-        if let Some(alarm @ Alarm::Diverged { .. }) = inspection.in_force.alarm() {
+        if let Some(alarm @ Alarm::Diverged { .. }) = inspection.active_config.alarm() {
             return Err(ErrorMessage::new(AdminErrorKind::Reverted, alarm));
         }
         let mut flow = AcceptFlow::new();
@@ -214,24 +228,24 @@
         loop {
             let event = match &step {
                 FlowStep::Read => {
-                    let (event, read) = self.read_both(id).await?;
+                    let (event, read) = self.read_for_accept(id).await?;
                     (proposal, snapshot) = read;
                     event
                 }
                 FlowStep::MarkAccepting(marked) => {
-                    written(self.put(&key_of(id), proposal, marked).await)?
+                    to_flow_event(self.write_key(&proposal_key(id), proposal, marked).await)?
                 }
                 FlowStep::WriteSnapshot(next) => {
-                    let event = written(self.put(CONFIG_KEY, snapshot, next).await)?;
+                    let event = to_flow_event(self.write_key(CONFIG_KEY, snapshot, next).await)?;
                     if event == FlowEvent::Written(true) {
                         self.on_accepted(next).await;
                     }
                     event
                 }
-                FlowStep::End(end) => return ended(end.clone()),
+                FlowStep::End(end) => return into_result(end.clone()),
             };
             if matches!(event, FlowEvent::Failed(_) | FlowEvent::Written(false)) {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             let edits = match &event {
                 FlowEvent::Read { proposal, .. } => proposal.as_ref(),
@@ -242,13 +256,13 @@
         }
     }
 
-    /// Reads the proposal and the snapshot, and when each was last written.
-    async fn read_both(
+    /// Reads the proposal and the snapshot, with the store revision at which each was last written.
+    async fn read_for_accept(
         &self,
         id: &ChangeId,
     ) -> Result<(FlowEvent, (Option<ModRevision>, Option<ModRevision>)), ErrorMessage> {
         let failed = (FlowEvent::Failed(Fault::Unavailable), (None, None));
-        let proposal = match self.read_key::<Proposal>(&key_of(id)).await {
+        let proposal = match self.read_key::<Proposal>(&proposal_key(id)).await {
             Err(error) if error.kind == AdminErrorKind::Unavailable => return Ok(failed),
             other => other?,
         };
@@ -260,59 +274,66 @@
         let event = FlowEvent::Read {
             proposal: proposal.map(|stored| stored.value),
             snapshot: Box::new(snapshot.value),
-            held: self.inspect().await?.highest(),
+            held: self.inspect().await?.highest_revision(),
         };
         Ok((event, (written, snapshot.modified)))
     }
 
-    /// Writes the snapshot in force back to a service that went back to an older one.
-    pub(super) async fn put_back(&self) -> Result<Revision, ErrorMessage> {
+    /// Writes the snapshot in force back to a key-value service that was restored to an older one.
+    pub(super) async fn restore_snapshot(&self) -> Result<Revision, ErrorMessage> {
         let inspection = self.inspect().await?;
-        let held = inspection.snapshot();
+        let current = inspection.snapshot();
         let stored = self.snapshot().await?;
-        if stored.value.revision >= held.revision {
-            let message = format!("the service holds revision {}", stored.value.revision);
+        if stored.value.revision >= current.revision {
+            let message = format!(
+                "the key-value service already holds revision {}",
+                stored.value.revision
+            );
             return Err(ErrorMessage::new(AdminErrorKind::Conflict, message));
         }
-        match self.put(CONFIG_KEY, stored.modified, &*held).await? {
-            Swap::Done(_) => Ok(held.revision),
+        match self
+            .write_key(CONFIG_KEY, stored.modified, &*current)
+            .await?
+        {
+            Swap::Done(_) => Ok(current.revision),
             Swap::Conflict(_) => Err(ErrorMessage::new(
                 AdminErrorKind::Conflict,
-                "the service was written to at the same time",
+                "the key-value service was written to concurrently",
             )),
         }
     }
 
     async fn on_accepted(&self, next: &Snapshot) {
-        // The watch would tell it too; this entry need not wait.
-        let event = Event::Store(Box::new(Some(next.clone())));
+        // The watch would deliver the snapshot too, but later.
+        let event = Event::StoreSnapshot(Box::new(Some(next.clone())));
         let _ = self.events.send(event).await;
-        self.forget(next).await;
+        self.prune_proposals(next).await;
     }
 
-    /// Removes proposals that were decided on before the oldest change that is remembered.
-    async fn forget(&self, next: &Snapshot) {
+    /// Removes the proposals that were made before the acceptance of the oldest change in the history
+    /// of the snapshot.
+    async fn prune_proposals(&self, next: &Snapshot) {
         let Some(oldest) = next.changes.first() else {
             return;
         };
-        if next.changes.len() < KEPT_CHANGES || !next.revision.0.is_multiple_of(FORGET_PERIOD) {
+        if next.changes.len() < PRUNE_MIN_CHANGES || !next.revision.0.is_multiple_of(PRUNE_PERIOD) {
             return;
         }
-        // What is left behind costs only its room, so failures are left to the next time.
-        let Ok(found) = self.key_value.list(PROPOSALS).await else {
+        // Proposals that remain only take up space, so after a failure the next call removes them.
+        let Ok(found) = self.key_value.list(PROPOSAL_PREFIX).await else {
             return;
         };
         for found in found {
-            let old = decode::<Proposal>(&found.value)
+            let is_old = decode::<Proposal>(&found.value)
                 .is_ok_and(|proposal| proposal.proposed_at < oldest.accepted_at);
-            if old {
+            if is_old {
                 let _ = self.key_value.remove(&found.key, found.modified).await;
             }
         }
     }
 
     // ------------------------------------------------------------------------
-    // Keys
+    // Stored values
 
     async fn snapshot(&self) -> Result<Stored<Snapshot>, ErrorMessage> {
         let found = self.read_key(CONFIG_KEY).await?;
@@ -323,9 +344,9 @@
     }
 
     async fn stored_proposal(&self, id: &ChangeId) -> Result<Stored<Proposal>, ErrorMessage> {
-        let found = self.read_key(&key_of(id)).await?;
+        let found = self.read_key(&proposal_key(id)).await?;
         found.ok_or_else(|| {
-            let message = format!("no change {id} is proposed");
+            let message = format!("there is no proposal {id}");
             ErrorMessage::new(AdminErrorKind::NotFound, message)
         })
     }
@@ -345,7 +366,7 @@
     }
 }
 
-fn written(swap: Result<Swap, StoreError>) -> Result<FlowEvent, ErrorMessage> {
+fn to_flow_event(swap: Result<Swap, StoreError>) -> Result<FlowEvent, ErrorMessage> {
     match swap {
         Ok(Swap::Done(_)) => Ok(FlowEvent::Written(true)),
         Ok(Swap::Conflict(_)) => Ok(FlowEvent::Written(false)),
@@ -355,43 +376,46 @@
     }
 }
 
-fn ended(end: FlowEnd) -> Result<Change, ErrorMessage> {
+fn into_result(end: FlowEnd) -> Result<Change, ErrorMessage> {
     match end {
         FlowEnd::Accepted(change) => Ok(change),
         FlowEnd::Refused(refusal) => Err(refusal.into()),
         FlowEnd::NotFound => Err(ErrorMessage::new(
             AdminErrorKind::NotFound,
-            "no such change is proposed",
+            "there is no such proposal",
         )),
         FlowEnd::Reverted { found, held } => Err(ErrorMessage::new(
             AdminErrorKind::Reverted,
-            format!("the service holds revision {found}, in force is {held}: put it back first"),
+            format!(
+                "the key-value service holds revision {found}, but revision {held} is in force: \
+                 call put-back first"
+            ),
         )),
         FlowEnd::Unavailable => Err(ErrorMessage::new(
             AdminErrorKind::Unavailable,
             "the key-value service is unavailable; the change was not accepted",
         )),
-        FlowEnd::Unknown => Err(unknown()),
+        FlowEnd::Unknown => Err(outcome_unknown()),
     }
 }
 
-fn key_of(id: &ChangeId) -> String {
-    format!("{PROPOSALS}{id}")
+fn proposal_key(id: &ChangeId) -> String {
+    format!("{PROPOSAL_PREFIX}{id}")
 }
 
-fn bad(message: &str) -> ErrorMessage {
+fn bad_request(message: &str) -> ErrorMessage {
     ErrorMessage::new(AdminErrorKind::BadRequest, message)
 }
 
-fn unknown() -> ErrorMessage {
+fn outcome_unknown() -> ErrorMessage {
     ErrorMessage::new(
         AdminErrorKind::OutcomeUnknown,
-        "the answer of the key-value service was lost; repeat the same call",
+        "the response of the key-value service was lost; repeat the same call",
     )
 }
 
-fn taken(id: &ChangeId, what: &str, by: &cw_types::Actor) -> ErrorMessage {
-    let message = format!("change {id} is {what} by {by}");
+fn already_decided(id: &ChangeId, what: &str, by: &cw_types::Actor) -> ErrorMessage {
+    let message = format!("change {id} is already {what} by {by}");
     ErrorMessage::new(AdminErrorKind::Conflict, message)
 }
 
--- a/crates/cyclamenwharf/src/control/admin/convert.rs
+++ b/crates/cyclamenwharf/src/control/admin/convert.rs
@@ -1,4 +1,4 @@
-//! From messages to records and back.
+//! Conversions between messages of the admin API and records.
 
 use cw_policy::configuration::Edit;
 use cw_policy::configuration::Proposal;
@@ -21,7 +21,7 @@
 use super::ProposalStatus;
 use super::RecordMessage;
 
-/// Reads text that names something.
+/// Parses text from a message, with [`AdminErrorKind::BadRequest`] as the error.
 pub(super) fn parse<T>(text: &str) -> Result<T, ErrorMessage>
 where
     T: std::str::FromStr,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Describes a proposal; whether it is accepted is for the snapshot to say.
+/// Returns the message of a proposal. The snapshot decides whether the proposal is accepted.
 pub(super) fn from_proposal(proposal: &Proposal, snapshot: &Snapshot) -> ProposalMessage {
     let accepted = snapshot.changes.iter().find(|c| c.id == proposal.id);
     let (status, decided_by) = match (accepted, &proposal.state) {
--- a/crates/cyclamenwharf/src/control/admin/endpoints.rs
+++ b/crates/cyclamenwharf/src/control/admin/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that operators call.
+//! The endpoints of the admin API for the configuration and the status.
 
 use std::sync::Arc;
 
@@ -41,26 +41,26 @@
 use crate::control::Inspection;
 
 type Context = RequestContext<Arc<AdminContext>>;
-type Answer<T> = Result<HttpResponseOk<T>, ErrorMessage>;
+type EndpointResult<T> = Result<HttpResponseOk<T>, ErrorMessage>;
 
-/// Finds the caller and checks the role.
-pub(super) async fn admit(
+/// Authenticates the caller, and checks that its role is at least `role`.
+pub(super) async fn authorize(
     context: &Context,
     role: OperatorRole,
 ) -> Result<(Caller, Inspection), ErrorMessage> {
     let shared = context.context();
-    let inspection = shared.desk.inspect().await?;
+    let inspection = shared.changes.inspect().await?;
     let headers = context.request.headers();
-    let caller = Caller::find(headers, inspection.in_force.config(), &shared.secrets)?;
-    caller.require(role)?;
+    let caller = Caller::authenticate(headers, inspection.active_config.config(), &shared.secrets)?;
+    caller.require_role(role)?;
     Ok((caller, inspection))
 }
 
-/// Say how things are: the revision in force by process, targets, leaving ones, the planner.
+/// Return the status: the revision in force at each process, the targets and the planner.
 #[endpoint { method = GET, path = "/v1/status" }]
-pub(super) async fn status(context: Context) -> Answer<StatusMessage> {
-    let (_, mut inspection) = admit(&context, OperatorRole::Reader).await?;
-    if let Some((holder, fencing)) = context.context().desk.planner().await {
+pub(super) async fn status(context: Context) -> EndpointResult<StatusMessage> {
+    let (_, mut inspection) = authorize(&context, OperatorRole::Reader).await?;
+    if let Some((holder, fencing)) = context.context().changes.lease_holder().await {
         inspection.planner.holder = Some(holder);
         inspection.planner.fencing = fencing;
     }
@@ -73,8 +73,8 @@
 pub(super) async fn records(
     context: Context,
     query: Query<RecordsQuery>,
-) -> Answer<Vec<RecordMessage>> {
-    let (_, inspection) = admit(&context, OperatorRole::Reader).await?;
+) -> EndpointResult<Vec<RecordMessage>> {
+    let (_, inspection) = authorize(&context, OperatorRole::Reader).await?;
     let RecordsQuery { kind, name } = query.into_inner();
     let wanted = |key: &RecordKey| {
         kind.as_ref().is_none_or(|k| *k == key.kind.to_string())
@@ -98,34 +98,39 @@
 pub(super) async fn propose(
     context: Context,
     body: TypedBody<ProposeMessage>,
-) -> Answer<ProposalMessage> {
-    let (caller, _) = admit(&context, OperatorRole::Proposer).await?;
+) -> EndpointResult<ProposalMessage> {
+    let (caller, _) = authorize(&context, OperatorRole::Proposer).await?;
     let ProposeMessage { id, reason, edits } = body.into_inner();
     let edits = edits.into_iter().map(to_edit).collect::<Result<_, _>>()?;
-    let desk = &context.context().desk;
-    let proposal = desk.propose(&caller, parse(&id)?, &reason, edits).await?;
-    let snapshot = desk.inspect().await?.snapshot();
+    let changes = &context.context().changes;
+    let proposal = changes
+        .propose(&caller, parse(&id)?, &reason, edits)
+        .await?;
+    let snapshot = changes.inspect().await?.snapshot();
     Ok(HttpResponseOk(from_proposal(&proposal, &snapshot)))
 }
 
-/// List the proposals that are kept.
+/// List the stored proposals.
 #[endpoint { method = GET, path = "/v1/proposals" }]
-pub(super) async fn proposals(context: Context) -> Answer<Vec<ProposalMessage>> {
-    let (_, inspection) = admit(&context, OperatorRole::Reader).await?;
-    let found = context.context().desk.proposals().await?;
+pub(super) async fn proposals(context: Context) -> EndpointResult<Vec<ProposalMessage>> {
+    let (_, inspection) = authorize(&context, OperatorRole::Reader).await?;
+    let found = context.context().changes.proposals().await?;
     let snapshot = inspection.snapshot();
-    let one = |proposal| from_proposal(proposal, &snapshot);
-    Ok(HttpResponseOk(found.iter().map(one).collect()))
+    let to_message = |proposal| from_proposal(proposal, &snapshot);
+    Ok(HttpResponseOk(found.iter().map(to_message).collect()))
 }
 
-/// Show a proposal, what it changes, and why it would be refused now.
+/// Return a proposal, what it changes, and the reason why it would be refused now.
 #[endpoint { method = GET, path = "/v1/proposals/{id}" }]
-pub(super) async fn review(context: Context, path: Path<ChangePath>) -> Answer<ReviewMessage> {
-    let (caller, inspection) = admit(&context, OperatorRole::Reader).await?;
+pub(super) async fn review(
+    context: Context,
+    path: Path<ChangePath>,
+) -> EndpointResult<ReviewMessage> {
+    let (caller, inspection) = authorize(&context, OperatorRole::Reader).await?;
     let id: ChangeId = parse(&path.into_inner().id)?;
-    let desk = &context.context().desk;
-    let proposal = desk.proposal(&id).await?;
-    let refusal = desk.refusal(&caller, &proposal).await?;
+    let changes = &context.context().changes;
+    let proposal = changes.proposal(&id).await?;
+    let refusal = changes.check_accept(&caller, &proposal).await?;
     let snapshot = inspection.snapshot();
     Ok(HttpResponseOk(ReviewMessage {
         differences: diff(&snapshot, &proposal).iter().map(from_diff).collect(),
@@ -134,32 +139,38 @@
     }))
 }
 
-/// Accept a change. The call may be repeated; a change is accepted once.
+/// Accept a change. The call may be repeated; a change is accepted only once.
 #[endpoint { method = POST, path = "/v1/proposals/{id}/accept" }]
-pub(super) async fn accept(context: Context, path: Path<ChangePath>) -> Answer<ChangeMessage> {
-    let (caller, _) = admit(&context, OperatorRole::Accepter).await?;
+pub(super) async fn accept(
+    context: Context,
+    path: Path<ChangePath>,
+) -> EndpointResult<ChangeMessage> {
+    let (caller, _) = authorize(&context, OperatorRole::Accepter).await?;
     let id: ChangeId = parse(&path.into_inner().id)?;
-    let change = context.context().desk.accept(&caller, &id).await?;
+    let change = context.context().changes.accept(&caller, &id).await?;
     Ok(HttpResponseOk(from_change(&change)))
 }
 
-/// Reject a change that waits.
+/// Reject a change that is not decided yet.
 #[endpoint { method = POST, path = "/v1/proposals/{id}/reject" }]
-pub(super) async fn reject(context: Context, path: Path<ChangePath>) -> Answer<ProposalMessage> {
-    let (caller, inspection) = admit(&context, OperatorRole::Accepter).await?;
+pub(super) async fn reject(
+    context: Context,
+    path: Path<ChangePath>,
+) -> EndpointResult<ProposalMessage> {
+    let (caller, inspection) = authorize(&context, OperatorRole::Accepter).await?;
     let id: ChangeId = parse(&path.into_inner().id)?;
-    let proposal = context.context().desk.reject(&caller, &id).await?;
+    let proposal = context.context().changes.reject(&caller, &id).await?;
     let snapshot = inspection.snapshot();
     Ok(HttpResponseOk(from_proposal(&proposal, &snapshot)))
 }
 
-/// List the accepted changes that are remembered, oldest first.
+/// List the accepted changes in the history, oldest first.
 #[endpoint { method = GET, path = "/v1/history" }]
 pub(super) async fn history(
     context: Context,
     query: Query<HistoryQuery>,
-) -> Answer<Vec<ChangeMessage>> {
-    let (_, inspection) = admit(&context, OperatorRole::Reader).await?;
+) -> EndpointResult<Vec<ChangeMessage>> {
+    let (_, inspection) = authorize(&context, OperatorRole::Reader).await?;
     let key: Option<RecordKey> = match query.into_inner().key {
         Some(key) => Some(parse(&key)?),
         None => None,
@@ -170,29 +181,31 @@
     Ok(HttpResponseOk(changes.map(from_change).collect()))
 }
 
-/// Propose to bring an earlier body of a record back, as a new revision.
+/// Propose to restore an earlier body of a record, as a new revision.
 #[endpoint { method = POST, path = "/v1/roll-forward" }]
 pub(super) async fn roll_forward(
     context: Context,
     body: TypedBody<RollMessage>,
-) -> Answer<ProposalMessage> {
-    let (caller, inspection) = admit(&context, OperatorRole::Proposer).await?;
+) -> EndpointResult<ProposalMessage> {
+    let (caller, inspection) = authorize(&context, OperatorRole::Proposer).await?;
     let body = body.into_inner();
-    let desk = &context.context().desk;
-    let edit = desk
-        .earlier(&parse(&body.key)?, Revision(body.revision))
+    let changes = &context.context().changes;
+    let edit = changes
+        .earlier_edit(&parse(&body.key)?, Revision(body.revision))
         .await?;
     let id = parse(&body.id)?;
-    let proposal = desk.propose(&caller, id, &body.reason, vec![edit]).await?;
+    let proposal = changes
+        .propose(&caller, id, &body.reason, vec![edit])
+        .await?;
     let snapshot = inspection.snapshot();
     Ok(HttpResponseOk(from_proposal(&proposal, &snapshot)))
 }
 
-/// Write what is in force back to a key-value service that was restored from an older backup.
+/// Write the configuration in force back to a key-value service restored from an older backup.
 #[endpoint { method = POST, path = "/v1/put-back" }]
-pub(super) async fn put_back(context: Context) -> Answer<u64> {
-    admit(&context, OperatorRole::Accepter).await?;
-    let revision = context.context().desk.put_back().await?;
+pub(super) async fn put_back(context: Context) -> EndpointResult<u64> {
+    authorize(&context, OperatorRole::Accepter).await?;
+    let revision = context.context().changes.restore_snapshot().await?;
     Ok(HttpResponseOk(revision.0))
 }
 
@@ -200,14 +213,14 @@
 // Status
 
 fn to_status(host: String, inspection: &Inspection) -> StatusMessage {
-    let revision = inspection.in_force.revision();
+    let revision = inspection.active_config.revision();
     let lowest = inspection.processes.iter().map(|(_, p)| p.revision).min();
     let planner = &inspection.planner;
     StatusMessage {
         host,
         revision: revision.0,
         everywhere: lowest.unwrap_or(revision).0,
-        alarm: inspection.in_force.alarm().map(ToString::to_string),
+        alarm: inspection.active_config.alarm().map(ToString::to_string),
         processes: inspection.processes.iter().map(to_process).collect(),
         targets: to_targets(inspection),
         planner: PlannerMessage {
@@ -219,39 +232,39 @@
 }
 
 fn to_process((age, state): &(std::time::Duration, cw_wire::ProcessState)) -> ProcessMessage {
-    let named = |(kind, version): (&cw_types::RecordKind, &cw_types::SchemaVersion)| {
+    let to_entry = |(kind, version): (&cw_types::RecordKind, &cw_types::SchemaVersion)| {
         (kind.to_string(), version.0)
     };
     ProcessMessage {
         host: state.host.to_string(),
         revision: state.revision.0,
         age_ms: age.as_millis() as u64,
-        schemas: state.schemas.iter().map(named).collect(),
+        schemas: state.schemas.iter().map(to_entry).collect(),
     }
 }
 
 fn to_targets(inspection: &Inspection) -> Vec<TargetMessage> {
-    let one = |(id, seen): (&TargetId, &TargetView)| to_target(inspection, id, seen);
-    inspection.view.targets.iter().map(one).collect()
+    let to_message = |(id, view): (&TargetId, &TargetView)| to_target(inspection, id, view);
+    inspection.view.targets.iter().map(to_message).collect()
 }
 
-fn to_target(inspection: &Inspection, id: &TargetId, seen: &TargetView) -> TargetMessage {
+fn to_target(inspection: &Inspection, id: &TargetId, view: &TargetView) -> TargetMessage {
     let revision = inspection.agents.get(id).copied().unwrap_or_default();
     let names = |names: &std::collections::BTreeSet<cw_types::VersionName>| {
         names.iter().map(ToString::to_string).collect()
     };
     TargetMessage {
         id: id.to_string(),
-        host: seen.target.host.to_string(),
-        zone: seen.target.zone.to_string(),
-        liveness: format!("{:?}", seen.liveness).to_lowercase(),
-        running: seen.load.running,
+        host: view.target.host.to_string(),
+        zone: view.target.zone.to_string(),
+        liveness: format!("{:?}", view.liveness).to_lowercase(),
+        running: view.load.running,
         revision: revision.0,
-        versions: seen
+        versions: view
             .versions
             .iter()
             .map(|(model, versions)| (model.to_string(), names(versions)))
             .collect(),
-        drained: inspection.in_force.config().is_drained(id),
+        drained: inspection.active_config.config().is_drained(id),
     }
 }
--- a/crates/cyclamenwharf/src/control/admin/error.rs
+++ b/crates/cyclamenwharf/src/control/admin/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the operators' interface: one closed list, with a table from kind to answer.
+//! The errors of the admin API: a closed list of kinds, each with its HTTP status.
 
 use std::fmt;
 
@@ -10,36 +10,36 @@
 use dropshot::HttpResponseError;
 use schemars::JsonSchema;
 
-/// Every way in which an operator's call fails.
+/// The kind of an error of the admin API.
 #[data(Copy, Eq, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminErrorKind {
-    /// The call is malformed.
+    /// The request is malformed.
     BadRequest,
-    /// The operator's key is missing or matches nobody.
+    /// The key is missing or belongs to no operator.
     Unauthorized,
-    /// The operator lacks the role, or another person has to do it.
+    /// The operator's role is too low, or another operator has to accept the change.
     Forbidden,
-    /// There is no such change or record.
+    /// The change, record or trace does not exist.
     NotFound,
-    /// Another change came first; the message names it.
+    /// The call conflicts with another change or decision, which the message names.
     Conflict,
-    /// The change would break something; the message says what.
+    /// The change would break what depends on it, which the message lists.
     Breaks,
-    /// Live processes cannot read a record; the message names them.
+    /// Some live processes, which the message lists, cannot read a record.
     Unreadable,
-    /// The key-value service went back to an older state.
+    /// The key-value service holds an older snapshot than the one in force, or another history.
     Reverted,
-    /// The key-value service cannot be reached; nothing was changed.
+    /// The key-value service or this process is unavailable; nothing was changed.
     Unavailable,
-    /// Nobody can tell whether the change took effect; the same call may be repeated.
+    /// It is unknown whether the change took effect; the same call may be repeated.
     OutcomeUnknown,
-    /// A defect of this system.
+    /// An internal error.
     Internal,
 }
 
 impl AdminErrorKind {
-    /// Returns the HTTP status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             AdminErrorKind::BadRequest => 400,
@@ -55,12 +55,12 @@
     }
 }
 
-/// The body of an answer that is an error.
+/// The body of an error response.
 #[data(Eq, JsonSchema)]
 pub struct ErrorMessage {
-    /// What kind of error it is.
+    /// The kind of the error.
     pub kind: AdminErrorKind,
-    /// What happened, for people.
+    /// A description of the error for people.
     pub message: String,
 }
 
@@ -82,7 +82,7 @@
 impl HttpResponseError for ErrorMessage {
     fn status_code(&self) -> ErrorStatusCode {
         let status = ErrorStatusCode::from_u16(self.kind.status());
-        status.expect("the table has error statuses only")
+        status.expect("every kind has an error status")
     }
 }
 
--- a/crates/cyclamenwharf/src/control/admin/messages.rs
+++ b/crates/cyclamenwharf/src/control/admin/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the operators' interface.
+//! The messages of the admin API.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 use schemars::JsonSchema;
 use serde_json::Value;
 
-/// A record.
+/// A configuration record.
 #[data(JsonSchema)]
 pub struct RecordMessage {
     /// The kind: `route`, `workspace`, `priority`, `model_version`, `target`, `drain`, `operator`.
     pub kind: String,
     /// The name, unique within its kind.
     pub name: String,
-    /// The version of the body's schema; the newest one where it is left out.
+    /// The schema version of the body; the newest one if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub schema: Option<u32>,
-    /// The body.
+    /// The fields of the record.
     #[serde(default)]
     pub body: BTreeMap<String, Value>,
-    /// The revision that last touched it, where it is in force.
+    /// The revision that last changed the record, if it is in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
 }
@@ -34,32 +34,33 @@
     Remove(String),
 }
 
-/// Proposes a change.
+/// A request to propose a change.
 #[data(JsonSchema)]
 pub struct ProposeMessage {
-    /// The id of the change, unique for all time; a call with the same id may be repeated.
+    /// The id of the change, which must never be used for another one. A call with the same id and
+    /// edits may be repeated.
     pub id: String,
-    /// Why, for other operators.
+    /// The reason for the change, shown to other operators.
     #[serde(default)]
     pub reason: String,
-    /// What is to change.
+    /// The edits of the change.
     pub edits: Vec<EditMessage>,
 }
 
-/// Names a change in a path.
+/// A path that contains a change.
 #[data(JsonSchema)]
 pub struct ChangePath {
     /// The id of the change.
     pub id: String,
 }
 
-/// How a proposal is.
+/// The status of a proposal.
 #[data(Copy, Eq, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ProposalStatus {
-    /// It waits.
+    /// It is not decided yet.
     Pending,
-    /// An accepter is at it, or was cut off in the middle: it may be accepted again.
+    /// Its acceptance is in progress or was interrupted; the call that accepts it may be repeated.
     Accepting,
     /// It was accepted.
     Accepted,
@@ -72,17 +73,17 @@
 pub struct ProposalMessage {
     /// The id of the change.
     pub id: String,
-    /// Who proposed it.
+    /// The operator who proposed it.
     pub proposer: String,
-    /// When, in seconds since the Unix epoch.
+    /// When it was proposed, in seconds since the Unix epoch.
     pub proposed_at: u64,
-    /// Why.
+    /// The reason for the change.
     pub reason: String,
-    /// How it is.
+    /// The status.
     pub status: ProposalStatus,
-    /// Who accepted or rejected it, if anyone.
+    /// The operator who accepted or rejected it, or who is accepting it.
     pub decided_by: Option<String>,
-    /// What it edits.
+    /// The edits of the change.
     pub edits: Vec<EditMessage>,
 }
 
@@ -91,24 +92,25 @@
 pub struct DiffMessage {
     /// The record, as `kind/name`.
     pub key: String,
-    /// What is in force, if anything.
+    /// The record in force, if it exists.
     pub before: Option<RecordMessage>,
-    /// What would be in force, if anything.
+    /// The record after the change, if it would exist.
     pub after: Option<RecordMessage>,
 }
 
-/// A proposal with what it would do.
+/// A proposal and its effect.
 #[data(JsonSchema)]
 pub struct ReviewMessage {
     /// The proposal.
     pub proposal: ProposalMessage,
-    /// What it changes.
+    /// The records that it would change.
     pub differences: Vec<DiffMessage>,
-    /// Why it would be refused now, if so: conflicts, breakages, schemas that are not readable.
+    /// The reason why its acceptance would be refused now, if any: a conflict, a breakage, a schema
+    /// that some process cannot read, or the role of the caller.
     pub refusal: Option<String>,
 }
 
-/// Accepts a change.
+/// A request to accept a change.
 #[data(Default, JsonSchema)]
 pub struct AcceptMessage {}
 
@@ -117,108 +119,108 @@
 pub struct ChangeMessage {
     /// The id of the change.
     pub id: String,
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: u64,
-    /// Who proposed it.
+    /// The operator who proposed it.
     pub proposer: String,
-    /// Who accepted it.
+    /// The operator who accepted it.
     pub accepter: String,
-    /// The records that it touched, as `kind/name`.
+    /// The records that it changed, as `kind/name`.
     pub touched: Vec<String>,
     /// When it was accepted, in seconds since the Unix epoch.
     pub accepted_at: u64,
 }
 
-/// Selects records.
+/// A filter of records.
 #[data(Default, JsonSchema)]
 pub struct RecordsQuery {
-    /// The kind; all where it is left out.
+    /// The kind; all kinds if absent.
     pub kind: Option<String>,
-    /// The name; all where it is left out.
+    /// The name; all names if absent.
     pub name: Option<String>,
 }
 
-/// Selects changes.
+/// A filter of changes.
 #[data(Default, JsonSchema)]
 pub struct HistoryQuery {
-    /// The record that they touched, as `kind/name`; all where it is left out.
+    /// The record that they changed, as `kind/name`; all changes if absent.
     pub key: Option<String>,
 }
 
-/// Proposes to bring an earlier body of a record back, as a new revision.
+/// A request to propose the restoration of an earlier body of a record, as a new revision.
 #[data(JsonSchema)]
 pub struct RollMessage {
     /// The id of the new change.
     pub id: String,
     /// The record, as `kind/name`.
     pub key: String,
-    /// The revision whose body is wanted.
+    /// The revision whose body is to be restored.
     pub revision: u64,
-    /// Why.
+    /// The reason for the change.
     #[serde(default)]
     pub reason: String,
 }
 
-/// One entry.
+/// The state of an entry.
 #[data(JsonSchema)]
 pub struct ProcessMessage {
-    /// Its host.
+    /// The host.
     pub host: String,
-    /// The revision in force there.
+    /// The configuration revision in force at the entry.
     pub revision: u64,
-    /// The age of its last word, in milliseconds.
+    /// The age of its last announcement, in milliseconds.
     pub age_ms: u64,
-    /// The newest schema version that it reads, by kind.
+    /// The newest schema version that it can read, by record kind.
     pub schemas: BTreeMap<String, u32>,
 }
 
-/// One target.
+/// The state of a target.
 #[data(JsonSchema)]
 pub struct TargetMessage {
-    /// Its id.
+    /// The id.
     pub id: String,
-    /// Its host.
+    /// The host.
     pub host: String,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: String,
     /// `down`, `alive`, `suspect`, `leaving` or `gone`.
     pub liveness: String,
-    /// Attempts that it runs.
+    /// The number of attempts that are running.
     pub running: u32,
-    /// The configuration revision that its agent has heard of.
+    /// The newest configuration revision that its agent knows of.
     pub revision: u64,
-    /// The versions that it holds, by model.
+    /// The loaded versions, by model.
     pub versions: BTreeMap<String, Vec<String>>,
-    /// Whether operators drain it.
+    /// Whether a record drains the target or its host.
     pub drained: bool,
 }
 
-/// The planner.
+/// The status of the planner.
 #[data(JsonSchema)]
 pub struct PlannerMessage {
     /// The host that holds the lease, as far as this entry knows.
     pub holder: Option<String>,
     /// The fencing number of the lease.
     pub fencing: u64,
-    /// Orders in progress, where this entry is the holder.
+    /// The number of orders in progress if this entry is the holder, otherwise 0.
     pub orders: u32,
 }
 
-/// How things are, as one entry sees them.
+/// The status of the system, as seen by one entry.
 #[data(JsonSchema)]
 pub struct StatusMessage {
-    /// The host of the entry that answers.
+    /// The host of the entry that sent the response.
     pub host: String,
-    /// The revision in force there.
+    /// The configuration revision in force at the entry.
     pub revision: u64,
     /// The lowest revision in force at any live entry.
     pub everywhere: u64,
-    /// Why the key-value service is not followed, if so.
+    /// The reason why the snapshot in the key-value service is not applied, if so.
     pub alarm: Option<String>,
     /// The live entries.
     pub processes: Vec<ProcessMessage>,
     /// The targets that have a record.
     pub targets: Vec<TargetMessage>,
-    /// The planner.
+    /// The status of the planner.
     pub planner: PlannerMessage,
 }
--- a/crates/cyclamenwharf/src/control/admin/mod.rs
+++ b/crates/cyclamenwharf/src/control/admin/mod.rs
@@ -1,13 +1,13 @@
-//! The interface of operators: its messages, its server and what stands behind it.
+//! The admin API: its messages, its server and the changes of the configuration behind it.
 
 mod auth;
+mod change_service;
 mod convert;
-mod desk;
 mod endpoints;
 mod error;
-mod keys;
 mod messages;
 mod server;
+mod stored;
 mod traces;
 
 pub use error::AdminErrorKind;
@@ -32,6 +32,6 @@
 pub use server::admin_description;
 pub use traces::TraceMessage;
 
-pub(super) use desk::Desk;
+pub(super) use change_service::ChangeService;
 pub(super) use server::AdminContext;
 pub(super) use server::start;
--- a/crates/cyclamenwharf/src/control/admin/server.rs
+++ b/crates/cyclamenwharf/src/control/admin/server.rs
@@ -1,4 +1,4 @@
-//! The server for operators, metrics and health checks.
+//! The server of the admin API, metrics and health checks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,44 +19,44 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-use super::Desk;
+use super::ChangeService;
 use super::endpoints;
 use super::traces;
 use crate::Health;
 use crate::StartError;
 use crate::TraceBook;
 
-/// The largest message, in bytes: a change of many records.
-const MESSAGE_MAX: usize = 1 << 20;
+/// The maximum size of a request body, which is a change of many records.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The version of the interface.
+/// The version of the admin API.
 const VERSION: &str = "1.0.0";
 
-/// What the handlers share.
+/// The state that the handlers share.
 pub(in crate::control) struct AdminContext {
     pub(in crate::control) host: HostId,
     pub(in crate::control) health: Arc<Health>,
     pub(in crate::control) traces: Arc<TraceBook>,
     pub(in crate::control) registry: Registry,
     pub(in crate::control) secrets: Vec<String>,
-    pub(in crate::control) desk: Desk,
+    pub(in crate::control) changes: ChangeService,
 }
 
 type Context = RequestContext<Arc<AdminContext>>;
-type Answer = Result<Response<Body>, HttpError>;
-type Description = ApiDescription<Arc<AdminContext>>;
+type HandlerResult = Result<Response<Body>, HttpError>;
+type Api = ApiDescription<Arc<AdminContext>>;
 
-/// Starts the server on the present runtime.
+/// Starts the server on the current runtime.
 pub(in crate::control) fn start(
     address: SocketAddr,
     context: AdminContext,
 ) -> Result<HttpServer<Arc<AdminContext>>, StartError> {
-    let api = description().map_err(|error| StartError {
+    let api = api_description().map_err(|error| StartError {
         message: error.to_string(),
     })?;
     let settings = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: MESSAGE_MAX,
+        default_request_body_max_bytes: MAX_BODY_BYTES,
         ..ConfigDropshot::default()
     };
     let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -68,20 +68,20 @@
         })
 }
 
-/// Returns the OpenAPI description of the operators' interface.
+/// Returns the OpenAPI description of the admin API.
 ///
 /// # Panics
 ///
-/// Panics when two endpoints clash, which the tests would show.
+/// Panics if two endpoints conflict, which a test would detect.
 pub fn admin_description() -> serde_json::Value {
-    let api = description().expect("the endpoints do not clash");
+    let api = api_description().expect("the endpoints do not conflict");
     let version = VERSION.parse().expect("the version is valid");
     api.openapi("cyclamenwharf operators", version)
         .json()
-        .expect("a description is JSON")
+        .expect("the description is JSON")
 }
 
-fn description() -> Result<Description, ApiDescriptionRegisterError> {
+fn api_description() -> Result<Api, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(livez)?;
     api.register(readyz)?;
@@ -101,24 +101,24 @@
     Ok(api)
 }
 
-/// Say that the process lives.
+/// Report that the process is running.
 #[endpoint { method = GET, path = "/livez" }]
-async fn livez(_context: Context) -> Answer {
-    text(StatusCode::OK, "live\n")
+async fn livez(_context: Context) -> HandlerResult {
+    text_response(StatusCode::OK, "live\n")
 }
 
-/// Say whether the balancer should send work.
+/// Report whether the load balancer should send requests to this process.
 #[endpoint { method = GET, path = "/readyz" }]
-async fn readyz(context: Context) -> Answer {
+async fn readyz(context: Context) -> HandlerResult {
     match context.context().health.is_ready() {
-        true => text(StatusCode::OK, "ready\n"),
-        false => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        true => text_response(StatusCode::OK, "ready\n"),
+        false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
     }
 }
 
-/// Answer with the metrics in Prometheus's text format.
+/// Return the metrics in the Prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
-async fn metrics(context: Context) -> Answer {
+async fn metrics(context: Context) -> HandlerResult {
     let mut buffer = Vec::new();
     TextEncoder::new()
         .encode(&context.context().registry.gather(), &mut buffer)
@@ -126,7 +126,7 @@
     Ok(Response::new(Body::from(buffer)))
 }
 
-fn text(status: StatusCode, body: &'static str) -> Answer {
+fn text_response(status: StatusCode, body: &'static str) -> HandlerResult {
     let mut response = Response::new(Body::from(body.to_owned()));
     *response.status_mut() = status;
     Ok(response)
--- a/crates/cyclamenwharf/src/control/admin/keys.rs
+++ b/crates/cyclamenwharf/src/control/admin/stored.rs
@@ -1,4 +1,4 @@
-//! Values of the key-value service as JSON.
+//! Access to JSON values in the key-value service.
 
 use bytes::Bytes;
 use cw_store::ModRevision;
@@ -8,23 +8,23 @@
 use serde::de::DeserializeOwned;
 
 use super::AdminErrorKind;
-use super::Desk;
+use super::ChangeService;
 use super::ErrorMessage;
 
-/// A value with the revision that wrote it.
+/// A value and the revision at which it was last written; `None` if the key does not exist.
 pub(super) struct Stored<T> {
     pub(super) value: T,
     pub(super) modified: Option<ModRevision>,
 }
 
-impl Desk {
-    /// Reads a key.
+impl ChangeService {
+    /// Reads a key, or returns `None` if it does not exist.
     pub(super) async fn read_key<T: DeserializeOwned>(
         &self,
         key: &str,
     ) -> Result<Option<Stored<T>>, ErrorMessage> {
         let found = self.key_value.get(key).await.map_err(|error| {
-            // A read changes nothing, whether or not its answer came.
+            // A read has no effect, so a lost response is the same as an unavailable service.
             ErrorMessage::new(AdminErrorKind::Unavailable, error)
         })?;
         let Some(found) = found else { return Ok(None) };
@@ -34,8 +34,9 @@
         }))
     }
 
-    /// Writes a key that was last changed at `expected`.
-    pub(super) async fn put<T: Serialize>(
+    /// Writes a key if it was last changed at `expected`, or if it does not exist and `expected` is
+    /// `None`.
+    pub(super) async fn write_key<T: Serialize>(
         &self,
         key: &str,
         expected: Option<ModRevision>,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Reads a value.
+/// Parses a stored JSON value.
 pub(super) fn decode<T: DeserializeOwned>(value: &[u8]) -> Result<T, ErrorMessage> {
     serde_json::from_slice(value)
         .map_err(|error| ErrorMessage::new(AdminErrorKind::Internal, error))
--- a/crates/cyclamenwharf/src/control/admin/traces.rs
+++ b/crates/cyclamenwharf/src/control/admin/traces.rs
@@ -1,4 +1,4 @@
-//! The endpoints for recorded decisions.
+//! The endpoints for the traces of recorded decisions.
 
 use std::sync::Arc;
 
@@ -13,50 +13,55 @@
 use serde::Deserialize;
 
 use super::ErrorMessage;
-use super::endpoints::admit;
+use super::endpoints::authorize;
 use super::error::AdminErrorKind;
 use super::server::AdminContext;
 
 type Context = RequestContext<Arc<AdminContext>>;
 
-/// Names a generation.
+/// A path that contains a generation.
 #[derive(Deserialize, JsonSchema)]
 pub(super) struct TracePath {
-    /// The generation.
+    /// The id of the generation.
     generation: String,
 }
 
 /// The trace of one generation.
 #[data(Eq, JsonSchema)]
 pub struct TraceMessage {
-    /// The generation.
+    /// The id of the generation.
     pub generation: String,
     /// The trace, as JSON lines.
     pub lines: String,
 }
 
-/// List the generations whose traces are kept, oldest first.
+/// List the generations whose traces are stored, oldest first.
 #[endpoint { method = GET, path = "/v1/traces" }]
 pub(super) async fn list(context: Context) -> Result<HttpResponseOk<Vec<String>>, ErrorMessage> {
-    admit(&context, OperatorRole::Reader).await?;
+    authorize(&context, OperatorRole::Reader).await?;
     let traces = context.context().traces.list();
     let names = traces.iter().map(GenerationId::to_string);
     Ok(HttpResponseOk(names.collect()))
 }
 
-/// Answer with the trace of a generation.
+/// Return the trace of a generation.
 #[endpoint { method = GET, path = "/v1/traces/{generation}" }]
 pub(super) async fn fetch(
     context: Context,
     path: Path<TracePath>,
 ) -> Result<HttpResponseOk<TraceMessage>, ErrorMessage> {
-    admit(&context, OperatorRole::Reader).await?;
+    authorize(&context, OperatorRole::Reader).await?;
     let name = path.into_inner().generation;
     let lines = name
         .parse()
         .ok()
         .and_then(|generation| context.context().traces.get(generation));
-    let missing = || ErrorMessage::new(AdminErrorKind::NotFound, format!("no trace of {name}"));
+    let missing = || {
+        ErrorMessage::new(
+            AdminErrorKind::NotFound,
+            format!("there is no trace of generation {name}"),
+        )
+    };
     Ok(HttpResponseOk(TraceMessage {
         lines: lines.ok_or_else(missing)?,
         generation: name.clone(),
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -1,4 +1,4 @@
-//! The control state and what it does with each event.
+//! The control state of an entry and its event handlers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -38,127 +38,129 @@
 use super::ControlMetrics;
 use super::DemandExchange;
 use super::Event;
+use super::PeerSender;
 use super::PlannerStatus;
-use super::Sender;
 use super::SharedView;
-use super::StoreUse;
+use super::StoreAccess;
 use crate::Health;
 use crate::host_entry::mark;
 use crate::host_entry::to_entry;
 
-/// How often the state looks at the clock.
+/// The period of [`Core::on_tick`].
 pub(super) const TICK: Duration = Duration::from_millis(50);
 
-/// How often the view is made anew although nothing urgent happened.
+/// How often the view is published if nothing urgent has happened.
 const VIEW_PERIOD: Duration = Duration::from_millis(250);
 
-/// How often this entry tells of itself although nothing changed.
-const STATE_PERIOD: Duration = Duration::from_secs(30);
+/// How often this entry announces its own state if nothing has changed.
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(30);
 
-/// How often peers are asked for a configuration that this entry lacks.
+/// How often missing state is requested from peers.
 const REPAIR_PERIOD: Duration = Duration::from_millis(500);
 
-/// How many peers are asked at a start.
-const START_PEERS: usize = 4;
+/// The number of peers from which an entry without a configuration requests one.
+const BOOTSTRAP_PEERS: usize = 4;
 
-/// What the control state is built from.
+/// The dependencies of the control state.
 pub(super) struct CoreParts {
-    pub(super) own: EntryPeer,
+    pub(super) own_entry: EntryPeer,
     pub(super) view: SharedView,
     pub(super) demands: Arc<DemandExchange>,
     pub(super) health: Arc<Health>,
     pub(super) metrics: ControlMetrics,
-    pub(super) sender: Sender,
-    pub(super) usage: Arc<watch::Sender<StoreUse>>,
-    pub(super) seed: Arc<arc_swap::ArcSwap<ActiveConfig>>,
+    pub(super) sender: PeerSender,
+    pub(super) store_access: Arc<watch::Sender<StoreAccess>>,
+    pub(super) last_config: Arc<arc_swap::ArcSwap<ActiveConfig>>,
 }
 
 /// The control state of an entry.
 pub(super) struct Core {
     pub(super) parts: CoreParts,
-    pub(super) in_force: ActiveConfig,
+    pub(super) active_config: ActiveConfig,
     pub(super) members: Members,
     relay: Relay,
     pub(super) processes: Processes,
     entries: Vec<EntryPeer>,
-    grid: RelayGroups,
-    behind: BTreeSet<HostId>,
+    relay_groups: RelayGroups,
+    /// Peers that missed a batch, to which the next round sends the full state instead.
+    resync_peers: BTreeSet<HostId>,
     pub(super) planner: PlannerStatus,
     next_round: Time,
     next_view: Time,
-    next_state: Time,
+    next_announce: Time,
     next_repair: Time,
-    /// Whether news waits that must not wait for the next round or view.
+    /// Whether a change must be sent and published at the next tick, before the next period.
     urgent: bool,
-    /// Whether all reports are to be asked of a peer.
-    incomplete: bool,
+    /// Whether the full state must be requested from a peer.
+    needs_state: bool,
 }
 
 impl Core {
-    /// Returns the state at a start, with what an earlier life of the task left in force.
+    /// Returns the initial state. A configuration that was in force before the task restarted
+    /// remains in force.
     pub(super) fn new(parts: CoreParts, now: Time) -> Self {
         let limits = MembershipLimits::default();
-        let host = parts.own.host.clone();
-        let entries = vec![parts.own.clone()];
+        let host = parts.own_entry.host.clone();
+        let entries = vec![parts.own_entry.clone()];
         let mut core = Self {
-            in_force: ActiveConfig::clone(&parts.seed.load()),
+            active_config: ActiveConfig::clone(&parts.last_config.load()),
             relay: Relay::new(host.clone(), limits.silent_after),
             members: Members::new(host, limits, now),
             processes: Processes::default(),
-            grid: RelayGroups::default(),
+            relay_groups: RelayGroups::default(),
             entries,
-            behind: BTreeSet::new(),
+            resync_peers: BTreeSet::new(),
             planner: PlannerStatus::default(),
             next_round: now,
             next_view: now,
-            next_state: now,
+            next_announce: now,
             next_repair: now,
             urgent: false,
-            incomplete: true,
+            needs_state: true,
             parts,
         };
-        core.members.on_config(core.in_force.config());
+        core.members.on_config(core.active_config.config());
         core
     }
 
     // ------------------------------------------------------------------------
     // Events
 
-    /// Takes one event.
+    /// Handles one event.
     pub(super) fn on_event(&mut self, now: Time, event: Event) {
         match event {
-            Event::Report { report, answer } => {
-                let _ = answer.send(self.on_report(now, *report));
+            Event::Report { report, reply } => {
+                let _ = reply.send(self.on_report(now, *report));
             }
             Event::Batch(batch) => self.on_batch(now, &batch),
             Event::SendFailed(host) => {
-                self.behind.insert(host);
+                self.resync_peers.insert(host);
             }
-            Event::ConfigAsked { have, answer } => {
-                let _ = answer.send(self.in_force.response_to(have));
+            Event::ConfigRequested { have, reply } => {
+                let _ = reply.send(self.active_config.response_to(have));
             }
-            Event::StateAsked { answer } => {
-                let _ = answer.send(self.whole(now));
+            Event::StateRequested { reply } => {
+                let _ = reply.send(self.full_state(now));
             }
-            Event::Store(snapshot) => self.on_store(now, *snapshot),
-            Event::PeerConfig { peer, answer } => self.on_peer_config(now, &peer, *answer),
-            Event::Hosts(hosts) => self.on_hosts(hosts),
-            Event::Planner(status) => self.planner = status,
-            Event::Inspect { answer } => {
-                let _ = answer.send(self.inspect(now));
+            Event::StoreSnapshot(snapshot) => self.on_store(now, *snapshot),
+            Event::PeerConfig { peer, response } => self.on_peer_config(now, &peer, *response),
+            Event::HostList(hosts) => self.on_hosts(hosts),
+            Event::PlannerStatus(status) => self.planner = status,
+            Event::Inspect { reply } => {
+                let _ = reply.send(self.inspect(now));
             }
         }
     }
 
     fn on_report(&mut self, now: Time, report: Report) -> ReportResponse {
         self.parts.metrics.reports.inc();
-        let drained = self.in_force.config().is_drained(&report.target);
+        let drained = self.active_config.config().is_drained(&report.target);
         if self.relay.on_report(now, report.clone()) == Urgency::Immediate {
             self.urgent = true;
         }
         self.members.on_report(now, Duration::ZERO, report);
         ReportResponse {
-            revision: self.in_force.revision(),
+            revision: self.active_config.revision(),
             drained,
         }
     }
@@ -167,7 +169,7 @@
         self.parts.metrics.batches.inc();
         self.relay.on_batch(now, batch);
         if self.members.on_batch(now, batch) == MergeOutcome::MissingReport {
-            self.incomplete = true;
+            self.needs_state = true;
         }
         for state in &batch.processes {
             self.processes.on_state(now, state);
@@ -175,63 +177,68 @@
         for (age, demand) in &batch.demands {
             self.parts.demands.receive(ago(now, *age), demand.clone());
         }
-        if batch.revision > self.in_force.revision() {
-            self.ask_config(&batch.relay);
+        if batch.revision > self.active_config.revision() {
+            self.request_config(&batch.relay);
         }
     }
 
     fn on_store(&mut self, now: Time, snapshot: Option<Snapshot>) {
-        // A key that is gone is the empty history.
-        let taking = match snapshot {
-            None if !self.in_force.is_known() => return,
-            None => self.in_force.apply(Source::Store, Snapshot::default()),
-            Some(snapshot) => self.in_force.apply(Source::Store, snapshot),
+        // A deleted key counts as the empty history.
+        let outcome = match snapshot {
+            None if !self.active_config.is_known() => return,
+            None => self.active_config.apply(Source::Store, Snapshot::default()),
+            Some(snapshot) => self.active_config.apply(Source::Store, snapshot),
         };
-        self.on_taking(now, taking);
+        self.on_apply(now, outcome);
     }
 
-    fn on_peer_config(&mut self, now: Time, peer: &HostId, answer: ConfigResponse) {
-        if answer == ConfigResponse::Current(Revision::default()) {
+    fn on_peer_config(&mut self, now: Time, peer: &HostId, response: ConfigResponse) {
+        if response == ConfigResponse::Current(Revision::default()) {
             return;
         }
-        let taking = self.in_force.apply_response(answer);
-        if taking == ApplyOutcome::NeedsSnapshot {
-            self.ask_config(peer);
+        let outcome = self.active_config.apply_response(response);
+        if outcome == ApplyOutcome::NeedsSnapshot {
+            self.request_config(peer);
         }
-        self.on_taking(now, taking);
+        self.on_apply(now, outcome);
     }
 
-    fn on_taking(&mut self, now: Time, taking: ApplyOutcome) {
-        let alarm = self.in_force.alarm().is_some();
+    fn on_apply(&mut self, now: Time, outcome: ApplyOutcome) {
+        let alarm = self.active_config.alarm().is_some();
         self.parts.metrics.alarm.set(i64::from(alarm));
-        match taking {
+        match outcome {
             ApplyOutcome::Applied(errors) => {
                 for error in &errors {
-                    warn!("an accepted record cannot be read: {error}");
+                    warn!("cannot read an accepted record: {error}");
                 }
-                self.parts.metrics.unreadable.set(errors.len() as i64);
+                self.parts
+                    .metrics
+                    .unreadable_records
+                    .set(errors.len() as i64);
                 self.on_applied(now);
             }
-            ApplyOutcome::Rejected(alarm) => error!("the configuration is held: {alarm}"),
+            ApplyOutcome::Rejected(alarm) => error!("rejected a configuration: {alarm}"),
             ApplyOutcome::Unchanged | ApplyOutcome::Stale | ApplyOutcome::NeedsSnapshot => {}
         }
     }
 
     fn on_applied(&mut self, now: Time) {
-        let revision = self.in_force.revision();
-        info!(revision = revision.0; "a configuration is in force");
+        let revision = self.active_config.revision();
+        info!(revision = revision.0; "applied a configuration");
         self.parts.metrics.revision.set(revision.0 as i64);
-        self.parts.seed.store(Arc::new(self.in_force.clone()));
-        self.members.on_config(self.in_force.config());
+        self.parts
+            .last_config
+            .store(Arc::new(self.active_config.clone()));
+        self.members.on_config(self.active_config.config());
         self.parts.health.set_configured();
-        // The others learn it at once, and so does the traffic.
-        self.next_state = now;
+        // The other entries and the traffic threads get the new configuration without delay.
+        self.next_announce = now;
         self.urgent = true;
     }
 
     fn on_hosts(&mut self, hosts: Vec<Host>) {
         let marks: BTreeMap<_, _> = hosts.iter().map(|h| (h.host.clone(), mark(h))).collect();
-        let own = &self.parts.own;
+        let own = &self.parts.own_entry;
         let mut entries: Vec<_> = hosts.iter().filter_map(to_entry).collect();
         entries.retain(|entry| entry.host != own.host);
         entries.push(own.clone());
@@ -242,16 +249,16 @@
         if entries == self.entries {
             return;
         }
-        self.grid = RelayGroups::new(&own.host, &entries);
-        let usage = match is_watcher(&own.host, &own.zone, &entries) {
-            true => StoreUse::Watch,
-            false => StoreUse::Rest,
+        self.relay_groups = RelayGroups::new(&own.host, &entries);
+        let store_access = match is_watcher(&own.host, &own.zone, &entries) {
+            true => StoreAccess::Direct,
+            false => StoreAccess::ThroughPeers,
         };
         self.entries = entries;
         self.urgent = true;
-        self.parts.usage.send_if_modified(|old| {
-            let changed = *old != usage;
-            *old = usage;
+        self.parts.store_access.send_if_modified(|old| {
+            let changed = *old != store_access;
+            *old = store_access;
             changed
         });
     }
@@ -259,17 +266,17 @@
     // ------------------------------------------------------------------------
     // Time
 
-    /// Does what is due.
+    /// Sends, publishes and requests what is due.
     pub(super) fn on_tick(&mut self, now: Time) {
         self.members.on_tick(now);
-        if now >= self.next_state {
-            self.next_state = now + STATE_PERIOD;
-            let state = self.state();
+        if now >= self.next_announce {
+            self.next_announce = now + ANNOUNCE_PERIOD;
+            let state = self.process_state();
             self.processes.on_state(now, &state);
             self.relay.on_state(now, &state);
         }
         if now >= self.next_round || self.urgent {
-            self.round(now);
+            self.send_round(now);
         }
         if now >= self.next_view || self.urgent {
             self.next_view = now + VIEW_PERIOD;
@@ -282,7 +289,7 @@
         }
     }
 
-    fn round(&mut self, now: Time) {
+    fn send_round(&mut self, now: Time) {
         self.next_round = now + Relay::period(self.entries.len());
         for silence in self.relay.silent(now, self.members.running_since()) {
             let host = self.members.host().clone();
@@ -291,66 +298,70 @@
         if let Some(demand) = self.parts.demands.own() {
             self.relay.on_demand(now, demand);
         }
-        let revision = self.in_force.revision();
-        let (own, entries) = (&self.parts.own.host, &self.entries);
-        let config = self.in_force.config();
-        let is_first = |target: &TargetId| {
+        let revision = self.active_config.revision();
+        let (own, entries) = (&self.parts.own_entry.host, &self.entries);
+        let config = self.active_config.config();
+        let is_primary = |target: &TargetId| {
             let region = config.targets.get(target).map(|target| &target.region);
-            let first = region.and_then(|region| primary_relay(target, region, entries));
-            first.is_none_or(|first| first == own)
+            let primary = region.and_then(|region| primary_relay(target, region, entries));
+            primary.is_none_or(|primary| primary == own)
         };
-        let sendings = self
-            .relay
-            .round(now, &self.members, revision, &self.grid, &is_first);
-        let behind = std::mem::take(&mut self.behind);
-        let is_behind = |peer: &EntryPeer| behind.contains(&peer.host);
+        let batches = self.relay.round(
+            now,
+            &self.members,
+            revision,
+            &self.relay_groups,
+            &is_primary,
+        );
+        let resync_peers = std::mem::take(&mut self.resync_peers);
+        let needs_resync = |peer: &EntryPeer| resync_peers.contains(&peer.host);
         for (peers, batch) in [
-            (&self.grid.group_peers, sendings.group),
-            (&self.grid.forward_peers, sendings.forwarded),
+            (&self.relay_groups.group_peers, batches.group),
+            (&self.relay_groups.forward_peers, batches.forwarded),
         ] {
             let Some(batch) = batch else { continue };
-            let (late, rest): (Vec<_>, Vec<_>) = peers.iter().cloned().partition(is_behind);
-            self.parts.sender.send(&rest, batch);
-            if !late.is_empty() {
-                self.parts.sender.send(&late, self.whole(now));
+            let (resync, synced): (Vec<_>, Vec<_>) = peers.iter().cloned().partition(needs_resync);
+            self.parts.sender.send_batch(&synced, batch);
+            if !resync.is_empty() {
+                self.parts.sender.send_batch(&resync, self.full_state(now));
             }
         }
     }
 
     fn publish(&self, now: Time) {
         self.parts.view.store(Arc::new(View {
-            config: self.in_force.config().clone(),
+            config: self.active_config.config().clone(),
             targets: self.members.view(now),
             entries: self.entries.clone(),
         }));
     }
 
-    fn ask_config(&self, host: &HostId) {
+    fn request_config(&self, host: &HostId) {
         if let Some(peer) = self.entries.iter().find(|entry| entry.host == *host) {
-            let have = self.in_force.revision();
-            self.parts.sender.ask_config(peer, have);
+            let have = self.active_config.revision();
+            self.parts.sender.request_config(peer, have);
         }
     }
 
-    /// Asks peers for what is missing here.
+    /// Requests missing state from peers.
     fn repair(&mut self) {
-        let own = &self.parts.own.host;
+        let own = &self.parts.own_entry.host;
         let others: Vec<_> = self.entries.iter().filter(|e| e.host != *own).collect();
-        if !self.in_force.is_known() {
-            for peer in pick(&others, START_PEERS) {
-                self.parts.sender.ask_config(peer, Revision::default());
+        if !self.active_config.is_known() {
+            for peer in sample_peers(&others, BOOTSTRAP_PEERS) {
+                self.parts.sender.request_config(peer, Revision::default());
             }
         }
-        if self.incomplete {
-            for peer in pick(&others, 1) {
-                self.incomplete = false;
-                self.parts.sender.ask_state(peer);
+        if self.needs_state {
+            for peer in sample_peers(&others, 1) {
+                self.needs_state = false;
+                self.parts.sender.request_state(peer);
             }
         }
     }
 }
 
-fn pick<'a>(peers: &[&'a EntryPeer], count: usize) -> Vec<&'a EntryPeer> {
+fn sample_peers<'a>(peers: &[&'a EntryPeer], count: usize) -> Vec<&'a EntryPeer> {
     use rand::seq::IndexedRandom;
     peers.sample(&mut rand::rng(), count).copied().collect()
 }
--- a/crates/cyclamenwharf/src/control/counted.rs
+++ b/crates/cyclamenwharf/src/control/counting_key_value.rs
@@ -1,4 +1,4 @@
-//! A key-value service whose calls are counted.
+//! A key-value client that counts its calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use futures::stream::BoxStream;
 use prometheus::IntCounterVec;
 
-/// A key-value service whose calls are counted, since the platform counts and limits them.
-pub(super) struct Counted {
+/// A key-value client that counts its calls, because the platform counts and limits them.
+pub(super) struct CountingKeyValue {
     inner: Arc<dyn KeyValue>,
     calls: IntCounterVec,
 }
 
-impl Counted {
-    /// Counts the calls to `inner`.
+impl CountingKeyValue {
+    /// Returns a client that counts the calls to `inner` in `calls`, by the label `call`.
     pub(super) fn new(inner: Arc<dyn KeyValue>, calls: IntCounterVec) -> Self {
         Self { inner, calls }
     }
@@ -32,7 +32,7 @@
     }
 }
 
-impl KeyValue for Counted {
+impl KeyValue for CountingKeyValue {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
         self.count("get");
         self.inner.get(key)
--- a/crates/cyclamenwharf/src/control/demand_exchange.rs
+++ b/crates/cyclamenwharf/src/control/demand_exchange.rs
@@ -1,4 +1,4 @@
-//! The demands on quotas, between the traffic threads and the relays.
+//! The exchange of quota demands between the traffic threads and the control thread.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 use cw_types::Time;
 use cw_wire::Demand;
 
-/// The demands on quotas: what this entry wants, and what others said.
+/// The quota demand of this entry and those received from other entries.
 #[derive(Debug, Default)]
 pub struct DemandExchange {
     inner: Mutex<Inner>,
@@ -22,23 +22,24 @@
 }
 
 impl DemandExchange {
-    /// States what this entry wants; the relays pass the newest statement on.
+    /// Replaces the demand of this entry, which is sent with each round of batches.
     pub fn set_own(&self, demand: Demand) {
         self.lock().own = Some(demand);
     }
 
-    /// Takes what others said since the last call, with the moment at which each said it.
+    /// Takes the demands received since the last call, the newest of each entry, with the time at
+    /// which each was stated.
     pub fn take_received(&self) -> Vec<(Time, Demand)> {
         let received = std::mem::take(&mut self.lock().received);
         received.into_values().collect()
     }
 
-    /// Returns what this entry wants.
+    /// Returns the demand of this entry.
     pub(super) fn own(&self) -> Option<Demand> {
         self.lock().own.clone()
     }
 
-    /// Notes what another entry said.
+    /// Records a demand that another entry stated at `at`.
     pub(super) fn receive(&self, at: Time, demand: Demand) {
         self.lock()
             .received
@@ -46,7 +47,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Every change is a single assignment, so a panic elsewhere leaves nothing half done.
+        // Every change is a single assignment, so a panic never leaves an inconsistent state.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/cyclamenwharf/src/control/event.rs
+++ b/crates/cyclamenwharf/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the control state.
+//! The events of the control state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,65 +24,64 @@
 
 use super::PlannerStatus;
 
-/// What happens to the control state, with where to answer.
+/// An event of the control state, with a channel for the reply where one is expected.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// An agent reports.
+    /// An agent sent a report.
     Report {
         report: Box<Report>,
-        answer: oneshot::Sender<ReportResponse>,
+        reply: oneshot::Sender<ReportResponse>,
     },
-    /// A relay passes on reports.
+    /// A relay sent a batch of reports.
     Batch(Box<ReportBatch>),
-    /// A batch did not reach a peer, which therefore needs all.
+    /// A batch did not reach a peer, which therefore needs the full state.
     SendFailed(HostId),
-    /// A peer asks for a newer configuration.
-    ConfigAsked {
+    /// A peer requests a newer configuration than the revision it has.
+    ConfigRequested {
         have: Revision,
-        answer: oneshot::Sender<ConfigResponse>,
+        reply: oneshot::Sender<ConfigResponse>,
     },
-    /// A peer asks for all reports.
-    StateAsked {
-        answer: oneshot::Sender<ReportBatch>,
-    },
-    /// The key-value service holds this.
-    Store(Box<Option<Snapshot>>),
-    /// A peer answered with its configuration.
+    /// A peer requests the full state.
+    StateRequested { reply: oneshot::Sender<ReportBatch> },
+    /// The configuration key was read or has changed; `None` if it does not exist.
+    StoreSnapshot(Box<Option<Snapshot>>),
+    /// A peer responded to a request for its configuration.
     PeerConfig {
         peer: HostId,
-        answer: Box<ConfigResponse>,
+        response: Box<ConfigResponse>,
     },
     /// The host list was read.
-    Hosts(Vec<Host>),
-    /// The planner's lease or work changed.
-    Planner(PlannerStatus),
-    /// The operators' server asks how things are.
-    Inspect { answer: oneshot::Sender<Inspection> },
+    HostList(Vec<Host>),
+    /// The planner's lease or its number of orders in progress changed.
+    PlannerStatus(PlannerStatus),
+    /// The admin API or the planner requests a copy of the state.
+    Inspect { reply: oneshot::Sender<Inspection> },
 }
 
-/// How things are, for the operators' server and the planner.
+/// A copy of the control state for the admin API and the planner.
 #[derive(Clone, Debug)]
 pub(super) struct Inspection {
     /// The configuration in force.
-    pub(super) in_force: ActiveConfig,
-    /// The live entries with the age of their last word.
+    pub(super) active_config: ActiveConfig,
+    /// The live entries and the ages of their last announcements.
     pub(super) processes: Vec<(Duration, ProcessState)>,
-    /// The revisions that agents reported.
+    /// The configuration revisions that agents reported.
     pub(super) agents: BTreeMap<TargetId, Revision>,
-    /// The planner, as this entry knows it.
+    /// The status of the planner at this entry.
     pub(super) planner: PlannerStatus,
     /// The pinned versions that targets reported.
     pub(super) pins: BTreeMap<TargetId, Pins>,
-    /// The view that traffic sees.
+    /// The current view.
     pub(super) view: Arc<View>,
 }
 
 impl SchemaSupport for Inspection {
     fn unsupported_hosts(&self, kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
-        let reads = |state: &ProcessState| state.schemas.get(&kind).is_some_and(|v| *v >= schema);
+        let supports =
+            |state: &ProcessState| state.schemas.get(&kind).is_some_and(|v| *v >= schema);
         self.processes
             .iter()
-            .filter(|(_, state)| !reads(state))
+            .filter(|(_, state)| !supports(state))
             .map(|(_, state)| state.host.clone())
             .collect()
     }
@@ -91,12 +90,14 @@
 impl Inspection {
     /// Returns the snapshot in force.
     pub(super) fn snapshot(&self) -> Arc<Snapshot> {
-        self.in_force.snapshot().clone()
+        self.active_config.snapshot().clone()
     }
 
-    /// Returns the highest revision that is known to be in force anywhere.
-    pub(super) fn highest(&self) -> Revision {
-        let told = self.processes.iter().map(|(_, state)| state.revision).max();
-        told.unwrap_or_default().max(self.in_force.revision())
+    /// Returns the highest revision known to be in force at any entry.
+    pub(super) fn highest_revision(&self) -> Revision {
+        let reported = self.processes.iter().map(|(_, state)| state.revision).max();
+        reported
+            .unwrap_or_default()
+            .max(self.active_config.revision())
     }
 }
--- a/crates/cyclamenwharf/src/control/hosts_task.rs
+++ b/crates/cyclamenwharf/src/control/hosts_task.rs
@@ -1,4 +1,4 @@
-//! Reads the host list.
+//! The task that polls the host list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,36 +10,37 @@
 
 use super::Event;
 
-/// How often a short list is read.
-const PERIOD_MIN: Duration = Duration::from_secs(1);
+/// The shortest period between two reads of the host list.
+const MIN_PERIOD: Duration = Duration::from_secs(1);
 
-/// How many hosts are read a second at most, on average: some 4 KB of JSON.
-const HOSTS_PER_SECOND: u32 = 24;
+/// The maximum average number of hosts read per second, which are about 4 KB of JSON.
+const MAX_HOSTS_PER_SECOND: u32 = 24;
 
-/// Reads the list again and again until the task is dropped.
-pub(super) async fn follow_hosts(list: Arc<dyn HostList>, events: mpsc::Sender<Event>) {
-    let mut period = PERIOD_MIN;
+/// Polls the host list until the receiver of events is closed or the task is dropped.
+pub(super) async fn poll_hosts(list: Arc<dyn HostList>, events: mpsc::Sender<Event>) {
+    let mut period = MIN_PERIOD;
     loop {
         match list.hosts().await {
             Ok(hosts) => {
-                period = period_of(hosts.len());
-                if events.send(Event::Hosts(hosts)).await.is_err() {
+                period = poll_period(hosts.len());
+                if events.send(Event::HostList(hosts)).await.is_err() {
                     return;
                 }
             }
-            Err(error) => debug!("the host list fails: {error}"),
+            Err(error) => debug!("cannot read the host list: {error}"),
         }
         let pause = period.mul_f64(rand::rng().random_range(0.8..1.2));
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Returns how often a list of so many hosts is read: a long one costs more with each read.
+/// Returns the period at which a list of this many hosts is read. A longer list is read less often,
+/// because each read costs more.
 ///
-/// Agents read the list themselves and tell their relays when they are to leave, so entries may
-/// learn late of a mark.
-fn period_of(hosts: usize) -> Duration {
+/// Agents also read the list and report to their relays when their host is leaving, so entries may
+/// see a change of a host's state late.
+fn poll_period(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
-    let seconds = f64::from(hosts) / f64::from(HOSTS_PER_SECOND);
-    PERIOD_MIN.max(Duration::from_secs_f64(seconds))
+    let seconds = f64::from(hosts) / f64::from(MAX_HOSTS_PER_SECOND);
+    MIN_PERIOD.max(Duration::from_secs_f64(seconds))
 }
--- a/crates/cyclamenwharf/src/control/lease_calls.rs
+++ b/crates/cyclamenwharf/src/control/lease_calls.rs
@@ -1,4 +1,4 @@
-//! Calls for the planner's lease.
+//! Calls to the key-value service for the planner's lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,21 +17,22 @@
 use cw_types::Time;
 use tokio::sync::mpsc;
 
-use super::planner_task::News;
+use super::planner_task::CallResult;
 
-/// The key that the planner holds.
+/// The key whose holder is the planner.
 pub(super) const PLANNER_KEY: &str = "cyclamenwharf/planner";
 
 /// The value of the planner's key.
 #[data(Eq)]
-pub(super) struct Holder {
+pub(super) struct LeaseHolder {
     /// The host of the holder.
     pub(super) host: HostId,
-    /// The lease under which it was written, by which a holder knows its own claim again.
+    /// The lease under which the key was written, by which a holder recognizes its own claim after a
+    /// lost response.
     pub(super) lease: LeaseId,
 }
 
-/// Calls for the planner's lease, each in a task of its own.
+/// Calls to the key-value service for the planner's lease, each in its own task.
 #[derive(Clone)]
 pub(super) struct LeaseCalls {
     pub(super) key_value: Arc<dyn KeyValue>,
@@ -39,8 +40,8 @@
 }
 
 impl LeaseCalls {
-    /// Starts what `step` asks for; `news` gets the outcome.
-    pub(super) fn start(&self, step: LeaseStep, now: Time, news: mpsc::Sender<News>) {
+    /// Starts the call of `step`, whose result is sent to `results`.
+    pub(super) fn start(&self, step: LeaseStep, now: Time, results: mpsc::Sender<CallResult>) {
         if step == LeaseStep::Wait {
             return;
         }
@@ -52,13 +53,13 @@
                 LeaseStep::Claim { lease } => Some(this.claim(LeaseId(lease)).await),
                 LeaseStep::Renew { lease } => Some(this.renew(now, LeaseId(lease)).await),
                 LeaseStep::Revoke { lease } => {
-                    // A lease that cannot be revoked lapses by itself.
+                    // A lease that could not be revoked expires.
                     let _ = this.key_value.revoke(LeaseId(lease)).await;
                     None
                 }
             };
             if let Some(event) = event {
-                let _ = news.send(News::Lease(event)).await;
+                let _ = results.send(CallResult::Lease(event)).await;
             }
         });
     }
@@ -79,18 +80,20 @@
     }
 
     async fn claim(&self, lease: LeaseId) -> LeaseEvent {
-        let holder = Holder {
+        let holder = LeaseHolder {
             host: self.host.clone(),
             lease,
         };
-        let value = serde_json::to_vec(&holder).expect("a holder is JSON");
+        let value = serde_json::to_vec(&holder).expect("a holder serializes to JSON");
         let swap = self
             .key_value
             .swap(PLANNER_KEY, None, Bytes::from(value), Some(lease))
             .await;
         match swap {
-            Ok(Swap::Done(revision)) => claimed(revision.0),
-            Ok(Swap::Conflict(Some(found))) if is_own(&found, &holder) => claimed(found.created.0),
+            Ok(Swap::Done(revision)) => claimed_event(revision.0),
+            Ok(Swap::Conflict(Some(found))) if is_own_claim(&found, &holder) => {
+                claimed_event(found.created.0)
+            }
             Ok(Swap::Conflict(_)) => LeaseEvent::HeldElsewhere,
             Err(StoreError::Lapsed) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
@@ -106,11 +109,11 @@
     }
 }
 
-fn is_own(found: &Versioned, holder: &Holder) -> bool {
-    serde_json::from_slice::<Holder>(&found.value).is_ok_and(|found| found == *holder)
+fn is_own_claim(found: &Versioned, holder: &LeaseHolder) -> bool {
+    serde_json::from_slice::<LeaseHolder>(&found.value).is_ok_and(|found| found == *holder)
 }
 
-fn claimed(revision: i64) -> LeaseEvent {
+fn claimed_event(revision: i64) -> LeaseEvent {
     LeaseEvent::Claimed {
         created: FencingNumber(u64::try_from(revision).unwrap_or_default()),
     }
--- a/crates/cyclamenwharf/src/control/metrics.rs
+++ b/crates/cyclamenwharf/src/control/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of control.
+//! The metrics of the control plane.
 
 use prometheus::IntCounter;
 use prometheus::IntCounterVec;
@@ -6,37 +6,38 @@
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// The metrics of control.
+/// The metrics of the control plane.
 #[derive(Clone, Debug)]
 pub(super) struct ControlMetrics {
     /// The configuration revision in force.
     pub(super) revision: IntGauge,
-    /// 1 while the key-value service holds something that must not be taken.
+    /// 1 while the key-value service holds a snapshot that must not be applied, otherwise 0.
     pub(super) alarm: IntGauge,
-    /// Records that this process cannot read.
-    pub(super) unreadable: IntGauge,
-    /// Calls to the key-value service.
-    pub(super) calls: IntCounterVec,
-    /// Reports from agents.
+    /// Records in force that this process cannot read.
+    pub(super) unreadable_records: IntGauge,
+    /// Calls to the key-value service, by the label `call`. A watch counts as one call.
+    pub(super) store_calls: IntCounterVec,
+    /// Reports received from agents.
     pub(super) reports: IntCounter,
-    /// Batches from relays.
+    /// Batches received from relays.
     pub(super) batches: IntCounter,
-    /// Bytes of batches sent.
-    pub(super) sent: IntCounter,
+    /// Bytes of batches sent to peers, counted once for each peer.
+    pub(super) sent_bytes: IntCounter,
     /// Batches that did not reach a peer.
-    pub(super) unsent: IntCounter,
+    pub(super) unsent_batches: IntCounter,
     /// Orders sent to agents.
     pub(super) orders: IntCounter,
-    /// 1 while this process holds the planner's lease.
+    /// 1 while this process holds the planner's lease, otherwise 0.
     pub(super) planner: IntGauge,
 }
 
 impl ControlMetrics {
-    /// Makes the metrics and registers them; a name that is taken already is left as it is.
+    /// Creates the metrics and adds them to `registry`. A name that is already in use keeps its first
+    /// metric.
     pub(super) fn new(registry: &Registry) -> Self {
         let gauge = |name: &str, help: &str| {
             let metric = IntGauge::new(name, help).expect("the name is valid");
-            // A registry that is shared by two roles keeps the first.
+            // The registration fails if two roles share the registry; the first metric remains.
             let _ = registry.register(Box::new(metric.clone()));
             metric
         };
@@ -54,15 +55,15 @@
                 "cyclamenwharf_config_alarm",
                 "1 while the key-value service holds an older or other history",
             ),
-            unreadable: gauge(
+            unreadable_records: gauge(
                 "cyclamenwharf_config_unreadable_records",
                 "Records in force that this process cannot read",
             ),
-            calls: calls(registry),
+            store_calls: store_calls(registry),
             reports: counter("cyclamenwharf_reports_total", "Reports from agents"),
             batches: counter("cyclamenwharf_batches_total", "Batches from relays"),
-            sent: counter("cyclamenwharf_batch_sent_bytes_total", "Bytes of batches"),
-            unsent: counter(
+            sent_bytes: counter("cyclamenwharf_batch_sent_bytes_total", "Bytes of batches"),
+            unsent_batches: counter(
                 "cyclamenwharf_batches_unsent_total",
                 "Batches that did not reach a peer",
             ),
@@ -75,7 +76,7 @@
     }
 }
 
-fn calls(registry: &Registry) -> IntCounterVec {
+fn store_calls(registry: &Registry) -> IntCounterVec {
     let options = Opts::new(
         "cyclamenwharf_key_value_calls_total",
         "Calls to the key-value service, a watch being one",
--- a/crates/cyclamenwharf/src/control/mod.rs
+++ b/crates/cyclamenwharf/src/control/mod.rs
@@ -1,20 +1,20 @@
-//! The control state of an entry: configuration, membership, relays and orders.
+//! The control plane of an entry: configuration, membership, relays and orders.
 //!
-//! One thread owns it and publishes an immutable [`View`] for the traffic threads.
+//! One thread owns the control state and publishes an immutable [`View`] for the traffic threads.
 
 pub mod admin;
 mod core;
-mod core_answers;
-mod counted;
+mod core_queries;
+mod counting_key_value;
 mod demand_exchange;
 mod event;
 mod hosts_task;
 mod lease_calls;
 mod metrics;
-mod peers_server;
+mod peer_sender;
+mod peer_server;
 mod planner_status;
 mod planner_task;
-mod sender;
 mod services;
 mod store_task;
 mod thread;
@@ -29,8 +29,8 @@
 use self::event::Event;
 use self::event::Inspection;
 use self::metrics::ControlMetrics;
-use self::sender::Sender;
-use self::store_task::StoreUse;
+use self::peer_sender::PeerSender;
+use self::store_task::StoreAccess;
 
 use arc_swap::ArcSwap;
 use cw_policy::View;
@@ -43,54 +43,54 @@
 use crate::Supervisor;
 use crate::TraceBook;
 
-/// The view in force, read by every traffic thread.
+/// The current view, which every traffic thread reads.
 pub type SharedView = Arc<ArcSwap<View>>;
 
-/// What the control state is built from.
+/// The dependencies of the control plane.
 pub struct ControlParts {
-    /// The entry's settings.
+    /// The settings of the entry.
     pub settings: EntrySettings,
-    /// The entry's clock.
+    /// The clock of the entry.
     pub clock: Clock,
-    /// The parent of the control tasks.
+    /// The supervisor that runs the control tasks.
     pub supervisor: Supervisor,
-    /// The entry's metrics.
+    /// The registry to which the control metrics are added.
     pub registry: Registry,
-    /// The entry's health.
+    /// The health of the entry, which is set to configured by the first configuration.
     pub health: Arc<Health>,
-    /// The entry's traces.
+    /// The traces that the admin API returns.
     pub traces: Arc<TraceBook>,
 }
 
-/// The running control state, with its servers for peers and operators.
+/// The running control plane, with its servers for peers and operators.
 #[derive(Debug)]
 pub struct Control {
-    /// The view in force.
+    /// The current view.
     pub view: SharedView,
-    /// Where the peers' server listens.
+    /// The listen address of the peer server.
     pub peer_address: SocketAddr,
-    /// Where the operators' server listens.
+    /// The listen address of the admin server.
     pub admin_address: SocketAddr,
-    /// The demands on quotas, to and from the other entries.
+    /// The quota demands of this entry and of the other entries.
     pub demands: Arc<DemandExchange>,
 }
 
 impl Control {
-    /// Starts the control thread and its servers.
+    /// Starts the control thread and its servers, with clients of the services in the settings.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails if the thread does not start or a listen address cannot be bound.
     pub async fn start(parts: ControlParts) -> Result<Self, StartError> {
         let services = Services::new(&parts.settings.platform);
         Self::start_with(parts, services).await
     }
 
-    /// Starts the control thread on other services than those of the settings.
+    /// Starts the control thread and its servers, with other services than those in the settings.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails if the thread does not start or a listen address cannot be bound.
     pub async fn start_with(parts: ControlParts, services: Services) -> Result<Self, StartError> {
         let view = SharedView::default();
         let demands = Arc::<DemandExchange>::default();
--- a/crates/cyclamenwharf/src/control/sender.rs
+++ b/crates/cyclamenwharf/src/control/peer_sender.rs
@@ -1,4 +1,4 @@
-//! Calls to other entries.
+//! The client for calls to other entries.
 
 use cw_policy::EntryPeer;
 use cw_types::Revision;
@@ -16,86 +16,87 @@
 use crate::PeerClient;
 use crate::PeerError;
 
-/// How long a peer may take to answer.
-const LIMIT: Duration = Duration::from_millis(1500);
+/// The timeout for sending a batch.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a peer may take to send a whole state.
-const WHOLE_LIMIT: Duration = Duration::from_secs(4);
+/// The timeout for a request for a configuration or the full state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Calls to other entries, each in a task of its own.
+/// The client for calls to other entries, each in its own task.
 #[derive(Clone)]
-pub(super) struct Sender {
+pub(super) struct PeerSender {
     pub(super) client: PeerClient,
     pub(super) events: mpsc::Sender<Event>,
     pub(super) metrics: ControlMetrics,
 }
 
-impl Sender {
-    /// Sends one batch to each of `peers`.
-    pub(super) fn send(&self, peers: &[EntryPeer], batch: ReportBatch) {
+impl PeerSender {
+    /// Sends a batch to each of `peers`, and reports [`Event::SendFailed`] for each that fails.
+    pub(super) fn send_batch(&self, peers: &[EntryPeer], batch: ReportBatch) {
         let size = cw_wire::encode(&batch).map_or(0, |bytes| bytes.len() as u64);
         let batch = Arc::new(batch);
         for peer in peers {
-            self.metrics.sent.inc_by(size);
-            tokio::spawn(self.clone().send_one(peer.clone(), batch.clone()));
+            self.metrics.sent_bytes.inc_by(size);
+            tokio::spawn(self.clone().send_to_peer(peer.clone(), batch.clone()));
         }
     }
 
-    async fn send_one(self, peer: EntryPeer, batch: Arc<ReportBatch>) {
+    async fn send_to_peer(self, peer: EntryPeer, batch: Arc<ReportBatch>) {
         let call = |client: PeerClient| {
             let batch = batch.clone();
             async move {
                 client
-                    .call::<ReportBatch, ()>(peer.peers, path::BATCHES, &batch, LIMIT)
+                    .call::<ReportBatch, ()>(peer.peers, path::BATCHES, &batch, CALL_TIMEOUT)
                     .await
             }
         };
         let mut outcome = call(self.client.clone()).await;
         if let Err(PeerError::Broken { .. } | PeerError::Timeout { .. }) = outcome {
-            // The old connection may have gone silent for good. A batch may come twice.
+            // The old connection may have become unresponsive, so the batch is sent again over a new
+            // one. The peer may receive it twice.
             outcome = call(self.client.fresh()).await;
         }
         if let Err(error) = outcome {
-            debug!("a batch did not reach a peer: {error}");
-            self.metrics.unsent.inc();
+            debug!("cannot send a batch to a peer: {error}");
+            self.metrics.unsent_batches.inc();
             let _ = self.events.send(Event::SendFailed(peer.host)).await;
         }
     }
 
-    /// Asks a peer for a newer configuration than `have`.
-    pub(super) fn ask_config(&self, peer: &EntryPeer, have: Revision) {
+    /// Requests a newer configuration than `have` from a peer.
+    pub(super) fn request_config(&self, peer: &EntryPeer, have: Revision) {
         let (this, peer) = (self.clone(), peer.clone());
         tokio::spawn(async move {
-            let ask = ConfigRequest { have };
+            let request = ConfigRequest { have };
             let call = this
                 .client
                 .fresh()
-                .call::<_, ConfigResponse>(peer.peers, path::CONFIG, &ask, WHOLE_LIMIT)
+                .call::<_, ConfigResponse>(peer.peers, path::CONFIG, &request, STATE_TIMEOUT)
                 .await;
             match call {
-                Ok(answer) => {
-                    let answer = Box::new(answer);
+                Ok(response) => {
+                    let response = Box::new(response);
                     let peer = peer.host;
-                    let _ = this.events.send(Event::PeerConfig { peer, answer }).await;
+                    let _ = this.events.send(Event::PeerConfig { peer, response }).await;
                 }
-                Err(error) => debug!("no configuration from a peer: {error}"),
+                Err(error) => debug!("cannot get the configuration of a peer: {error}"),
             }
         });
     }
 
-    /// Asks a peer for all reports.
-    pub(super) fn ask_state(&self, peer: &EntryPeer) {
+    /// Requests the full state from a peer.
+    pub(super) fn request_state(&self, peer: &EntryPeer) {
         let (this, peer) = (self.clone(), peer.clone());
         tokio::spawn(async move {
             let call = this
                 .client
-                .call::<_, ReportBatch>(peer.peers, path::STATE, &(), WHOLE_LIMIT)
+                .call::<_, ReportBatch>(peer.peers, path::STATE, &(), STATE_TIMEOUT)
                 .await;
             match call {
                 Ok(batch) => {
                     let _ = this.events.send(Event::Batch(Box::new(batch))).await;
                 }
-                Err(error) => debug!("no state from a peer: {error}"),
+                Err(error) => debug!("cannot get the state of a peer: {error}"),
             }
         });
     }
--- a/crates/cyclamenwharf/src/control/peers_server.rs
+++ b/crates/cyclamenwharf/src/control/peer_server.rs
@@ -1,4 +1,4 @@
-//! The server for other processes of the system.
+//! The server for agents and other entries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,35 +27,35 @@
 use crate::StartError;
 use crate::peer_auth;
 
-/// The largest message, in bytes: a whole state with room to spare.
-const MESSAGE_MAX: usize = 4 << 20;
+/// The maximum size of a request body. The largest one is a full state, which is well below it.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// What the handlers share.
-pub(super) struct PeersContext {
+/// The state that the handlers share.
+pub(super) struct PeerContext {
     pub(super) events: mpsc::Sender<Event>,
     pub(super) secrets: Vec<String>,
 }
 
-type Context = RequestContext<Arc<PeersContext>>;
-type Answer = Result<Response<Body>, HttpError>;
+type Context = RequestContext<Arc<PeerContext>>;
+type HandlerResult = Result<Response<Body>, HttpError>;
 
-/// Starts the server on the present runtime.
+/// Starts the server on the current runtime.
 pub(super) fn start(
     address: SocketAddr,
-    context: PeersContext,
-) -> Result<HttpServer<Arc<PeersContext>>, StartError> {
+    context: PeerContext,
+) -> Result<HttpServer<Arc<PeerContext>>, StartError> {
     let mut api = ApiDescription::new();
-    let registered = api
+    let registration = api
         .register(report)
         .and_then(|()| api.register(batch))
         .and_then(|()| api.register(config))
         .and_then(|()| api.register(state));
-    registered.map_err(|error| StartError {
+    registration.map_err(|error| StartError {
         message: error.to_string(),
     })?;
     let settings = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: MESSAGE_MAX,
+        default_request_body_max_bytes: MAX_BODY_BYTES,
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..ConfigDropshot::default()
     };
@@ -68,55 +68,58 @@
         })
 }
 
-/// Takes an agent's report.
+/// Receives a report from an agent.
 #[endpoint { method = POST, path = "/peer/v1/reports" }]
-async fn report(context: Context, body: UntypedBody) -> Answer {
-    let report: Box<Report> = Box::new(read(&context, &body)?);
-    let answer = ask(&context, |answer| Event::Report { report, answer }).await?;
-    write(&answer)
+async fn report(context: Context, body: UntypedBody) -> HandlerResult {
+    let report: Box<Report> = Box::new(decode_request(&context, &body)?);
+    let response = request(&context, |reply| Event::Report { report, reply }).await?;
+    encode_response(&response)
 }
 
-/// Takes a relay's batch.
+/// Receives a batch from a relay.
 #[endpoint { method = POST, path = "/peer/v1/batches" }]
-async fn batch(context: Context, body: UntypedBody) -> Answer {
-    let batch: ReportBatch = read(&context, &body)?;
+async fn batch(context: Context, body: UntypedBody) -> HandlerResult {
+    let batch: ReportBatch = decode_request(&context, &body)?;
     let event = Event::Batch(Box::new(batch));
     let sent = context.context().events.send(event).await;
-    sent.map_err(|_| stopping())?;
-    write(&())
+    sent.map_err(|_| shutting_down())?;
+    encode_response(&())
 }
 
-/// Answers with a newer configuration than the peer has.
+/// Returns the configuration to a peer that has an older one.
 #[endpoint { method = POST, path = "/peer/v1/config" }]
-async fn config(context: Context, body: UntypedBody) -> Answer {
-    let ConfigRequest { have } = read(&context, &body)?;
-    let answer = ask(&context, |answer| Event::ConfigAsked { have, answer }).await?;
-    write(&answer)
+async fn config(context: Context, body: UntypedBody) -> HandlerResult {
+    let ConfigRequest { have } = decode_request(&context, &body)?;
+    let response = request(&context, |reply| Event::ConfigRequested { have, reply }).await?;
+    encode_response(&response)
 }
 
-/// Answers with all reports.
+/// Returns the full state.
 #[endpoint { method = POST, path = "/peer/v1/state" }]
-async fn state(context: Context, body: UntypedBody) -> Answer {
-    let () = read(&context, &body)?;
-    let answer = ask(&context, |answer| Event::StateAsked { answer }).await?;
-    write(&answer)
+async fn state(context: Context, body: UntypedBody) -> HandlerResult {
+    let () = decode_request(&context, &body)?;
+    let response = request(&context, |reply| Event::StateRequested { reply }).await?;
+    encode_response(&response)
 }
 
-async fn ask<A>(
+async fn request<R>(
     context: &Context,
-    event: impl FnOnce(oneshot::Sender<A>) -> Event,
-) -> Result<A, HttpError> {
+    event: impl FnOnce(oneshot::Sender<R>) -> Event,
+) -> Result<R, HttpError> {
     let (sender, receiver) = oneshot::channel();
     let sent = context.context().events.send(event(sender)).await;
-    sent.map_err(|_| stopping())?;
-    receiver.await.map_err(|_| stopping())
+    sent.map_err(|_| shutting_down())?;
+    receiver.await.map_err(|_| shutting_down())
 }
 
-fn stopping() -> HttpError {
-    HttpError::for_unavail(None, "the process is stopping".to_owned())
+fn shutting_down() -> HttpError {
+    HttpError::for_unavail(None, "the process is shutting down".to_owned())
 }
 
-fn read<T: DeserializeOwned>(context: &Context, body: &UntypedBody) -> Result<T, HttpError> {
+fn decode_request<T: DeserializeOwned>(
+    context: &Context,
+    body: &UntypedBody,
+) -> Result<T, HttpError> {
     let secrets = &context.context().secrets;
     if !peer_auth::check(context.request.headers(), secrets) {
         let status = ClientErrorStatusCode::UNAUTHORIZED;
@@ -126,7 +129,7 @@
         .map_err(|error| HttpError::for_bad_request(None, error.to_string()))
 }
 
-fn write<T: Serialize>(message: &T) -> Answer {
+fn encode_response<T: Serialize>(message: &T) -> HandlerResult {
     let bytes = cw_wire::encode(message)
         .map_err(|error| HttpError::for_internal_error(error.to_string()))?;
     Ok(Response::new(Body::wrap(http_body_util::Full::new(bytes))))
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -1,4 +1,4 @@
-//! Holds the planner's lease when it can, and sends orders while it does.
+//! The task that acquires the planner's lease and sends orders while it holds the lease.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -36,30 +36,30 @@
 use crate::Clock;
 use crate::PeerClient;
 
-/// How often the planner looks at what there is to do.
-const PERIOD: Duration = Duration::from_millis(200);
+/// The period at which the planner updates its lease and plans orders.
+const PLAN_PERIOD: Duration = Duration::from_millis(200);
 
-/// How long an agent may take to answer an order.
-const ORDER_LIMIT: Duration = Duration::from_secs(12);
+/// The timeout of the call that sends an order to an agent.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How long what the weight store says is believed.
-const WEIGHT_PERIOD: Duration = Duration::from_secs(30);
+/// The period at which the descriptions of weights are refreshed from the weight store.
+const WEIGHTS_PERIOD: Duration = Duration::from_secs(30);
 
-/// How often the weight store is asked about weights that are not known yet.
-const UNKNOWN_PERIOD: Duration = Duration::from_millis(500);
+/// The period at which they are requested while the description of any weights is unknown.
+const UNKNOWN_WEIGHTS_PERIOD: Duration = Duration::from_millis(500);
 
-/// What comes back from calls under way.
+/// The result of an asynchronous call.
 #[derive(Debug)]
-pub(super) enum News {
-    /// Of the lease.
+pub(super) enum CallResult {
+    /// The result of a call for the lease.
     Lease(LeaseEvent),
-    /// Of an order.
+    /// The outcome of an order, by target and sequence number.
     Order(TargetId, u64, OrderOutcome),
-    /// Of a set of weights.
-    Weight(String, WeightsInfo),
+    /// The description of the weights of this name.
+    Weights(String, WeightsInfo),
 }
 
-/// Holds the planner's lease when it can, and sends orders while it does.
+/// The task that acquires the planner's lease and sends orders while it holds the lease.
 pub(super) struct PlannerTask {
     pub(super) host: HostId,
     pub(super) clock: Clock,
@@ -71,12 +71,12 @@
     pub(super) metrics: ControlMetrics,
 }
 
-/// What changes while the task runs.
-struct Work {
+/// The mutable state of the task.
+struct PlannerState {
     lease: Lease,
     planner: Planner,
     weights: BTreeMap<String, WeightsInfo>,
-    asked: Time,
+    weights_requested: Time,
     status: PlannerStatus,
 }
 
@@ -84,137 +84,152 @@
     /// Runs until the task is dropped.
     pub(super) async fn run(self) {
         let now = self.clock.now();
-        let mut work = Work {
+        let mut state = PlannerState {
             lease: Lease::new(now),
             planner: Planner::default(),
             weights: BTreeMap::new(),
-            asked: Time::default(),
+            weights_requested: Time::default(),
             status: PlannerStatus::default(),
         };
-        let (news, mut incoming) = mpsc::channel(1024);
-        let mut ticks = tokio::time::interval(PERIOD);
+        let (results, mut incoming) = mpsc::channel(1024);
+        let mut ticks = tokio::time::interval(PLAN_PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(item) = incoming.recv() => self.on_news(&mut work, &news, item),
-                _ = ticks.tick() => self.on_tick(&mut work, &news).await,
+                Some(result) = incoming.recv() => self.on_result(&mut state, &results, result),
+                _ = ticks.tick() => self.on_tick(&mut state, &results).await,
             }
         }
     }
 
-    fn on_news(&self, work: &mut Work, news: &mpsc::Sender<News>, item: News) {
+    fn on_result(
+        &self,
+        state: &mut PlannerState,
+        results: &mpsc::Sender<CallResult>,
+        result: CallResult,
+    ) {
         let now = self.clock.now();
-        match item {
-            News::Lease(event) => {
-                let step = work.lease.on_event(now, event);
-                self.lease_calls.start(step, now, news.clone());
+        match result {
+            CallResult::Lease(event) => {
+                let step = state.lease.on_event(now, event);
+                self.lease_calls.start(step, now, results.clone());
             }
-            News::Order(target, sequence, outcome) => {
-                work.planner.on_outcome(now, &target, sequence, outcome);
+            CallResult::Order(target, sequence, outcome) => {
+                state.planner.on_outcome(now, &target, sequence, outcome);
             }
-            News::Weight(name, weight) => {
-                work.weights.insert(name, weight);
+            CallResult::Weights(name, info) => {
+                state.weights.insert(name, info);
             }
         }
     }
 
-    async fn on_tick(&self, work: &mut Work, news: &mpsc::Sender<News>) {
+    async fn on_tick(&self, state: &mut PlannerState, results: &mpsc::Sender<CallResult>) {
         let now = self.clock.now();
         let view = self.view.load_full();
         let candidate = is_candidate(&self.host, &view.entries);
-        let step = match work.planner.is_deposed() {
-            true => work.lease.on_event(now, LeaseEvent::Expired),
-            false => work.lease.on_event(now, LeaseEvent::Tick { candidate }),
+        let step = match state.planner.is_deposed() {
+            true => state.lease.on_event(now, LeaseEvent::Expired),
+            false => state.lease.on_event(now, LeaseEvent::Tick { candidate }),
         };
-        self.lease_calls.start(step, now, news.clone());
-        let fencing = work.lease.fencing(now);
-        work.planner.on_lease(fencing);
-        self.publish(work, fencing).await;
+        self.lease_calls.start(step, now, results.clone());
+        let fencing = state.lease.fencing(now);
+        state.planner.on_lease(fencing);
+        self.publish(state, fencing).await;
         if fencing.is_none() {
             return;
         }
-        self.ask_weights(work, now, &view, news);
+        self.refresh_weights(state, now, &view, results);
         let Some(inspection) = self.inspect().await else {
             return;
         };
         let now = self.clock.now();
-        // The answer may have come late, and the lease may have lapsed since.
-        work.planner.on_lease(work.lease.fencing(now));
+        // The lease may have expired while this task waited for the reply.
+        state.planner.on_lease(state.lease.fencing(now));
         let input = PlannerInput {
             view: &inspection.view,
-            weights: &work.weights,
+            weights: &state.weights,
             pins: &inspection.pins,
         };
-        for planned in work.planner.plan(now, input) {
-            self.send(planned, &inspection.view, news.clone());
+        for planned in state.planner.plan(now, input) {
+            self.send_order(planned, &inspection.view, results.clone());
         }
     }
 
-    fn send(&self, planned: PlannedOrder, view: &View, news: mpsc::Sender<News>) {
-        let Some(seen) = view.targets.get(&planned.target) else {
+    fn send_order(&self, planned: PlannedOrder, view: &View, results: mpsc::Sender<CallResult>) {
+        let Some(target_view) = view.targets.get(&planned.target) else {
             return;
         };
-        let (client, agent) = (self.client.clone(), seen.target.agent);
+        let (client, agent) = (self.client.clone(), target_view.target.agent);
         self.metrics.orders.inc();
         info!(
             target_id = planned.target.as_str(), fencing = planned.order.fencing.0,
             sequence = planned.order.sequence;
-            "an order is sent: {:?}", planned.order.kind
+            "sending an order: {:?}", planned.order.kind
         );
         tokio::spawn(async move {
             let PlannedOrder { target, order } = planned;
-            let call = client.call::<_, OrderResponse>(agent, path::ORDERS, &order, ORDER_LIMIT);
+            let call = client.call::<_, OrderResponse>(agent, path::ORDERS, &order, ORDER_TIMEOUT);
             let outcome = match call.await {
-                Ok(answer) => OrderOutcome::Response(answer),
+                Ok(response) => OrderOutcome::Response(response),
                 Err(error) => {
-                    warn!(target_id = target.as_str(); "an order has no answer: {error}");
+                    warn!(target_id = target.as_str(); "no response to an order: {error}");
                     OrderOutcome::Lost
                 }
             };
-            let _ = news
-                .send(News::Order(target, order.sequence, outcome))
+            let _ = results
+                .send(CallResult::Order(target, order.sequence, outcome))
                 .await;
         });
     }
 
-    fn ask_weights(&self, work: &mut Work, now: Time, view: &View, news: &mpsc::Sender<News>) {
+    fn refresh_weights(
+        &self,
+        state: &mut PlannerState,
+        now: Time,
+        view: &View,
+        results: &mpsc::Sender<CallResult>,
+    ) {
         let names: BTreeSet<_> = view.config.versions.values().map(|v| &v.weights).collect();
-        let known = names.iter().all(|name| work.weights.contains_key(*name));
-        let period = if known { WEIGHT_PERIOD } else { UNKNOWN_PERIOD };
-        if now.since(work.asked) < period {
+        let known = names.iter().all(|name| state.weights.contains_key(*name));
+        let period = if known {
+            WEIGHTS_PERIOD
+        } else {
+            UNKNOWN_WEIGHTS_PERIOD
+        };
+        if now.since(state.weights_requested) < period {
             return;
         }
-        work.asked = now;
+        state.weights_requested = now;
         for name in names.into_iter().cloned() {
-            let (store, news) = (self.weight_store.clone(), news.clone());
+            let (store, results) = (self.weight_store.clone(), results.clone());
             tokio::spawn(async move {
                 if let Ok(info) = store.describe(&name).await {
                     let (size, rate) = (info.size, info.rate);
-                    let _ = news
-                        .send(News::Weight(name, WeightsInfo { size, rate }))
+                    let _ = results
+                        .send(CallResult::Weights(name, WeightsInfo { size, rate }))
                         .await;
                 }
             });
         }
     }
 
-    async fn publish(&self, work: &mut Work, fencing: Option<FencingNumber>) {
+    async fn publish(&self, state: &mut PlannerState, fencing: Option<FencingNumber>) {
         let status = PlannerStatus {
             holder: fencing.map(|_| self.host.clone()),
             fencing: fencing.unwrap_or_default(),
-            orders: work.planner.in_progress() as u32,
+            orders: state.planner.in_progress() as u32,
         };
-        if status == work.status {
+        if status == state.status {
             return;
         }
         self.metrics.planner.set(i64::from(fencing.is_some()));
-        work.status = status.clone();
-        let _ = self.events.send(Event::Planner(status)).await;
+        state.status = status.clone();
+        let _ = self.events.send(Event::PlannerStatus(status)).await;
     }
 
     async fn inspect(&self) -> Option<Inspection> {
-        let (answer, receiver) = oneshot::channel();
-        self.events.send(Event::Inspect { answer }).await.ok()?;
+        let (reply, receiver) = oneshot::channel();
+        self.events.send(Event::Inspect { reply }).await.ok()?;
         receiver.await.ok()
     }
 }
--- a/crates/cyclamenwharf/src/control/services.rs
+++ b/crates/cyclamenwharf/src/control/services.rs
@@ -1,4 +1,4 @@
-//! The platform's services, as control uses them.
+//! The platform services that the control plane uses.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::PlatformSettings;
 
-/// The platform's services.
+/// The clients of the platform services.
 #[derive(Clone)]
 pub struct Services {
     /// The key-value service.
@@ -23,7 +23,7 @@
 }
 
 impl Services {
-    /// Returns clients of the services that the settings name.
+    /// Returns clients of the services whose addresses are in the settings.
     pub fn new(settings: &PlatformSettings) -> Self {
         Self {
             key_value: Arc::new(EtcdGateway::new(settings.key_value.clone())),
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the control state.
+//! The thread that owns the control state and runs its servers and tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,45 +19,45 @@
 use super::Event;
 use super::Services;
 use super::SharedView;
-use super::StoreUse;
+use super::StoreAccess;
 use super::admin;
 use super::admin::AdminContext;
-use super::admin::Desk;
+use super::admin::ChangeService;
 use super::core::Core;
 use super::core::CoreParts;
 use super::core::TICK;
-use super::counted::Counted;
-use super::hosts_task::follow_hosts;
+use super::counting_key_value::CountingKeyValue;
+use super::hosts_task::poll_hosts;
 use super::lease_calls::LeaseCalls;
-use super::peers_server;
-use super::peers_server::PeersContext;
+use super::peer_sender::PeerSender;
+use super::peer_server;
+use super::peer_server::PeerContext;
 use super::planner_task::PlannerTask;
-use super::sender::Sender;
 use super::store_task::StoreTask;
 use crate::Clock;
 use crate::PeerClient;
 use crate::StartError;
 
-/// How many events may wait.
-const EVENTS_MAX: usize = 4096;
+/// The capacity of the event channel.
+const EVENT_CAPACITY: usize = 4096;
 
-/// How often the ports are tried.
+/// The maximum number of attempts to bind the listen addresses.
 const LISTEN_ATTEMPTS: u32 = 40;
 
-/// The pause between two tries.
-const LISTEN_PAUSE: Duration = Duration::from_millis(25);
+/// The delay between two attempts.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// The running servers, which stop when they are dropped.
-type Servers = (HttpServer<Arc<PeersContext>>, HttpServer<Arc<AdminContext>>);
+/// The running servers of peers and operators, which stop when they are dropped.
+type Servers = (HttpServer<Arc<PeerContext>>, HttpServer<Arc<AdminContext>>);
 
-/// What the thread shares with the traffic threads.
+/// The state shared with the traffic threads.
 #[derive(Clone)]
 pub(super) struct Shared {
     pub(super) view: SharedView,
     pub(super) demands: Arc<DemandExchange>,
 }
 
-/// Where the servers of a running thread listen.
+/// The listen addresses of the servers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Addresses {
     pub(super) peers: SocketAddr,
@@ -70,21 +70,21 @@
     services: Services,
     shared: Shared,
 ) -> Result<Addresses, StartError> {
-    let (started, start) = oneshot::channel();
+    let (started, addresses) = oneshot::channel();
     std::thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || run(parts, services, shared, started))
-        .map_err(|error| failed(&error))?;
-    start.await.map_err(|error| failed(&error))?
+        .map_err(|error| start_error(&error))?;
+    addresses.await.map_err(|error| start_error(&error))?
 }
 
-fn failed(error: &dyn std::error::Error) -> StartError {
+fn start_error(error: &dyn std::error::Error) -> StartError {
     StartError {
         message: error.to_string(),
     }
 }
 
-/// Runs until the supervisor stops. The runtime goes with it, and so do all open connections.
+/// Runs until the supervisor stops, which also shuts down the runtime and closes all connections.
 fn run(
     parts: ControlParts,
     services: Services,
@@ -97,13 +97,13 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            let _ = started.send(Err(failed(&error)));
+            let _ = started.send(Err(start_error(&error)));
             return;
         }
     };
     let stop = parts.supervisor.token();
     runtime.block_on(async move {
-        match serve_soon(&parts, &services, &shared).await {
+        match serve_with_retries(&parts, &services, &shared).await {
             Ok((addresses, servers)) => {
                 let _ = started.send(Ok(addresses));
                 stop.cancelled().await;
@@ -117,8 +117,9 @@
     runtime.shutdown_background();
 }
 
-/// Starts the servers; a process in the same place that was just killed may hold the ports yet.
-async fn serve_soon(
+/// Starts the servers and tasks, with retries, because a process that was killed just before may
+/// still hold the ports.
+async fn serve_with_retries(
     parts: &ControlParts,
     services: &Services,
     shared: &Shared,
@@ -128,7 +129,7 @@
         if outcome.is_ok() {
             break;
         }
-        tokio::time::sleep(LISTEN_PAUSE).await;
+        tokio::time::sleep(LISTEN_RETRY_DELAY).await;
         outcome = serve(parts, services.clone(), shared.clone());
     }
     outcome
@@ -139,11 +140,14 @@
     services: Services,
     shared: Shared,
 ) -> Result<(Addresses, Servers), StartError> {
-    let (events, receiver) = mpsc::channel(EVENTS_MAX);
+    let (events, receiver) = mpsc::channel(EVENT_CAPACITY);
     let settings = &parts.settings;
     let metrics = ControlMetrics::new(&parts.registry);
     let services = Services {
-        key_value: Arc::new(Counted::new(services.key_value, metrics.calls.clone())),
+        key_value: Arc::new(CountingKeyValue::new(
+            services.key_value,
+            metrics.store_calls.clone(),
+        )),
         ..services
     };
     let (peers, admin) = listen(parts, &services, &events)?;
@@ -151,10 +155,10 @@
         peers: peers.local_addr(),
         admin: admin.local_addr(),
     };
-    let usage = Arc::new(watch::Sender::new(StoreUse::Watch));
-    keep_services(parts, &services, &events, &usage);
+    let store_access = Arc::new(watch::Sender::new(StoreAccess::Direct));
+    supervise_services(parts, &services, &events, &store_access);
     let secret = settings.secrets.peers.first().cloned().unwrap_or_default();
-    let sender = Sender {
+    let sender = PeerSender {
         client: PeerClient::new(&secret),
         events,
         metrics: metrics.clone(),
@@ -165,16 +169,16 @@
         region: settings.region.clone(),
         peers: addresses.peers,
     };
-    keep_planner(parts, &services, &sender, &shared.view);
-    keep_core(parts, receiver, move |seed, health| CoreParts {
-        own: own.clone(),
+    supervise_planner(parts, &services, &sender, &shared.view);
+    supervise_core(parts, receiver, move |last_config, health| CoreParts {
+        own_entry: own.clone(),
         view: shared.view.clone(),
         demands: shared.demands.clone(),
         health,
         metrics: metrics.clone(),
         sender: sender.clone(),
-        usage: usage.clone(),
-        seed,
+        store_access: store_access.clone(),
+        last_config,
     });
     Ok((addresses, (peers, admin)))
 }
@@ -184,16 +188,16 @@
     services: &Services,
     events: &mpsc::Sender<Event>,
 ) -> Result<Servers, StartError> {
-    let peers_context = PeersContext {
+    let peer_context = PeerContext {
         events: events.clone(),
         secrets: parts.settings.secrets.peers.clone(),
     };
-    let peers = peers_server::start(parts.settings.listen.peers, peers_context)?;
+    let peers = peer_server::start(parts.settings.listen.peers, peer_context)?;
     let admin_context = AdminContext {
         host: parts.settings.host.clone(),
         traces: Arc::clone(&parts.traces),
         secrets: parts.settings.secrets.peers.clone(),
-        desk: Desk {
+        changes: ChangeService {
             key_value: services.key_value.clone(),
             events: events.clone(),
         },
@@ -204,20 +208,20 @@
     Ok((peers, admin))
 }
 
-fn keep_services(
+fn supervise_services(
     parts: &ControlParts,
     services: &Services,
     events: &mpsc::Sender<Event>,
-    usage: &Arc<watch::Sender<StoreUse>>,
+    store_access: &Arc<watch::Sender<StoreAccess>>,
 ) {
     let task = {
         let (key_value, events) = (services.key_value.clone(), events.clone());
-        let usage = usage.clone();
+        let store_access = store_access.clone();
         move || {
             let task = StoreTask {
                 key_value: key_value.clone(),
                 events: events.clone(),
-                usage: usage.subscribe(),
+                access: store_access.subscribe(),
             };
             task.run()
         }
@@ -226,10 +230,15 @@
     let (list, events) = (services.host_list.clone(), events.clone());
     parts
         .supervisor
-        .keep("hosts", move || follow_hosts(list.clone(), events.clone()));
+        .keep("hosts", move || poll_hosts(list.clone(), events.clone()));
 }
 
-fn keep_planner(parts: &ControlParts, services: &Services, sender: &Sender, view: &SharedView) {
+fn supervise_planner(
+    parts: &ControlParts,
+    services: &Services,
+    sender: &PeerSender,
+    view: &SharedView,
+) {
     let host = parts.settings.host.clone();
     let (clock, sender, view) = (parts.clock, sender.clone(), view.clone());
     let services = services.clone();
@@ -252,7 +261,7 @@
     });
 }
 
-fn keep_core(
+fn supervise_core(
     parts: &ControlParts,
     receiver: mpsc::Receiver<Event>,
     core_parts: impl Fn(
@@ -263,10 +272,10 @@
     + 'static,
 ) {
     let receiver = Arc::new(Mutex::new(receiver));
-    let seed = Arc::default();
+    let last_config = Arc::default();
     let (clock, health) = (parts.clock, parts.health.clone());
     parts.supervisor.keep("core", move || {
-        let parts = core_parts(Arc::clone(&seed), health.clone());
+        let parts = core_parts(Arc::clone(&last_config), health.clone());
         run_core(Core::new(parts, clock.now()), clock, receiver.clone())
     });
 }
--- a/crates/cyclamenwharf/tests/control/admin.rs
+++ b/crates/cyclamenwharf/tests/control/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' interface.
+//! A client of the admin API.
 
 use std::net::SocketAddr;
 
@@ -19,19 +19,19 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::rig::SECRET;
+use crate::test_platform::SECRET;
 
-pub(crate) type Answer<T> = Result<T, ErrorMessage>;
+pub(crate) type ApiResult<T> = Result<T, ErrorMessage>;
 
-/// An operator at one entry.
-pub(crate) struct Operator {
+/// A client of the admin API of one entry, with the key of an operator.
+pub(crate) struct AdminClient {
     pub(crate) entry: SocketAddr,
     pub(crate) key: String,
 }
 
-impl Operator {
-    /// The first operator, before any has a record.
-    pub(crate) fn first(entry: SocketAddr) -> Self {
+impl AdminClient {
+    /// Returns a client with the shared secret, which is accepted before any operator has a record.
+    pub(crate) fn bootstrap(entry: SocketAddr) -> Self {
         Self::new(entry, SECRET)
     }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(crate) async fn get<A: DeserializeOwned>(&self, path: &str) -> Answer<A> {
+    pub(crate) async fn get<A: DeserializeOwned>(&self, path: &str) -> ApiResult<A> {
         self.call("GET", path, Bytes::new()).await
     }
 
@@ -50,7 +50,7 @@
         &self,
         path: &str,
         message: &M,
-    ) -> Answer<A> {
+    ) -> ApiResult<A> {
         let body = serde_json::to_vec(message).expect("JSON");
         self.call("POST", path, Bytes::from(body)).await
     }
@@ -59,7 +59,7 @@
         &self,
         id: &str,
         edits: Vec<EditMessage>,
-    ) -> Answer<ProposalMessage> {
+    ) -> ApiResult<ProposalMessage> {
         let message = ProposeMessage {
             id: id.to_owned(),
             reason: String::new(),
@@ -68,11 +68,11 @@
         self.post("/v1/proposals", &message).await
     }
 
-    pub(crate) async fn accept(&self, id: &str) -> Answer<ChangeMessage> {
+    pub(crate) async fn accept(&self, id: &str) -> ApiResult<ChangeMessage> {
         self.post(&format!("/v1/proposals/{id}/accept"), &()).await
     }
 
-    pub(crate) async fn reject(&self, id: &str) -> Answer<ProposalMessage> {
+    pub(crate) async fn reject(&self, id: &str) -> ApiResult<ProposalMessage> {
         self.post(&format!("/v1/proposals/{id}/reject"), &()).await
     }
 
@@ -84,7 +84,12 @@
         self.get("/v1/history").await.expect("a history")
     }
 
-    async fn call<A: DeserializeOwned>(&self, method: &str, path: &str, body: Bytes) -> Answer<A> {
+    async fn call<A: DeserializeOwned>(
+        &self,
+        method: &str,
+        path: &str,
+        body: Bytes,
+    ) -> ApiResult<A> {
         let client = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
         let request = Request::builder()
             .method(method)
@@ -93,19 +98,19 @@
             .header("authorization", format!("Bearer {}", self.key))
             .body(Full::new(body))
             .expect("a request");
-        let response = client.request(request).await.expect("an answer");
+        let response = client.request(request).await.expect("a response");
         let status = response.status();
         let body = response.into_body().collect().await.expect("a body");
         let bytes = body.to_bytes();
         match status.is_success() {
-            true => Ok(serde_json::from_slice(&bytes).expect("the answer")),
-            false => Err(serde_json::from_slice(&bytes).expect("an error")),
+            true => Ok(serde_json::from_slice(&bytes).expect("a valid response")),
+            false => Err(serde_json::from_slice(&bytes).expect("a valid error")),
         }
     }
 }
 
-/// An edit that writes a record.
-pub(crate) fn put(kind: &str, name: &str, body: Value) -> EditMessage {
+/// Returns an edit that writes a record.
+pub(crate) fn put_record(kind: &str, name: &str, body: Value) -> EditMessage {
     let Value::Object(body) = body else {
         panic!("a body is an object");
     };
@@ -118,7 +123,7 @@
     })
 }
 
-/// An edit that writes a priority.
-pub(crate) fn priority(name: &str, rank: u8) -> EditMessage {
-    put("priority", name, serde_json::json!({ "rank": rank }))
+/// Returns an edit that writes a priority.
+pub(crate) fn put_priority(name: &str, rank: u8) -> EditMessage {
+    put_record("priority", name, serde_json::json!({ "rank": rank }))
 }
--- a/crates/cyclamenwharf/tests/control/main.rs
+++ b/crates/cyclamenwharf/tests/control/main.rs
@@ -1,9 +1,9 @@
-//! The control state of entries on loopback, around stand-ins of the platform.
+//! Tests of the control plane of entries on the loopback interface, with fakes of the platform.
 
-mod admin;
-mod in_force;
+mod admin_client;
+mod control_state;
 mod openapi;
 mod operators;
-mod rig;
 mod rolling_restart;
+mod test_platform;
 mod version_change;
--- a/crates/cyclamenwharf/tests/control/openapi.rs
+++ b/crates/cyclamenwharf/tests/control/openapi.rs
@@ -1,4 +1,4 @@
-//! The committed description of the operators' interface.
+//! Tests that the committed OpenAPI description of the admin API is current.
 
 use cyclamenwharf::admin::admin_description;
 use serde_json::Value;
@@ -12,6 +12,6 @@
 
     assert!(
         committed == current,
-        "write it anew: cyclamenwharfctl openapi > docs/openapi/admin.json"
+        "regenerate it: cyclamenwharfctl openapi > docs/openapi/admin.json"
     );
 }
--- a/crates/cyclamenwharf/tests/control/operators.rs
+++ b/crates/cyclamenwharf/tests/control/operators.rs
@@ -1,16 +1,16 @@
-//! What operators do, over a key-value service that fails.
+//! Tests of the calls of operators, also while the key-value service fails.
 
 use std::time::Duration;
 
-use crate::admin::Operator;
-use crate::admin::priority;
-use crate::admin::put;
-use crate::rig::Node;
-use crate::rig::Platform;
-use crate::rig::client;
-use crate::rig::report;
-use crate::rig::snapshot;
-use crate::rig::until;
+use crate::admin_client::AdminClient;
+use crate::admin_client::put_priority;
+use crate::admin_client::put_record;
+use crate::test_platform::TestEntry;
+use crate::test_platform::TestPlatform;
+use crate::test_platform::client;
+use crate::test_platform::report;
+use crate::test_platform::snapshot;
+use crate::test_platform::wait_until;
 use cw_policy::Liveness;
 use cw_testkit::StoreFaults;
 use cw_types::KeyHash;
@@ -26,29 +26,29 @@
 use cyclamenwharf::admin::RollMessage;
 use serde_json::json;
 
-/// A limit for calls, far above what they take.
-const LIMIT: Duration = Duration::from_secs(10);
-
-/// Two entries that know each other, with a first snapshot in force.
-async fn two() -> (Platform, Node, Node) {
-    let platform = Platform::start().await;
-    platform.write(&snapshot(1));
-    let a = platform.start_node("entry-a").await;
-    let b = platform.start_node("entry-b").await;
-    for node in [&a, &b] {
-        until("both know each other", || {
-            node.control.view.load().entries.len() == 2
+/// The timeout of calls, far above what they take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Starts two entries, and waits until they know each other and the first snapshot is in force.
+async fn start_two_entries() -> (TestPlatform, TestEntry, TestEntry) {
+    let platform = TestPlatform::start().await;
+    platform.write_snapshot(&snapshot(1));
+    let a = platform.start_entry("entry-a").await;
+    let b = platform.start_entry("entry-b").await;
+    for entry in [&a, &b] {
+        wait_until("both know each other", || {
+            entry.control.view.load().entries.len() == 2
         })
         .await;
-        until("the first revision is in force", || {
-            node.revision() == Revision(1)
+        wait_until("the first revision is in force", || {
+            entry.revision() == Revision(1)
         })
         .await;
     }
     (platform, a, b)
 }
 
-fn down() -> StoreFaults {
+fn store_down() -> StoreFaults {
     StoreFaults {
         down: true,
         ..StoreFaults::default()
@@ -57,10 +57,10 @@
 
 #[tokio::test]
 async fn accepted_change_is_in_force_on_every_entry_and_audited() {
-    let (_platform, a, b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+    let (_platform, a, b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
 
-    let proposal = operator.propose("c1", vec![priority("p", 3)]).await;
+    let proposal = operator.propose("c1", vec![put_priority("p", 3)]).await;
     let change = operator.accept("c1").await.expect("an acceptance");
 
     assert_eq!(
@@ -68,19 +68,21 @@
         ProposalStatus::Pending
     );
     assert_eq!(change.revision, 2);
-    for node in [&a, &b] {
-        until("it is in force", || node.revision() == Revision(2)).await;
+    for entry in [&a, &b] {
+        wait_until("the change is in force", || entry.revision() == Revision(2)).await;
     }
-    let history = Operator::first(b.control.admin_address).history().await;
+    let history = AdminClient::bootstrap(b.control.admin_address)
+        .history()
+        .await;
     assert_eq!(history, [change]);
 }
 
 #[tokio::test]
-async fn lost_answers_of_an_acceptance_are_settled() {
-    let (platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+async fn acceptance_with_lost_responses_takes_effect_once() {
+    let (platform, a, _b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
     operator
-        .propose("c1", vec![priority("p", 3)])
+        .propose("c1", vec![put_priority("p", 3)])
         .await
         .expect("a proposal");
     platform.key_value.set_faults(StoreFaults {
@@ -92,19 +94,19 @@
     let again = operator.accept("c1").await.expect("an acceptance");
 
     assert_eq!(change, again);
-    until("it is in force", || a.revision() == Revision(2)).await;
+    wait_until("the change is in force", || a.revision() == Revision(2)).await;
     assert_eq!(operator.history().await, [change]);
 }
 
 #[tokio::test]
 async fn acceptance_without_the_service_is_refused_and_may_be_repeated() {
-    let (platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+    let (platform, a, _b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
     operator
-        .propose("c1", vec![priority("p", 3)])
+        .propose("c1", vec![put_priority("p", 3)])
         .await
         .expect("a proposal");
-    platform.key_value.set_faults(down());
+    platform.key_value.set_faults(store_down());
 
     let refused = operator.accept("c1").await.expect_err("a refusal");
     platform.key_value.set_faults(StoreFaults::default());
@@ -115,16 +117,16 @@
 }
 
 #[tokio::test]
-async fn race_is_a_conflict_that_names_the_other_change() {
-    let (_platform, a, b) = two().await;
+async fn concurrent_acceptance_is_a_conflict_that_names_the_other_change() {
+    let (_platform, a, b) = start_two_entries().await;
     let (one, two) = (
-        Operator::first(a.control.admin_address),
-        Operator::first(b.control.admin_address),
+        AdminClient::bootstrap(a.control.admin_address),
+        AdminClient::bootstrap(b.control.admin_address),
     );
-    one.propose("one", vec![priority("p", 1)])
+    one.propose("one", vec![put_priority("p", 1)])
         .await
         .expect("a proposal");
-    two.propose("two", vec![priority("p", 2)])
+    two.propose("two", vec![put_priority("p", 2)])
         .await
         .expect("a proposal");
 
@@ -139,19 +141,19 @@
 }
 
 #[tokio::test]
-async fn restored_service_is_held_with_an_alarm_until_it_is_put_back() {
-    let (platform, a, b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+async fn restored_service_raises_an_alarm_until_the_snapshot_is_put_back() {
+    let (platform, a, b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
     let backup = platform.key_value.backup();
     for (id, rank) in [("c1", 1), ("c2", 2)] {
-        let proposed = operator.propose(id, vec![priority("p", rank)]).await;
+        let proposed = operator.propose(id, vec![put_priority("p", rank)]).await;
         proposed.expect("a proposal");
         operator.accept(id).await.expect("an acceptance");
     }
-    until("it is in force", || b.revision() == Revision(3)).await;
+    wait_until("the change is in force", || b.revision() == Revision(3)).await;
 
     platform.key_value.restore(&backup);
-    let other = operator.propose("c3", vec![priority("q", 1)]).await;
+    let other = operator.propose("c3", vec![put_priority("q", 1)]).await;
     other.expect("a proposal");
     let refused = operator.accept("c3").await.expect_err("a refusal");
 
@@ -166,7 +168,7 @@
     assert_eq!(put_back, 3);
     let mut accepted = operator.accept("c3").await;
     while accepted.is_err() {
-        // The alarm ends when the watch has seen the service again.
+        // The alarm remains until the watch delivers the snapshot that was written back.
         tokio::time::sleep(Duration::from_millis(20)).await;
         accepted = operator.accept("c3").await;
     }
@@ -175,26 +177,26 @@
 
 #[tokio::test]
 async fn change_is_in_force_although_all_watches_are_silent() {
-    let (platform, a, b) = two().await;
+    let (platform, a, b) = start_two_entries().await;
     platform.key_value.set_faults(StoreFaults {
         silent: true,
         ..StoreFaults::default()
     });
 
-    platform.write(&snapshot(5));
+    platform.write_snapshot(&snapshot(5));
 
-    for node in [&a, &b] {
-        until("it is in force", || node.revision() == Revision(5)).await;
+    for entry in [&a, &b] {
+        wait_until("the change is in force", || entry.revision() == Revision(5)).await;
     }
 }
 
 #[tokio::test]
-async fn roles_are_kept() {
-    let (_platform, a, _b) = two().await;
-    let first = Operator::first(a.control.admin_address);
+async fn roles_are_enforced() {
+    let (_platform, a, _b) = start_two_entries().await;
+    let first = AdminClient::bootstrap(a.control.admin_address);
     let record = |name: &str, role: &str| {
         let key = KeyHash::of(name).to_string();
-        put("operator", name, json!({ "keys": [key], "role": role }))
+        put_record("operator", name, json!({ "keys": [key], "role": role }))
     };
     let edits = vec![
         record("rita", "reader"),
@@ -203,18 +205,18 @@
     ];
     first.propose("operators", edits).await.expect("a proposal");
     first.accept("operators").await.expect("an acceptance");
-    until("it is in force", || a.revision() == Revision(2)).await;
+    wait_until("the change is in force", || a.revision() == Revision(2)).await;
     let [rita, paul, anna] =
-        ["rita", "paul", "anna"].map(|key| Operator::new(a.control.admin_address, key));
+        ["rita", "paul", "anna"].map(|key| AdminClient::new(a.control.admin_address, key));
 
-    let stranger = Operator::new(a.control.admin_address, "nobody")
+    let stranger = AdminClient::new(a.control.admin_address, "nobody")
         .get::<serde_json::Value>("/v1/status")
         .await;
     let secret = first.get::<serde_json::Value>("/v1/status").await;
-    let by_reader = rita.propose("c1", vec![priority("p", 1)]).await;
-    let own = anna.propose("c2", vec![priority("p", 1)]).await;
+    let by_reader = rita.propose("c1", vec![put_priority("p", 1)]).await;
+    let own = anna.propose("c2", vec![put_priority("p", 1)]).await;
     let alone = anna.accept("c2").await;
-    let by_proposer = paul.propose("c3", vec![priority("p", 1)]).await;
+    let by_proposer = paul.propose("c3", vec![put_priority("p", 1)]).await;
     let to_accept = paul.accept("c3").await;
     let accepted = anna.accept("c3").await;
 
@@ -234,45 +236,45 @@
 }
 
 #[tokio::test]
-async fn drained_host_is_leaving_everywhere_and_its_agent_is_told() {
-    let (_platform, a, b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+async fn drained_host_is_leaving_everywhere_and_its_agent_is_informed() {
+    let (_platform, a, b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
     let id: TargetId = "target-1".parse().expect("a valid name");
     let up = report(1, TargetState::Up);
     let before: ReportResponse = client()
-        .call(b.control.peer_address, path::REPORTS, &up, LIMIT)
+        .call(b.control.peer_address, path::REPORTS, &up, CALL_TIMEOUT)
         .await
-        .expect("an answer");
+        .expect("a response");
 
-    let drain = put("drain", "host-1", json!({ "reason": "a new disk" }));
+    let drain = put_record("drain", "host-1", json!({ "reason": "a new disk" }));
     operator
         .propose("c1", vec![drain])
         .await
         .expect("a proposal");
     operator.accept("c1").await.expect("an acceptance");
 
-    for node in [&a, &b] {
+    for entry in [&a, &b] {
         let leaving = || {
-            let view = node.control.view.load();
+            let view = entry.control.view.load();
             view.targets[&id].liveness == Liveness::Leaving
         };
-        until("the target is leaving", leaving).await;
+        wait_until("the target is leaving", leaving).await;
     }
     let next = report(2, TargetState::Up);
     let after: ReportResponse = client()
-        .call(b.control.peer_address, path::REPORTS, &next, LIMIT)
+        .call(b.control.peer_address, path::REPORTS, &next, CALL_TIMEOUT)
         .await
-        .expect("an answer");
+        .expect("a response");
     assert!(!before.drained);
     assert!(after.drained);
 }
 
 #[tokio::test]
 async fn earlier_body_comes_back_as_a_new_revision() {
-    let (_platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+    let (_platform, a, _b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
     for (id, rank) in [("c1", 1), ("c2", 2)] {
-        let proposed = operator.propose(id, vec![priority("p", rank)]).await;
+        let proposed = operator.propose(id, vec![put_priority("p", rank)]).await;
         proposed.expect("a proposal");
         operator.accept(id).await.expect("an acceptance");
     }
@@ -299,10 +301,10 @@
 
 #[tokio::test]
 async fn rejected_change_stays_rejected_and_review_says_why() {
-    let (_platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
+    let (_platform, a, _b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
     operator
-        .propose("c1", vec![priority("p", 1)])
+        .propose("c1", vec![put_priority("p", 1)])
         .await
         .expect("a proposal");
 
@@ -317,9 +319,9 @@
 
 #[tokio::test]
 async fn schema_that_nobody_reads_is_refused_with_the_names_of_the_processes() {
-    let (_platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
-    let edit = match priority("p", 1) {
+    let (_platform, a, _b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
+    let edit = match put_priority("p", 1) {
         EditMessage::Put(record) => EditMessage::Put(cyclamenwharf::admin::RecordMessage {
             schema: Some(9),
             ..record
@@ -346,12 +348,12 @@
 
 #[tokio::test]
 async fn entry_does_not_accept_on_top_of_another_history() {
-    let (platform, a, _b) = two().await;
-    let operator = Operator::first(a.control.admin_address);
-    let proposed = operator.propose("ours", vec![priority("p", 1)]).await;
+    let (platform, a, _b) = start_two_entries().await;
+    let operator = AdminClient::bootstrap(a.control.admin_address);
+    let proposed = operator.propose("ours", vec![put_priority("p", 1)]).await;
     proposed.expect("a proposal");
     operator.accept("ours").await.expect("an acceptance");
-    until("ours is in force", || a.revision() == Revision(2)).await;
+    wait_until("ours is in force", || a.revision() == Revision(2)).await;
     let mut other = snapshot(3);
     for (id, revision) in [("theirs-2", 2), ("theirs-3", 3)] {
         other.changes.push(cw_types::Change {
@@ -363,11 +365,11 @@
             accepted_at: 0,
         });
     }
-    platform.write(&other);
+    platform.write_snapshot(&other);
     while operator.status().await.alarm.is_none() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let proposed = operator.propose("next", vec![priority("q", 1)]).await;
+    let proposed = operator.propose("next", vec![put_priority("q", 1)]).await;
     proposed.expect("a proposal");
 
     let refused = operator.accept("next").await.expect_err("a refusal");
--- a/crates/cyclamenwharf/tests/control/rolling_restart.rs
+++ b/crates/cyclamenwharf/tests/control/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! A rolling restart of every process under load.
+//! Tests a rolling restart of every process under load.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -13,22 +13,23 @@
 use cw_testkit::RigSpec;
 use cw_testkit::VERSION;
 
-use crate::admin::Operator;
+use crate::admin_client::AdminClient;
 
-/// The callers that ask all the time.
+/// The number of callers that send requests continuously.
 const CALLERS: u64 = 4;
 
-/// The tokens of each answer.
+/// The number of tokens in each answer.
 const TOKENS: u64 = 40;
 
-/// How long an old and a new process run side by side before the next is restarted.
+/// The pause after the restart of an agent, in which old and new processes run side by side.
 const PAUSE: Duration = Duration::from_millis(1500);
 
-/// A hang guard, far above what the restart takes.
-const GUARD: Duration = Duration::from_secs(120);
+/// The limit after which the restart counts as hung, far above what it takes.
+const HANG_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Asks until `stop` through the entry that the balancer would choose.
-async fn ask_until(
+/// Sends requests until `stop` to the entry that the load balancer would choose, and returns their
+/// number.
+async fn send_until_stopped(
     rig: Arc<Rig>,
     number: u64,
     stop: Arc<AtomicBool>,
@@ -45,13 +46,17 @@
             .as_ref()
             .is_err_and(|e| e.code() == Some("not_ready"))
         {
-            // The balancer had not seen yet that the entry is not ready, and sends it on.
+            // The load balancer does not know yet that the entry is not ready, and retries at another.
             let other = (entry + 1) % rig.entries.len();
             outcome = rig.caller(other).ask(&ask).await;
         }
         let answer = outcome.expect("no request is refused");
-        assert!(answer.is_whole(), "cut: {answer:?}");
-        assert_eq!(answer.ids, ask.expected(MODEL, VERSION), "lost or doubled");
+        assert!(answer.is_whole(), "truncated answer: {answer:?}");
+        assert_eq!(
+            answer.ids,
+            ask.expected(MODEL, VERSION),
+            "tokens are lost or repeated"
+        );
     }
     answers
 }
@@ -61,7 +66,7 @@
     let rig = Arc::new(Rig::start(RigSpec::default()).await.expect("a deployment"));
     let (stop, balancer) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let load: Vec<_> = (0..CALLERS)
-        .map(|n| ask_until(rig.clone(), n, Arc::clone(&stop), Arc::clone(&balancer)))
+        .map(|n| send_until_stopped(rig.clone(), n, Arc::clone(&stop), Arc::clone(&balancer)))
         .map(tokio::spawn)
         .collect();
 
@@ -76,7 +81,7 @@
             entry.drain().await;
             entry.restart().await.expect("the ports are free");
             let settings = &entry.settings;
-            let operator = Operator::new(settings.listen.admin, &settings.secrets.peers[0]);
+            let operator = AdminClient::new(settings.listen.admin, &settings.secrets.peers[0]);
             let mut alive = 0;
             while alive < rig.engines.len() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -88,11 +93,11 @@
             }
         }
     };
-    let done = tokio::time::timeout(GUARD, work).await;
+    let done = tokio::time::timeout(HANG_TIMEOUT, work).await;
     stop.store(true, Ordering::SeqCst);
     let mut answers = 0;
-    for one in load {
-        answers += one.await.expect("every answer is whole and right");
+    for task in load {
+        answers += task.await.expect("every answer is complete and correct");
     }
 
     assert!(done.is_ok(), "the restart did not end");
--- a/crates/cyclamenwharf/tests/control/rig.rs
+++ b/crates/cyclamenwharf/tests/control/test_platform.rs
@@ -1,4 +1,4 @@
-//! Entries' control state on loopback, around stand-ins of the platform.
+//! The control planes of entries on the loopback interface, with fakes of the platform.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -33,30 +33,30 @@
 use cyclamenwharf::Supervisor;
 use serde_json::Value;
 
-/// The secret of all processes.
+/// The shared secret of all processes.
 pub(crate) const SECRET: &str = "a-shared-secret";
 
-/// The configuration key.
+/// The key of the configuration snapshot.
 pub(crate) const CONFIG_KEY: &str = "cyclamenwharf/config";
 
-/// A hang guard, far above what anything takes.
-const GUARD: Duration = Duration::from_secs(30);
+/// The limit after which a wait counts as hung, far above what any wait takes.
+const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The platform.
-pub(crate) struct Platform {
+/// Fakes of the platform services.
+pub(crate) struct TestPlatform {
     pub(crate) key_value: KeyValue,
     pub(crate) host_list: HostList,
     pub(crate) weight_store: WeightStore,
 }
 
-/// One entry's control state.
-pub(crate) struct Node {
+/// The control plane of an entry.
+pub(crate) struct TestEntry {
     pub(crate) control: Control,
     pub(crate) health: Arc<Health>,
     pub(crate) supervisor: Supervisor,
 }
 
-impl Platform {
+impl TestPlatform {
     pub(crate) async fn start() -> Self {
         let weights = [("weights-1".to_owned(), ByteSize::mib(64))].into();
         Self {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Starts an entry's control state and lists its host.
-    pub(crate) async fn start_node(&self, name: &str) -> Node {
+    /// Starts the control plane of an entry, and adds its host to the host list.
+    pub(crate) async fn start_entry(&self, name: &str) -> TestEntry {
         let settings = self.settings(name);
         let health = Arc::new(Health::default());
         let supervisor = Supervisor::new(name);
@@ -94,14 +94,14 @@
                 state: HostState::Live,
             });
         });
-        Node {
+        TestEntry {
             control,
             health,
             supervisor,
         }
     }
 
-    pub(crate) fn write(&self, snapshot: &Snapshot) {
+    pub(crate) fn write_snapshot(&self, snapshot: &Snapshot) {
         let value = serde_json::to_vec(snapshot).expect("a snapshot is JSON");
         self.key_value.put(CONFIG_KEY, value);
     }
@@ -134,7 +134,7 @@
     }
 }
 
-impl Node {
+impl TestEntry {
     pub(crate) fn revision(&self) -> Revision {
         self.control.view.load().config.revision
     }
@@ -148,18 +148,18 @@
     PeerClient::new(SECRET)
 }
 
-/// Waits until `check` holds.
-pub(crate) async fn until(what: &str, check: impl Fn() -> bool) {
+/// Waits until `check` returns true; panics after [`HANG_TIMEOUT`].
+pub(crate) async fn wait_until(what: &str, check: impl Fn() -> bool) {
     let wait = async {
         while !check() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let done = tokio::time::timeout(GUARD, wait).await;
-    assert!(done.is_ok(), "waited in vain until {what}");
+    let done = tokio::time::timeout(HANG_TIMEOUT, wait).await;
+    assert!(done.is_ok(), "timed out waiting until {what}");
 }
 
-/// A snapshot with one engine and a change that made it.
+/// Returns a snapshot with one engine and no history of changes.
 pub(crate) fn snapshot(revision: u64) -> Snapshot {
     let target = Target {
         agent: any_port(),
