--- a/crates/cw_policy/src/forward/directory_log.rs
+++ b/crates/cw_policy/src/forward/directory_log.rs
@@ -21,7 +21,7 @@
 /// directory.
 const CHANGES_MAX: usize = 128;
 
-/// What an entry does after a [`DirectoryNews`] message.
+/// What an entry does after a [`DirectoryUpdate`] message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NewsStep {
     /// The message contains no new change.
