--- a/crates/cw_policy/benches/rounds/fleet.rs
+++ b/crates/cw_policy/benches/rounds/fleet.rs
@@ -330,8 +330,8 @@
                 prefill: TokenCount(prefill as u64),
                 ..Load::default()
             },
-            reported: self.now,
-            returned: Time(0),
+            reported_at: self.now,
+            alive_since: Time(0),
             versions: BTreeMap::from([(name("m"), BTreeSet::from([name("v")]))]),
             crashes: Vec::new(),
         }
--- a/crates/cw_policy/src/claim/record.rs
+++ b/crates/cw_policy/src/claim/claim_record.rs
@@ -1,4 +1,4 @@
-//! What a claim says.
+//! The stored form of a claim.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,10 +16,10 @@
 use serde_with::base64::Base64;
 use serde_with::serde_as;
 
-/// The prefix of the keys of claims.
-const PREFIX: &str = "cyclamenwharf/claims/";
+/// The prefix of the keys of claims in the key-value service.
+const KEY_PREFIX: &str = "cyclamenwharf/claims/";
 
-/// One write of a claim, unique for all time: 64 random bits.
+/// The unique id of one write of a claim: 64 random bits.
 #[data(Copy, Default, Eq, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct ClaimId(pub u64);
@@ -30,55 +30,55 @@
     }
 }
 
-/// The whole answer of a plain service, kept for later calls with the same key.
+/// The complete response of a plain service, stored for later calls with the same idempotency key.
 #[serde_as]
 #[data(Eq)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// End-to-end headers.
+    /// The end-to-end headers.
     pub headers: BTreeMap<String, String>,
     /// The body.
     #[serde_as(as = "Base64")]
     pub body: Bytes,
 }
 
-/// What is known of a claimed request.
+/// The state of a claimed request.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Its attempt was, or was about to be, dispatched.
+    /// The attempt has been dispatched or is about to be.
     Open,
-    /// It was run to its end.
-    Answered(KeptAnswer),
+    /// The request has completed with this response.
+    Answered(StoredAnswer),
 }
 
-/// Who runs the request of an idempotency key, and where.
+/// The attempt that runs the request of an idempotency key, and its target.
 #[data(Eq)]
 pub struct Claim {
-    /// This write of it, by which its writer knows it again.
+    /// The id of this write, by which the writer recognizes its own claim.
     pub id: ClaimId,
-    /// What the request asks: another request with the same key is refused.
+    /// The fingerprint of the request; a different request with the same key is refused.
     pub fingerprint: Fingerprint,
     /// The attempt that may run.
     pub attempt: AttemptId,
-    /// The target it is for.
+    /// The target that the attempt is sent to.
     pub target: TargetId,
-    /// Where the agent of that target listens.
+    /// The address at which the agent of that target listens.
     pub agent: SocketAddr,
     /// The stamp of the attempt.
     pub stamp: Stamp,
-    /// The version of the model, for an engine.
+    /// The version of the model, if the target is an engine.
     pub version: Option<VersionName>,
-    /// What is known.
+    /// The state of the request.
     pub state: ClaimState,
 }
 
 impl Claim {
-    /// Returns the key under which the claim of an idempotency key is kept.
+    /// Returns the key under which the claim of an idempotency key is stored.
     pub fn key(workspace: &WorkspaceId, key: &str) -> String {
-        // A name has no line break, so no two pairs give the same text.
+        // A workspace name contains no line break, so no two pairs give the same text.
         let hash = KeyHash::of(&format!("{workspace}\n{key}"));
-        format!("{PREFIX}{hash}")
+        format!("{KEY_PREFIX}{hash}")
     }
 }
--- a/crates/cw_policy/src/claim/mod.rs
+++ b/crates/cw_policy/src/claim/mod.rs
@@ -1,18 +1,20 @@
-//! Claims of idempotency keys, by which work that may run once runs once through all entries.
+//! Claims of idempotency keys, which keep non-idempotent work from running twice when it is
+//! requested through several entries.
 //!
-//! A [`Claim`] is one value in the key-value service under a hash of workspace and key. It is
-//! written before its attempt is dispatched, and names the agent that the attempt goes to: whoever
-//! finds it can ask that agent what became of the attempt, or forbid it for good. So an entry that
-//! dies between claim and dispatch leaves a claim that can be resolved.
+//! A [`Claim`] is a value in the key-value service, stored under a hash of the workspace and the
+//! idempotency key. It is written before its attempt is dispatched and names the agent that the
+//! attempt is sent to. An entry that finds the claim can query that agent for the state of the
+//! attempt, or cancel the attempt permanently. A claim left by an entry that crashes between the
+//! claim and the dispatch can therefore be resolved.
 
-mod record;
-mod write;
+mod claim_record;
+mod claim_write;
 
-pub use record::Claim;
-pub use record::ClaimId;
-pub use record::ClaimState;
-pub use record::KeptAnswer;
-pub use write::ClaimEvent;
-pub use write::ClaimRevision;
-pub use write::ClaimStep;
-pub use write::ClaimWrite;
+pub use claim_record::Claim;
+pub use claim_record::ClaimId;
+pub use claim_record::ClaimState;
+pub use claim_record::StoredAnswer;
+pub use claim_write::ClaimEvent;
+pub use claim_write::ClaimRevision;
+pub use claim_write::ClaimStep;
+pub use claim_write::ClaimWrite;
--- a/crates/cw_policy/src/generation/event.rs
+++ b/crates/cw_policy/src/generation/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a generation.
+//! The input events of the generation state machine.
 
 use std::time::Duration;
 
@@ -9,85 +9,90 @@
 use cw_types::TargetId;
 use cw_wire::Frame;
 
-/// One connection to one attempt, unique within its generation.
+/// The number of a connection to an attempt, unique within its generation.
 #[data(Copy, Default, Eq, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct LinkId(pub u32);
 
-/// What a call that failed may have done at the agent.
+/// The possible side effects of a failed call at the agent.
 #[data(Copy, Eq)]
 pub enum Effect {
-    /// Nothing: the call never reached the agent, or the agent refused it.
+    /// The call never reached the agent, or the agent refused it.
     None,
-    /// It may have been read.
+    /// The agent may have read the call.
     Possible,
 }
 
-/// What happens to a generation.
+/// An input event of the generation state machine.
 #[data]
 pub enum Event {
     /// The caller's request is accepted.
     Start,
-    /// A target answers the oldest open [`crate::Step::Choose`].
+    /// A target is selected for the oldest unanswered [`crate::Step::Choose`].
     Chosen(TargetId),
-    /// No target can be chosen.
+    /// No target can be selected for the oldest unanswered [`crate::Step::Choose`].
     NoTarget {
-        /// Why: [`ErrorKind::NoTarget`] or [`ErrorKind::Overloaded`].
+        /// The cause: [`ErrorKind::NoTarget`] or [`ErrorKind::Overloaded`].
         kind: ErrorKind,
-        /// When it is worth asking again.
+        /// The delay before another selection can succeed.
         retry: Duration,
     },
-    /// The request's turn in the queue has come: a target is to be chosen again.
-    Turn,
-    /// The queue gave the request up.
-    Unqueued {
-        /// Why.
+    /// The request reaches the head of the queue, so a target is selected again.
+    #[serde(rename = "Turn")]
+    Dequeued,
+    /// The queue rejects the request.
+    #[serde(rename = "Unqueued")]
+    QueueRejected {
+        /// The cause.
         kind: ErrorKind,
-        /// When it is worth calling again.
+        /// The delay before the caller should retry.
         retry: Duration,
     },
-    /// A frame came in.
+    /// A frame arrives.
     Frame {
-        /// The link it came over.
+        /// The link that carried the frame.
         link: LinkId,
         /// The frame.
         frame: Frame,
     },
-    /// A link broke, or could not be opened.
+    /// A link breaks or cannot be opened.
     Closed {
         /// The link.
         link: LinkId,
-        /// What the call may have done.
+        /// Whether the call may have reached the agent.
         effect: Effect,
     },
-    /// The answer to [`crate::Step::Prove`]; `None` when the agent could not be asked.
-    Proof {
+    /// The result of [`crate::Step::ConfirmCancel`].
+    #[serde(rename = "Proof")]
+    CancelResult {
         /// The attempt.
         attempt: AttemptNo,
-        /// Whether it was run.
+        /// Whether the attempt was run; `None` when the agent cannot be reached.
         ran: Option<Ran>,
     },
-    /// The claim of an attempt is written, and the attempt is sent only now.
+    /// The claim of an attempt is written; the driver sends the attempt only after this event.
     Claimed {
         /// The link that is opened.
         link: LinkId,
     },
-    /// An attempt was not dispatched, since its claim could not be written.
+    /// An attempt is not dispatched because its claim cannot be written.
     NotClaimed {
         /// The link that was to be opened.
         link: LinkId,
-        /// Why.
+        /// The cause.
         kind: ErrorKind,
     },
-    /// The answer to [`crate::Step::Judge`].
-    Judged {
-        /// Whether the request is what crashed its targets.
-        guilty: bool,
+    /// The result of [`crate::Step::CheckCrashes`].
+    #[serde(rename = "Judged")]
+    CrashesChecked {
+        /// Whether the request caused the crashes of its targets.
+        #[serde(rename = "guilty")]
+        at_fault: bool,
     },
-    /// The request may not be run, or not again.
+    /// The request must not be run, or not again.
     Refuse(ErrorKind),
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
-    /// The deadline may have passed.
+    /// The time of [`crate::Generation::deadline`] may have passed.
     Tick,
 }
--- a/crates/cw_policy/src/generation/frames.rs
+++ b/crates/cw_policy/src/generation/frames.rs
@@ -18,7 +18,7 @@
 use super::Generation;
 use super::LinkId;
 use super::Step;
-use super::track::Phase;
+use super::tracked_attempt::Phase;
 
 impl Generation {
     pub(super) fn frame(&mut self, now: Time, link: LinkId, frame: Frame, steps: &mut Vec<Step>) {
@@ -55,7 +55,7 @@
             steps.push(Step::Dropped(DropReason::OtherAttempt));
             return;
         }
-        let next = self.next();
+        let next = self.next_index();
         if first > next {
             return self.gap(now, attempt, steps);
         }
@@ -82,7 +82,7 @@
         mut tokens: Vec<Token>,
         steps: &mut Vec<Step>,
     ) {
-        let from = self.plan.from.max(first);
+        let from = self.plan.resume_index.max(first);
         let known = usize::try_from(from.0 - first.0).unwrap_or(usize::MAX);
         if known >= tokens.len() {
             return;
@@ -100,8 +100,12 @@
     }
 
     fn ack(&mut self, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        let next = TokenIndex(self.next().0.saturating_sub(self.limits.window));
-        if next.0 < self.acked.0 + self.limits.window {
+        let next = TokenIndex(
+            self.next_index()
+                .0
+                .saturating_sub(self.limits.resend_window),
+        );
+        if next.0 < self.acked.0 + self.limits.resend_window {
             return;
         }
         let Some(track) = self.tracks.get(&attempt) else {
@@ -161,7 +165,7 @@
         if self.is_call() {
             return self.answer(now, attempt, steps);
         }
-        if next > self.next() {
+        if next > self.next_index() {
             return self.gap(now, attempt, steps);
         }
         self.elect(now, attempt, steps);
--- a/crates/cw_policy/src/generation/plan.rs
+++ b/crates/cw_policy/src/generation/generation_plan.rs
@@ -1,4 +1,4 @@
-//! What is fixed for a generation's life.
+//! The immutable parameters of a generation.
 
 use std::time::Duration;
 
@@ -11,59 +11,62 @@
 use cw_types::units::Span;
 use serde_with::serde_as;
 
-/// What an attempt does.
+/// The kind of work that an attempt runs.
 #[data(Copy, Default, Eq)]
 pub enum WorkKind {
-    /// It runs a model: its output can be continued by another attempt.
+    /// Running a model; another attempt can continue its output.
     #[default]
     Generate,
-    /// It calls a plain service: its answer is held back until it is whole.
+    /// Calling a plain service; its response is buffered until it is complete.
     Call,
 }
 
-/// What is fixed for a generation's life.
+/// The immutable parameters of a generation.
 #[serde_as]
 #[data(Default, Eq)]
-pub struct Plan {
-    /// What an attempt does.
+pub struct GenerationPlan {
+    /// The kind of work.
     pub kind: WorkKind,
     /// Whether the work may run more than once.
     pub idempotent: bool,
     /// Whether a claim is written before each dispatch.
     #[serde(default)]
     pub claimed: bool,
-    /// How long the request may wait before its first token.
+    /// The longest time that the request may wait before its first token.
     #[serde_as(as = "Span")]
     pub patience: Duration,
-    /// The most tokens of the whole output.
+    /// The maximum number of tokens of the whole output.
     pub max_tokens: Option<TokenCount>,
-    /// The output that the caller sent back.
+    /// The output that a reconnecting caller has sent back.
     pub prefix: Vec<TokenId>,
-    /// The first index that the caller does not have.
-    pub from: TokenIndex,
-    /// The target that runs the generation already, when the caller comes back to it.
-    pub running: Option<TargetId>,
-    /// The number of the attempt that runs already.
-    pub first: AttemptNo,
+    /// The first token index that the caller has not received.
+    #[serde(rename = "from")]
+    pub resume_index: TokenIndex,
+    /// The target that already runs the generation, if the caller reconnects to it.
+    #[serde(rename = "running")]
+    pub running_target: Option<TargetId>,
+    /// The number of the attempt that already runs.
+    #[serde(rename = "first")]
+    pub running_attempt: AttemptNo,
     /// The number of the first attempt that this machine dispatches.
     ///
-    /// Entries that take over from each other must not give two attempts the same number: a number
-    /// stands for one output to be continued.
-    #[serde(default = "first_attempt")]
-    pub next: AttemptNo,
+    /// Entries that take over a generation from each other must not give two attempts the same
+    /// number, since a number identifies the one output that the attempt continues.
+    #[serde(rename = "next", default = "first_attempt")]
+    pub next_attempt: AttemptNo,
 }
 
 fn first_attempt() -> AttemptNo {
     AttemptNo(1)
 }
 
-impl Plan {
+impl GenerationPlan {
     /// Returns the plan of a new request to an engine.
     pub fn generate(patience: Duration) -> Self {
         Self {
             idempotent: true,
             patience,
-            next: AttemptNo(1),
+            next_attempt: AttemptNo(1),
             ..Self::default()
         }
     }
--- a/crates/cw_policy/src/generation/machine.rs
+++ b/crates/cw_policy/src/generation/generation_state.rs
@@ -15,13 +15,13 @@
 
 use super::Effect;
 use super::Event;
-use super::Limits;
+use super::GenerationLimits;
+use super::GenerationPlan;
 use super::LinkId;
-use super::Plan;
 use super::Step;
 use super::WorkKind;
-use super::track::Phase;
-use super::track::Track;
+use super::tracked_attempt::Phase;
+use super::tracked_attempt::Track;
 
 /// The answer of a plain service, held back until it is whole.
 #[derive(Clone, Debug, Default)]
@@ -36,8 +36,8 @@
 /// All others are cancelled then, and what they still send is dropped.
 #[derive(Clone, Debug)]
 pub struct Generation {
-    pub(super) plan: Plan,
-    pub(super) limits: Limits,
+    pub(super) plan: GenerationPlan,
+    pub(super) limits: GenerationLimits,
     pub(super) tracks: BTreeMap<AttemptNo, Track>,
     pub(super) writer: Option<AttemptNo>,
     pub(super) base: TokenIndex,
@@ -67,16 +67,16 @@
 
 impl Generation {
     /// Returns a generation that waits for [`Event::Start`].
-    pub fn new(plan: Plan, limits: Limits) -> Self {
-        let known = plan.prefix.len() as u64 >= plan.from.0;
-        let base = match known || plan.running.is_some() {
+    pub fn new(plan: GenerationPlan, limits: GenerationLimits) -> Self {
+        let known = plan.prefix.len() as u64 >= plan.resume_index.0;
+        let base = match known || plan.running_target.is_some() {
             true => TokenIndex(0),
-            false => plan.from,
+            false => plan.resume_index,
         };
         let mut output = plan.prefix.clone();
-        output.truncate(usize::try_from(plan.from.0).unwrap_or(usize::MAX));
+        output.truncate(usize::try_from(plan.resume_index.0).unwrap_or(usize::MAX));
         Self {
-            next_attempt: plan.next,
+            next_attempt: plan.next_attempt,
             base,
             output,
             plan,
@@ -115,14 +115,14 @@
             Event::Start => self.start(now, &mut steps),
             Event::Chosen(target) => self.chosen(now, target, &mut steps),
             Event::NoTarget { kind, retry } => self.no_target(now, kind, retry, &mut steps),
-            Event::Turn => self.turn(&mut steps),
-            Event::Unqueued { kind, retry } => self.unqueued(kind, retry, &mut steps),
+            Event::Dequeued => self.turn(&mut steps),
+            Event::QueueRejected { kind, retry } => self.unqueued(kind, retry, &mut steps),
             Event::Frame { link, frame } => self.frame(now, link, frame, &mut steps),
             Event::Closed { link, effect } => self.closed(now, link, effect, &mut steps),
-            Event::Proof { attempt, ran } => self.proof(now, attempt, ran, &mut steps),
+            Event::CancelResult { attempt, ran } => self.proof(now, attempt, ran, &mut steps),
             Event::Claimed { link } => self.claimed(now, link),
             Event::NotClaimed { link, kind } => self.not_claimed(link, kind, &mut steps),
-            Event::Judged { guilty } => self.judged(guilty, &mut steps),
+            Event::CrashesChecked { at_fault } => self.judged(at_fault, &mut steps),
             Event::Refuse(kind) => self.fail(kind, self.ran(), Duration::ZERO, &mut steps),
             Event::CallerGone => self.caller_gone(now, &mut steps),
             Event::Tick => self.tick(now, &mut steps),
@@ -149,13 +149,14 @@
     }
 
     /// Returns the first index that has not come yet.
-    pub fn next(&self) -> TokenIndex {
+    pub fn next_index(&self) -> TokenIndex {
         self.base.plus(self.output.len())
     }
 
     /// Returns whether the request was run, as far as the machine knows.
     pub fn ran(&self) -> Ran {
-        let answered = self.next().max(self.plan.from).0 > 0 || self.held.head.is_some();
+        let answered =
+            self.next_index().max(self.plan.resume_index).0 > 0 || self.held.head.is_some();
         match (answered, self.dispatched) {
             (true, _) => Ran::Partly,
             (false, 0) => Ran::No,
@@ -167,15 +168,15 @@
 
     fn start(&mut self, now: Time, steps: &mut Vec<Step>) {
         self.started = now;
-        match self.plan.running.clone() {
+        match self.plan.running_target.clone() {
             Some(target) => self.come_back(now, target, steps),
-            None => self.choose(self.next() > TokenIndex(0), false, steps),
+            None => self.choose(self.next_index() > TokenIndex(0), false, steps),
         }
     }
 
     /// Attaches to the attempt that an earlier entry, or an earlier call, dispatched.
     fn come_back(&mut self, now: Time, target: TargetId, steps: &mut Vec<Step>) {
-        let attempt = self.plan.first;
+        let attempt = self.plan.running_attempt;
         self.dispatched += 1;
         let link = self.new_link();
         let track = Track {
@@ -197,7 +198,7 @@
             attempt,
             target,
             repeat: None,
-            from: self.next(),
+            from: self.next_index(),
         });
     }
 
@@ -218,7 +219,7 @@
         self.wanted -= 1;
         let attempt = self.next_attempt;
         self.next_attempt = attempt.next();
-        let resumed = self.dispatched > 0 || self.next() > TokenIndex(0);
+        let resumed = self.dispatched > 0 || self.next_index() > TokenIndex(0);
         self.dispatched += 1;
         let link = self.new_link();
         let so_far = self.output.clone();
@@ -260,7 +261,7 @@
 
     fn leave_at(&self) -> Option<Time> {
         let absent = self.absent.filter(|_| self.plan.idempotent);
-        absent.map(|absent| absent + self.limits.absence)
+        absent.map(|absent| absent + self.limits.caller_timeout)
     }
 
     fn caller_gone(&mut self, now: Time, steps: &mut Vec<Step>) {
--- a/crates/cw_policy/src/generation/recover.rs
+++ b/crates/cw_policy/src/generation/recover.rs
@@ -13,7 +13,7 @@
 use super::DropReason;
 use super::Generation;
 use super::Step;
-use super::track::Phase;
+use super::tracked_attempt::Phase;
 
 /// Re-attachments without new output before an attempt counts as lost.
 const REATTACH_MAX: u32 = 3;
@@ -33,7 +33,7 @@
     /// Reaches an attempt again over a new connection: the old one may be dead by itself.
     pub(super) fn reattach(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
         let link = self.new_link();
-        let from = self.next();
+        let from = self.next_index();
         let (idempotent, call) = (self.plan.idempotent, self.is_call());
         let Some(track) = self.tracks.get_mut(&attempt) else {
             return;
@@ -93,7 +93,7 @@
         if self.plan.idempotent {
             return self.lose(now, attempt, Ran::Unknown, steps);
         }
-        if self.plan.from.0 == 0 {
+        if self.plan.resume_index.0 == 0 {
             return self.prove(attempt, steps);
         }
         // Its caller holds output of it: an agent that never saw it is of a later life.
@@ -106,7 +106,7 @@
             steps.push(Step::Close { link: track.link });
             track.phase = Phase::Proving;
             let target = track.target.clone();
-            steps.push(Step::Prove { attempt, target });
+            steps.push(Step::ConfirmCancel { attempt, target });
         }
     }
 
@@ -138,10 +138,10 @@
 
     /// The beginning of the output is not kept any more: only a caller that has it can go on.
     pub(super) fn trimmed(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        if self.next() >= self.plan.from {
+        if self.next_index() >= self.plan.resume_index {
             return self.lose(now, attempt, Ran::Partly, steps);
         }
-        self.base = self.plan.from;
+        self.base = self.plan.resume_index;
         self.output.clear();
         self.reattach(now, attempt, steps);
     }
@@ -198,9 +198,9 @@
         });
         self.lost.insert(target);
         let cut = ran != Ran::No && self.plan.idempotent && self.absent.is_none();
-        if cut && self.crashes >= self.limits.crashes {
+        if cut && self.crashes >= self.limits.max_crashes {
             self.judging = true;
-            steps.push(Step::Judge);
+            steps.push(Step::CheckCrashes);
             return;
         }
         self.replace(now, ran, steps);
@@ -209,9 +209,9 @@
     /// A request that crashes its engines does so at the same place of its output each time. One
     /// whose output went on since the last crash was only there when an engine died.
     fn count_crash(&mut self) {
-        let here = self.next();
+        let here = self.next_index();
         let progress = here.0.saturating_sub(self.crashed_at.0);
-        self.crashes = match progress >= self.limits.progress {
+        self.crashes = match progress >= self.limits.crash_progress {
             true => 1,
             false => self.crashes + 1,
         };
@@ -221,11 +221,11 @@
 
     /// Output that goes on past the place of a crash speaks for the request.
     pub(super) fn clear(&mut self, steps: &mut Vec<Step>) {
-        let here = self.next();
+        let here = self.next_index();
         let progress = here.0.saturating_sub(self.cleared_at.0);
-        if self.crashes > 0 && progress >= self.limits.progress {
+        if self.crashes > 0 && progress >= self.limits.crash_progress {
             self.cleared_at = here;
-            steps.push(Step::Cleared);
+            steps.push(Step::ClearSuspicion);
         }
     }
 
@@ -275,12 +275,12 @@
             self.held = Default::default();
         }
         let whole = self.plan.max_tokens.map(|most| TokenIndex(most.0));
-        if whole.is_some_and(|whole| self.next() >= whole) {
+        if whole.is_some_and(|whole| self.next_index() >= whole) {
             steps.push(Step::Finish(Finish::Length));
             return self.end();
         }
-        let unknown = self.base.0 > 0 || self.next() < self.plan.from;
-        let spent = self.dispatched >= self.limits.attempts;
+        let unknown = self.base.0 > 0 || self.next_index() < self.plan.resume_index;
+        let spent = self.dispatched >= self.limits.max_attempts;
         let live = self.tracks.values().filter(|track| !track.stalled).count();
         let live = u32::try_from(live).unwrap_or(u32::MAX) + self.wanted;
         if unknown || spent {
@@ -299,7 +299,7 @@
         // A request that may have crashed an engine is not given to two others at once.
         match self.is_call() || self.crashes > 0 {
             true => 1,
-            false => (self.limits.hedges).min(self.limits.attempts - self.dispatched),
+            false => (self.limits.hedges).min(self.limits.max_attempts - self.dispatched),
         }
     }
 
--- a/crates/cw_policy/src/generation/refuse.rs
+++ b/crates/cw_policy/src/generation/refuse.rs
@@ -60,12 +60,12 @@
         if !self.tracks.is_empty() || self.wanted > 0 {
             return;
         }
-        let first = self.dispatched == 0 && self.next() == self.plan.from;
-        if first && self.refused >= self.limits.tries && !self.busy.is_empty() {
+        let first = self.dispatched == 0 && self.next_index() == self.plan.resume_index;
+        if first && self.refused >= self.limits.max_refusals && !self.busy.is_empty() {
             return self.enqueue(steps);
         }
-        if !first && self.refused > 0 && self.refused.is_multiple_of(self.limits.tries) {
-            self.retry_at = Some(now + self.limits.backoff);
+        if !first && self.refused > 0 && self.refused.is_multiple_of(self.limits.max_refusals) {
+            self.retry_at = Some(now + self.limits.busy_backoff);
             return;
         }
         self.choose(!first, false, steps);
@@ -82,7 +82,7 @@
         if !self.tracks.is_empty() || self.wanted > 0 {
             return;
         }
-        let first = self.dispatched == 0 && self.next() == self.plan.from;
+        let first = self.dispatched == 0 && self.next_index() == self.plan.resume_index;
         if first {
             let busy = kind == ErrorKind::Overloaded || !self.busy.is_empty();
             return match busy {
@@ -91,7 +91,7 @@
             };
         }
         if kind == ErrorKind::Overloaded || !self.busy.is_empty() {
-            self.retry_at = Some(now + self.limits.backoff);
+            self.retry_at = Some(now + self.limits.busy_backoff);
             return;
         }
         self.give_up(steps);
@@ -102,7 +102,7 @@
         self.busy.clear();
         self.refused = 0;
         self.queued = true;
-        steps.push(Step::Queue);
+        steps.push(Step::Enqueue);
     }
 
     pub(super) fn turn(&mut self, steps: &mut Vec<Step>) {
--- a/crates/cw_policy/src/generation/step.rs
+++ b/crates/cw_policy/src/generation/step.rs
@@ -1,4 +1,4 @@
-//! What to do next for a generation.
+//! The output steps of the generation state machine.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,16 +18,16 @@
 
 use super::LinkId;
 
-/// Why something that an agent sent was not passed on.
+/// Why data from an agent is not passed on to the caller.
 #[data(Copy, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// It came over a link that is closed.
+    /// It arrived over a closed link.
     ClosedLink,
     /// Another attempt writes the output.
     OtherAttempt,
-    /// The caller has it already.
+    /// It has been received before.
     Repeated,
-    /// Something before it is missing.
+    /// The data before it is missing.
     Gap,
 }
 
@@ -42,50 +42,56 @@
     }
 }
 
-/// What to do next for a generation.
+/// An output step of the generation state machine, which the driver carries out.
 #[data]
 pub enum Step {
-    /// Choose a target and answer with `Chosen` or `NoTarget`.
+    /// Select a target and reply with [`crate::Event::Chosen`] or [`crate::Event::NoTarget`].
     Choose {
-        /// The targets not to take.
+        /// The targets that must not be selected.
         exclude: BTreeSet<TargetId>,
-        /// Whether this continues or repeats an earlier attempt.
+        /// Whether the attempt continues or repeats an earlier one.
         resumed: bool,
         /// Whether an engine crashed while it ran the request.
         suspect: bool,
-        /// Whether another attempt that replaces the same lost one is on its way.
+        /// Whether another attempt already replaces the same lost one.
         hedge: bool,
     },
-    /// Let the request wait in the queue, and answer with `Turn` or `Unqueued`.
-    Queue,
-    /// Output has gone on past the place of a crash: the request did not cause it.
-    Cleared,
-    /// Find out whether the request is what crashed its targets, and answer with `Judged`.
-    Judge,
-    /// Dispatch an attempt and feed its frames.
+    /// Queue the request and reply with [`crate::Event::Dequeued`] or
+    /// [`crate::Event::QueueRejected`].
+    #[serde(rename = "Queue")]
+    Enqueue,
+    /// Clear the request of suspicion: its output has advanced past the index of a crash, so the
+    /// request did not cause it.
+    #[serde(rename = "Cleared")]
+    ClearSuspicion,
+    /// Check whether the request caused the crashes of its targets and reply with
+    /// [`crate::Event::CrashesChecked`].
+    #[serde(rename = "Judge")]
+    CheckCrashes,
+    /// Dispatch an attempt and feed its frames to the machine.
     Dispatch {
         /// The link to open.
         link: LinkId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where.
+        /// The target that is to run the attempt.
         target: TargetId,
         /// The output so far, which the attempt continues.
         so_far: Vec<TokenId>,
-        /// Whether this continues or repeats an earlier attempt.
+        /// Whether the attempt continues or repeats an earlier one.
         resumed: bool,
     },
-    /// Reach an attempt again over a new connection, and feed its frames.
+    /// Reattach to an attempt over a new connection and feed its frames to the machine.
     Attach {
         /// The link to open.
         link: LinkId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where it runs.
+        /// The target that runs the attempt.
         target: TargetId,
-        /// The output that the attempt was dispatched with, when the dispatch may be repeated.
+        /// The output that the attempt was dispatched with, if the dispatch may be repeated.
         repeat: Option<Vec<TokenId>>,
-        /// The first index to ask for.
+        /// The first index to request.
         from: TokenIndex,
     },
     /// Close a link.
@@ -93,77 +99,78 @@
         /// The link.
         link: LinkId,
     },
-    /// Cancel an attempt, without waiting for the answer.
+    /// Cancel an attempt without waiting for the result.
     Cancel {
         /// The attempt.
         attempt: AttemptNo,
-        /// Where it runs.
+        /// The target that runs the attempt.
         target: TargetId,
     },
-    /// Cancel an attempt and answer with `Proof`.
-    Prove {
+    /// Cancel an attempt and reply with [`crate::Event::CancelResult`].
+    #[serde(rename = "Prove")]
+    ConfirmCancel {
         /// The attempt.
         attempt: AttemptNo,
-        /// Where it was dispatched to.
+        /// The target that the attempt was dispatched to.
         target: TargetId,
     },
-    /// Tell the agent that the output below `next` is not needed any more.
+    /// Tell the agent that the output below `next` is no longer needed.
     Ack {
         /// The attempt.
         attempt: AttemptNo,
-        /// Where it runs.
+        /// The target that runs the attempt.
         target: TargetId,
-        /// The first index that may still be asked for.
+        /// The first index that may still be requested.
         next: TokenIndex,
     },
-    /// Pass tokens to the caller.
+    /// Pass tokens on to the caller.
     Deliver {
-        /// The index of the first.
+        /// The index of the first token.
         first: TokenIndex,
-        /// The attempt that made them.
+        /// The attempt that generated the tokens.
         attempt: AttemptNo,
         /// The target that runs the attempt.
         target: TargetId,
         /// The tokens.
         tokens: Vec<Token>,
     },
-    /// Pass the whole answer of a plain service to the caller; the generation has ended.
+    /// Pass the complete response of a plain service on to the caller; the generation has ended.
     Answer {
         /// The HTTP status.
         status: u16,
-        /// End-to-end headers.
+        /// The end-to-end headers.
         headers: BTreeMap<String, String>,
         /// The body.
         body: Bytes,
     },
-    /// The output is whole; the generation has ended.
+    /// Report that the output is complete; the generation has ended.
     Finish(Finish),
-    /// The generation has ended without its whole answer.
+    /// Report an error to the caller; the generation has ended with an incomplete response.
     Fail {
-        /// Why.
+        /// The cause.
         kind: ErrorKind,
-        /// Whether it was run.
+        /// Whether the request was run.
         ran: Ran,
-        /// When it is worth calling again.
+        /// The delay before the caller should retry.
         retry: Duration,
     },
-    /// The generation has ended without a caller.
+    /// Clean up; the generation has ended because its caller disconnected.
     Abandon,
-    /// An engine crashed under a living agent while it ran this request.
+    /// Record that an engine crashed while it ran this request and its agent stayed up.
     Crashed {
         /// The target.
         target: TargetId,
     },
-    /// An attempt was lost for another reason.
+    /// Record that an attempt was lost for a reason other than a crash of its engine.
     Lost {
         /// The target.
         target: TargetId,
     },
-    /// Output goes on after a loss.
+    /// Record that output has resumed after a loss.
     Resumed {
-        /// The time since the last sign of life before the loss.
+        /// The time since the last frame or output before the loss.
         latency: Duration,
     },
-    /// Something was not passed on.
+    /// Record that data from an agent was not passed on.
     Dropped(DropReason),
 }
--- a/crates/cw_policy/src/generation/track.rs
+++ b/crates/cw_policy/src/generation/tracked_attempt.rs
@@ -7,7 +7,7 @@
 use cw_types::Time;
 use cw_types::TokenId;
 
-use super::Limits;
+use super::GenerationLimits;
 use super::LinkId;
 
 /// What the present link of an attempt waits for.
@@ -61,21 +61,21 @@
     }
 
     /// Returns when the link counts as silent, if it can.
-    pub(super) fn deadline(&self, limits: &Limits) -> Option<Time> {
+    pub(super) fn deadline(&self, limits: &GenerationLimits) -> Option<Time> {
         match self.phase {
-            Phase::Dispatched => Some(self.heard + limits.head),
-            Phase::Reattached => Some(self.heard + limits.reattach),
-            Phase::Flowing => Some(self.heard + limits.silence),
-            Phase::Pausing => Some(self.heard + limits.pause * self.reattached),
+            Phase::Dispatched => Some(self.heard + limits.dispatch_timeout),
+            Phase::Reattached => Some(self.heard + limits.attach_timeout),
+            Phase::Flowing => Some(self.heard + limits.link_timeout),
+            Phase::Pausing => Some(self.heard + limits.attach_backoff * self.reattached),
             Phase::Claiming | Phase::Proving => None,
         }
     }
 
     /// Returns how long the engine may be quiet, if that has a limit.
-    pub(super) fn quiet_limit(&self, limits: &Limits, patience: Duration) -> Duration {
+    pub(super) fn quiet_limit(&self, limits: &GenerationLimits, patience: Duration) -> Duration {
         match (self.begun, self.resumed) {
-            (true, _) => limits.stall,
-            (false, true) => limits.first,
+            (true, _) => limits.stall_timeout,
+            (false, true) => limits.resume_timeout,
             (false, false) => patience,
         }
     }
--- a/crates/cw_policy/src/lib.rs
+++ b/crates/cw_policy/src/lib.rs
@@ -1,32 +1,34 @@
-//! Every decision of the system, without I/O, clocks, threads or randomness of its own.
+//! The decision logic of the system, without I/O, clocks, threads or its own source of randomness.
 //!
-//! State machines share one shape: an event goes in with the present [`cw_types::Time`], and a
-//! `Step`, or a short list of them, says what to do next. Drivers in the daemon turn sockets into
-//! events and steps into sockets, so each decision can be replayed and fuzzed.
+//! The state machines have a common interface: the input is an event and the present
+//! [`cw_types::Time`], and the output is a `Step`, or a short list of steps, to carry out next.
+//! Drivers in the daemon convert network input into events and carry out the steps, so each
+//! decision can be replayed and fuzzed.
 //!
 //! - [`Generation`]: one generation at its entry.
-//! - [`ClaimWrite`]: the claim of an idempotency key; [`SuspicionTable`]: requests that crash their
-//!   targets.
-//! - [`AttemptTable`]: the attempts of one target, at its agent, with [`AdmissionControl`] inside.
-//! - [`OrderGuard`]: which orders an agent passes on.
-//! - [`configuration`]: what operators accept, and what of it is in force.
-//! - [`membership`]: which targets and entries are there, and who passes it on.
-//! - [`planner`]: who orders engines, and what.
-//! - [`forward`]: opaque requests that pass through to a service's targets.
-//! - [`slo`]: service-level objectives and the burn of their budgets.
-//! - [`trace`]: recorded decisions, replayed and compared.
-//! - [`View`]: what an entry knows of configuration and targets; the input to most decisions.
-//! - [`routing`]: the choice of a target; [`prefix`]: where prompts are cached.
+//! - [`ClaimWrite`]: the write of an idempotency key's claim.
+//! - [`SuspicionTable`]: the detection of requests that crash their targets.
+//! - [`AttemptTable`]: the attempts of one target at its agent, including [`AdmissionControl`].
+//! - [`OrderGuard`]: the check of orders at an agent before they reach the engine.
+//! - [`configuration`]: the configurations that operators have accepted, and the one in force.
+//! - [`membership`]: the live targets and entries, and how this knowledge is relayed.
+//! - [`planner`]: the election of the planner, and the orders that it sends to engines.
+//! - [`forward`]: opaque requests that are forwarded to the targets of a service.
+//! - [`slo`]: service-level objectives and the burn rates of their error budgets.
+//! - [`trace`]: recorded decisions and their replay.
+//! - [`View`]: the configuration and targets known to an entry; the input to most decisions.
+//! - [`routing`]: the selection of a target.
+//! - [`prefix`]: the locations of cached prompt prefixes.
 
 mod admission;
 mod attempt;
 pub mod budget;
 mod claim;
 pub mod configuration;
-mod fencing;
 pub mod forward;
 mod generation;
 pub mod membership;
+mod order_guard;
 pub mod planner;
 pub mod prefix;
 pub mod queue;
@@ -62,18 +64,18 @@
 pub use claim::ClaimState;
 pub use claim::ClaimStep;
 pub use claim::ClaimWrite;
-pub use claim::KeptAnswer;
-pub use fencing::OrderGuard;
-pub use fencing::OrderStep;
+pub use claim::StoredAnswer;
 pub use generation::DropReason;
 pub use generation::Effect;
 pub use generation::Event;
 pub use generation::Generation;
-pub use generation::Limits;
+pub use generation::GenerationLimits;
+pub use generation::GenerationPlan;
 pub use generation::LinkId;
-pub use generation::Plan;
 pub use generation::Step;
 pub use generation::WorkKind;
+pub use order_guard::OrderGuard;
+pub use order_guard::OrderStep;
 pub use suspicion::SuspicionLimits;
 pub use suspicion::SuspicionTable;
 pub use suspicion::Verdict;
--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -232,8 +232,8 @@
             liveness,
             incarnation: member.report.incarnation,
             load: member.report.load,
-            reported: member.made,
-            returned: member.returned,
+            reported_at: member.made,
+            alive_since: member.returned,
             versions: member.report.versions.clone(),
             crashes: member.report.crashes.clone(),
         }
@@ -256,8 +256,8 @@
         },
         incarnation: Default::default(),
         load: Default::default(),
-        reported: Time::default(),
-        returned: Time::default(),
+        reported_at: Time::default(),
+        alive_since: Time::default(),
         versions: BTreeMap::new(),
         crashes: Vec::new(),
     }
--- a/crates/cw_policy/src/routing/index.rs
+++ b/crates/cw_policy/src/routing/index.rs
@@ -127,8 +127,8 @@
             zone: view.target.zone.clone(),
             region: view.target.region.clone(),
             load: view.load,
-            reported: view.reported,
-            returned: view.returned,
+            reported: view.reported_at,
+            returned: view.alive_since,
         });
         if let TargetKind::Service { service } = &view.target.kind {
             let group = self.services.entry(service.clone()).or_default();
--- a/crates/cw_policy/src/routing/ledger.rs
+++ b/crates/cw_policy/src/routing/ledger.rs
@@ -61,7 +61,7 @@
             let Some(target) = view.targets.get(id) else {
                 return false;
             };
-            account.forget(target.reported);
+            account.forget(target.reported_at);
             !account.is_empty(now)
         });
     }
--- a/crates/cw_policy/src/trace/outcome.rs
+++ b/crates/cw_policy/src/trace/outcome.rs
@@ -1,4 +1,4 @@
-//! What came out of a generation, as its steps tell.
+//! The outcome of a generation, as computed from its steps.
 
 use std::time::Duration;
 
@@ -17,44 +17,45 @@
     /// It has not ended.
     #[default]
     Open,
-    /// The caller got its whole answer.
-    Whole,
-    /// The caller got an error.
+    /// The caller received the complete response.
+    #[serde(rename = "whole")]
+    Complete,
+    /// The caller received an error.
     Failed {
-        /// Which.
+        /// The error.
         kind: ErrorKind,
         /// Whether the request was run.
         ran: Ran,
     },
-    /// The caller was gone.
+    /// The caller disconnected.
     Abandoned,
 }
 
-/// What came out of a generation.
+/// The outcome of a generation.
 #[serde_as]
 #[data(Default, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Outcome {
-    /// How it ended.
+    /// How the generation ended.
     pub ending: Ending,
-    /// How many tokens reached the caller.
+    /// The number of tokens delivered to the caller.
     pub delivered: u64,
-    /// How many tokens reached the caller out of their place: missing before them, or again.
-    #[serde(default)]
-    pub misplaced: u64,
-    /// How many attempts were dispatched.
+    /// The number of tokens delivered to the caller after a gap or more than once.
+    #[serde(rename = "misplaced", default)]
+    pub out_of_order: u64,
+    /// The number of dispatched attempts.
     pub dispatches: u32,
-    /// How often an attempt was reached again over a new connection.
+    /// The number of attachments to a running attempt over a new connection.
     #[serde(default)]
     pub attachments: u32,
-    /// The longest time for which output stood still after a loss.
+    /// The longest interruption of the output after a loss.
     #[serde_as(as = "Option<Span>")]
-    #[serde(default)]
-    pub slowest: Option<Duration>,
+    #[serde(rename = "slowest", default)]
+    pub longest_gap: Option<Duration>,
 }
 
 impl Outcome {
-    /// Takes in one step; `next` is the index that the caller needs next.
+    /// Adds a step to the outcome; `next` is the next token index that the caller expects.
     pub fn observe(&mut self, next: &mut Option<u64>, step: &Step) {
         match step {
             Step::Dispatch { .. } => self.dispatches += 1,
@@ -64,17 +65,17 @@
                 let expected = next.unwrap_or(first.0);
                 self.delivered += count;
                 if first.0 != expected {
-                    self.misplaced += count;
+                    self.out_of_order += count;
                 }
                 *next = Some(first.0 + count);
             }
-            Step::Finish(_) | Step::Answer { .. } => self.ending = Ending::Whole,
+            Step::Finish(_) | Step::Answer { .. } => self.ending = Ending::Complete,
             Step::Fail { kind, ran, .. } => {
                 let (kind, ran) = (*kind, *ran);
                 self.ending = Ending::Failed { kind, ran };
             }
             Step::Abandon => self.ending = Ending::Abandoned,
-            Step::Resumed { latency } => self.slowest = self.slowest.max(Some(*latency)),
+            Step::Resumed { latency } => self.longest_gap = self.longest_gap.max(Some(*latency)),
             _ => {}
         }
     }
--- a/crates/cw_policy/src/trace/redact.rs
+++ b/crates/cw_policy/src/trace/redact.rs
@@ -1,14 +1,14 @@
-//! Leaves callers' text out of traces.
+//! Removal of callers' text from traces.
 
 use serde_json::Value;
 
-/// The fields that hold callers' text or secrets.
+/// The JSON fields that contain callers' text or secrets, besides the headers.
 const TEXT_FIELDS: [&str; 3] = ["text", "body", "bytes"];
 
-/// Returns a value without callers' text: tokens keep their number, not what they say.
+/// Returns a value without callers' text: tokens keep their ids and lose their text.
 ///
-/// The machines branch on indices and lengths of lists, never on text, so a redacted trace replays
-/// like the original.
+/// The state machines branch on indices and list lengths, never on text, so a redacted trace
+/// replays like the original.
 #[must_use]
 pub fn redacted(mut value: Value) -> Value {
     redact(&mut value);
@@ -34,7 +34,7 @@
 fn blank(field: &mut Value) {
     match field {
         Value::String(text) => text.clear(),
-        // The length of a body matters, its bytes do not.
+        // Replay depends on the length of a body, not on its bytes.
         Value::Array(bytes) => bytes.fill(Value::from(0)),
         _ => {}
     }
--- a/crates/cw_policy/src/trace/replay.rs
+++ b/crates/cw_policy/src/trace/replay.rs
@@ -1,33 +1,33 @@
-//! Replay of a trace.
+//! The replay of a trace.
 
 use std::fmt;
 
 use snafu::ResultExt;
 use snafu::Snafu;
 
-use super::Entry;
-use super::Head;
 use super::Outcome;
+use super::TraceHeader;
+use super::TraceRecord;
 use crate::Generation;
 use crate::Step;
 
-/// The first place at which a replay differs from its trace.
+/// The first difference between a replay and its trace.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Difference {
-    /// An event led to other steps.
+    /// An event leads to different steps.
     Steps {
-        /// The line, counted from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// What was recorded, with its event and time.
-        recorded: Box<Entry>,
-        /// What the machine does now.
+        /// The recorded steps, with their event and time.
+        recorded: Box<TraceRecord>,
+        /// The steps of the replay.
         replayed: Vec<Step>,
     },
-    /// Something else came out than is stated.
+    /// The outcome differs from the expected one.
     Outcome {
-        /// What is stated.
-        stated: Outcome,
-        /// What came out.
+        /// The expected outcome.
+        expected: Outcome,
+        /// The outcome of the replay.
         replayed: Outcome,
     },
 }
@@ -44,63 +44,66 @@
                 "line {line}, at {}: event {:?}\n  recorded: {:?}\n  replayed: {replayed:?}",
                 recorded.at, recorded.event, recorded.steps
             ),
-            Difference::Outcome { stated, replayed } => {
+            Difference::Outcome { expected, replayed } => {
                 write!(
                     f,
-                    "outcome\n  stated:   {stated:?}\n  replayed: {replayed:?}"
+                    "outcome\n  expected: {expected:?}\n  replayed: {replayed:?}"
                 )
             }
         }
     }
 }
 
-/// A trace that cannot be replayed.
+/// An error that prevents the replay of a trace.
 #[derive(Debug, Snafu)]
 pub enum TraceError {
     /// The trace has no lines.
     #[snafu(display("the trace is empty"))]
     Empty,
-    /// A line is not what it should be.
+    /// A line cannot be parsed.
     #[snafu(display("line {line}: {source}"))]
     Line {
-        /// The line, counted from 1.
+        /// The line number, starting at 1.
         line: usize,
         /// The cause.
         source: serde_json::Error,
     },
-    /// The trace has another form.
-    #[snafu(display("the trace has version {found}, this program reads {}", Head::VERSION))]
+    /// The format version is not supported.
+    #[snafu(display(
+        "the trace has format version {found}, but this program reads version {}",
+        TraceHeader::VERSION
+    ))]
     Version {
         /// The version found.
         found: u32,
     },
 }
 
-/// Replays a trace and returns what came out, or the first difference.
+/// Replays a trace and returns its outcome, or the first difference.
 ///
 /// # Errors
 ///
-/// Fails when the trace cannot be read.
+/// Fails when the trace is empty, a line cannot be parsed or the format version is not supported.
 pub fn replay(text: &str) -> Result<Result<Outcome, Difference>, TraceError> {
     let mut lines = text.lines().enumerate();
     let (_, first) = lines.next().ok_or(TraceError::Empty)?;
-    let head: Head = serde_json::from_str(first).context(LineSnafu { line: 1_usize })?;
-    if head.version != Head::VERSION {
+    let header: TraceHeader = serde_json::from_str(first).context(LineSnafu { line: 1_usize })?;
+    if header.version != TraceHeader::VERSION {
         return Err(TraceError::Version {
-            found: head.version,
+            found: header.version,
         });
     }
-    let mut machine = Generation::new(head.plan, head.limits);
+    let mut machine = Generation::new(header.plan, header.limits);
     let mut replayed = Outcome::default();
     let mut next = None;
     for (index, text) in lines.filter(|(_, text)| !text.is_empty()) {
         let line = index + 1;
-        let entry: Entry = serde_json::from_str(text).context(LineSnafu { line })?;
-        let steps = machine.on_event(entry.at, entry.event.clone());
-        if steps != entry.steps {
+        let record: TraceRecord = serde_json::from_str(text).context(LineSnafu { line })?;
+        let steps = machine.on_event(record.at, record.event.clone());
+        if steps != record.steps {
             return Ok(Err(Difference::Steps {
                 line,
-                recorded: Box::new(entry),
+                recorded: Box::new(record),
                 replayed: steps,
             }));
         }
@@ -108,12 +111,12 @@
             replayed.observe(&mut next, step);
         }
     }
-    Ok(check(head.outcome, replayed))
+    Ok(check(header.outcome, replayed))
 }
 
-fn check(stated: Option<Outcome>, replayed: Outcome) -> Result<Outcome, Difference> {
-    match stated {
-        Some(stated) if stated != replayed => Err(Difference::Outcome { stated, replayed }),
+fn check(expected: Option<Outcome>, replayed: Outcome) -> Result<Outcome, Difference> {
+    match expected {
+        Some(expected) if expected != replayed => Err(Difference::Outcome { expected, replayed }),
         _ => Ok(replayed),
     }
 }
--- a/crates/cw_policy/src/view.rs
+++ b/crates/cw_policy/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows.
+//! The state that an entry knows: its configuration, targets and peers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,64 +19,64 @@
 use cw_wire::CrashReport;
 use cw_wire::Load;
 
-/// How sure an entry is that a target is there.
+/// The liveness of a target, as an entry assesses it.
 #[data(Copy, Default, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Liveness {
-    /// Nothing has been heard of it yet, or it says that its engine is down.
+    /// The target has not reported yet, or it reports that its engine is down.
     #[default]
     Down,
-    /// It reports.
+    /// The target reports.
     Alive,
-    /// It has not reported for a while.
+    /// The target has missed reports.
     Suspect,
-    /// It takes no new work.
+    /// The target accepts no new work.
     Leaving,
-    /// It is not coming back in this life.
+    /// The target does not return with its present incarnation.
     Gone,
 }
 
-/// One target, as an entry sees it.
+/// The state of a target, as known to an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetView {
-    /// Its record.
+    /// The target's record in the configuration.
     pub target: Target,
-    /// Whether it is there.
+    /// The liveness of the target.
     pub liveness: Liveness,
-    /// Its agent's life.
+    /// The incarnation of the target's agent.
     pub incarnation: Incarnation,
-    /// Its load at the time of its report.
+    /// The load at the time of the last report.
     pub load: Load,
-    /// When that report was made, by this entry's clock.
-    pub reported: Time,
-    /// When it last became alive, by this entry's clock.
-    pub returned: Time,
-    /// The versions it holds ready.
+    /// The time at which the last report was made, on this entry's clock.
+    pub reported_at: Time,
+    /// The time at which the target last became alive, on this entry's clock.
+    pub alive_since: Time,
+    /// The loaded versions of each model.
     pub versions: BTreeMap<ModelName, BTreeSet<VersionName>>,
-    /// The crashes of its engine in the last minutes.
+    /// The recent crashes of the target's engine, over the last minutes.
     pub crashes: Vec<CrashReport>,
 }
 
-/// Another entry.
+/// An entry that other processes connect to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryPeer {
-    /// Its host.
+    /// The host of the entry.
     pub host: HostId,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: ZoneId,
-    /// Its region.
+    /// The region of the host.
     pub region: RegionId,
-    /// Where it listens for its peers.
-    pub peers: SocketAddr,
+    /// The address at which the entry listens for peer connections.
+    pub peer_address: SocketAddr,
 }
 
-/// What an entry knows: an immutable picture, replaced as a whole.
+/// An immutable snapshot of the state that an entry knows; it is replaced as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// The configuration in force.
     pub config: Arc<Config>,
     /// The targets of that configuration.
     pub targets: BTreeMap<TargetId, TargetView>,
-    /// The live entries, this one included.
+    /// The live entries, including this one.
     pub entries: Vec<EntryPeer>,
 }
--- a/crates/cw_policy/tests/claim.rs
+++ b/crates/cw_policy/tests/claim.rs
@@ -37,7 +37,7 @@
 }
 
 fn held(id: u64, revision: i64) -> ClaimEvent {
-    ClaimEvent::Holds(Some((Box::new(claim(id)), ClaimRevision(revision))))
+    ClaimEvent::Current(Some((Box::new(claim(id)), ClaimRevision(revision))))
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
 
     let step = write.on_event(ClaimEvent::Written(ClaimRevision(4)));
 
-    assert_eq!(step, ClaimStep::Mine(ClaimRevision(4)));
+    assert_eq!(step, ClaimStep::Acquired(ClaimRevision(4)));
 }
 
 #[rstest]
@@ -55,10 +55,10 @@
     let mut write = ClaimWrite::new(claim(1), None);
     write.start();
 
-    assert_eq!(write.on_event(ClaimEvent::Lost), ClaimStep::Read);
+    assert_eq!(write.on_event(ClaimEvent::Unconfirmed), ClaimStep::Read);
     assert_eq!(
         write.on_event(held(1, 4)),
-        ClaimStep::Mine(ClaimRevision(4))
+        ClaimStep::Acquired(ClaimRevision(4))
     );
 }
 
@@ -66,9 +66,9 @@
 fn a_write_that_was_lost_on_its_way_is_tried_again() {
     let mut write = ClaimWrite::new(claim(1), None);
     let first = write.start();
-    write.on_event(ClaimEvent::Lost);
+    write.on_event(ClaimEvent::Unconfirmed);
 
-    let step = write.on_event(ClaimEvent::Holds(None));
+    let step = write.on_event(ClaimEvent::Current(None));
 
     assert_eq!(step, first);
 }
@@ -80,7 +80,7 @@
 
     let step = write.on_event(held(2, 4));
 
-    let taken = ClaimStep::Taken(Box::new(claim(2)), ClaimRevision(4));
+    let taken = ClaimStep::Conflict(Box::new(claim(2)), ClaimRevision(4));
     assert_eq!(step, taken);
 }
 
@@ -90,7 +90,7 @@
     write.start();
 
     assert_eq!(
-        write.on_event(ClaimEvent::Holds(None)),
+        write.on_event(ClaimEvent::Current(None)),
         ClaimStep::Unavailable
     );
 }
@@ -117,14 +117,14 @@
     /// Answers `step`: 0 as it should, 1 losing the answer, 2 losing the call, 3 refusing it.
     fn answer(&mut self, step: &ClaimStep, fault: u8) -> ClaimEvent {
         if fault == 2 {
-            return ClaimEvent::Lost;
+            return ClaimEvent::Unconfirmed;
         }
         let event = match step {
             ClaimStep::Swap { expected, claim } => self.swap(*expected, claim, fault),
-            _ => ClaimEvent::Holds(self.boxed()),
+            _ => ClaimEvent::Current(self.boxed()),
         };
         match fault {
-            1 => ClaimEvent::Lost,
+            1 => ClaimEvent::Unconfirmed,
             _ => event,
         }
     }
@@ -134,7 +134,7 @@
             return ClaimEvent::Unavailable;
         }
         if self.held.as_ref().map(|held| held.1) != expected {
-            return ClaimEvent::Holds(self.boxed());
+            return ClaimEvent::Current(self.boxed());
         }
         self.revision += 1;
         let revision = ClaimRevision(self.revision);
@@ -178,7 +178,7 @@
                 steps[who] = writes[who].on_event(event);
             }
         }
-        let mine = |step: &&ClaimStep| matches!(step, ClaimStep::Mine(_));
+        let mine = |step: &&ClaimStep| matches!(step, ClaimStep::Acquired(_));
         prop_assert!(steps.iter().filter(mine).count() <= 1, "{steps:?}");
         Ok(())
     });
--- a/crates/cw_policy/tests/configuration.rs
+++ b/crates/cw_policy/tests/configuration.rs
@@ -425,7 +425,7 @@
             host: name(&format!("entry-{n}")),
             zone: name(if n % 2 == 0 { "a" } else { "b" }),
             region: name("r"),
-            peers: "127.0.0.1:1".parse().expect("an address"),
+            peer_address: "127.0.0.1:1".parse().expect("an address"),
         })
         .collect();
 
--- a/crates/cw_policy/tests/fencing.rs
+++ b/crates/cw_policy/tests/fencing.rs
@@ -44,7 +44,7 @@
 
     let later = guard.on_order(&order(5, 1), 0);
 
-    assert_eq!(first, OrderStep::Pass);
+    assert_eq!(first, OrderStep::Forward);
     assert_eq!(meanwhile, OrderStep::Answer(OrderAnswer::Begun));
     assert_eq!(later, OrderStep::Answer(OrderAnswer::Done));
 }
@@ -57,7 +57,7 @@
 
     let again = guard.on_order(&order(5, 1), 0);
 
-    assert_eq!(again, OrderStep::Pass);
+    assert_eq!(again, OrderStep::Forward);
 }
 
 #[rstest]
@@ -84,14 +84,14 @@
         pinned,
         OrderStep::Answer(OrderAnswer::Pinned { generations })
     );
-    assert_eq!(later, OrderStep::Pass);
+    assert_eq!(later, OrderStep::Forward);
 }
 
 #[rstest]
 fn a_number_that_the_engine_or_the_lease_shows_counts_too() {
     let mut guard = OrderGuard::default();
 
-    guard.on_highest(FencingNumber(9));
+    guard.observe_fencing(FencingNumber(9));
     let step = guard.on_order(&order(8, 1), 0);
 
     let highest = FencingNumber(9);
--- a/crates/cw_policy/tests/generation.rs
+++ b/crates/cw_policy/tests/generation.rs
@@ -5,9 +5,9 @@
 use cw_policy::Effect;
 use cw_policy::Event;
 use cw_policy::Generation;
-use cw_policy::Limits;
+use cw_policy::GenerationLimits;
+use cw_policy::GenerationPlan;
 use cw_policy::LinkId;
-use cw_policy::Plan;
 use cw_policy::Step;
 use cw_types::AttemptNo;
 use cw_types::ErrorKind;
@@ -38,7 +38,7 @@
 }
 
 impl Rig {
-    fn new(plan: Plan, limits: Limits) -> Self {
+    fn new(plan: GenerationPlan, limits: GenerationLimits) -> Self {
         let mut rig = Self {
             now: Time(1_000_000),
             machine: Generation::new(plan, limits),
@@ -50,12 +50,15 @@
     }
 
     fn engine() -> Self {
-        Self::new(Plan::generate(Duration::from_secs(10)), Limits::default())
+        Self::new(
+            GenerationPlan::generate(Duration::from_secs(10)),
+            GenerationLimits::default(),
+        )
     }
 
     fn once() -> Self {
-        let plan = Plan::generate(Duration::from_secs(10)).with_idempotent(false);
-        Self::new(plan, Limits::default())
+        let plan = GenerationPlan::generate(Duration::from_secs(10)).with_idempotent(false);
+        Self::new(plan, GenerationLimits::default())
     }
 
     fn feed(&mut self, event: Event) {
@@ -142,11 +145,11 @@
 #[case::latency(2, 3)]
 #[case::thrift(1, 2)]
 fn an_agent_that_cannot_be_reached_is_replaced(#[case] hedges: u32, #[case] dispatches: usize) {
-    let limits = Limits {
+    let limits = GenerationLimits {
         hedges,
-        ..Limits::default()
+        ..GenerationLimits::default()
     };
-    let mut rig = Rig::new(Plan::generate(Duration::from_secs(10)), limits);
+    let mut rig = Rig::new(GenerationPlan::generate(Duration::from_secs(10)), limits);
     rig.tokens(0, 0..3);
 
     rig.expire();
@@ -170,20 +173,20 @@
         rig.count(|step| matches!(step, Step::Cancel { attempt: a, .. } if *a == attempt))
     };
     assert_eq!((cancelled(2), cancelled(3)), (1, 0));
-    assert_eq!(rig.machine.next(), TokenIndex(4));
+    assert_eq!(rig.machine.next_index(), TokenIndex(4));
 }
 
 #[rstest]
 fn a_stalled_engine_stays_in_the_race_and_may_win_it() {
     let mut rig = Rig::engine();
     rig.tokens(0, 0..3);
-    let quiet = Limits::default().stall;
+    let quiet = GenerationLimits::default().stall_timeout;
     rig.frame(0, Frame::Heartbeat { quiet });
     assert_eq!(rig.dispatches(), 3);
 
     rig.tokens(0, 3..4);
 
-    assert_eq!(rig.machine.next(), TokenIndex(4));
+    assert_eq!(rig.machine.next_index(), TokenIndex(4));
     assert_eq!(rig.count(|step| matches!(step, Step::Cancel { .. })), 2);
 }
 
@@ -211,7 +214,7 @@
     rig.fail(1, Failure::TargetLost);
     assert_eq!(rig.dispatches(), 2);
 
-    rig.feed(Event::Judged { guilty });
+    rig.feed(Event::CrashesChecked { at_fault: guilty });
 
     assert_eq!((rig.end(), rig.dispatches()), (end, dispatches));
 }
@@ -220,28 +223,28 @@
 fn a_request_that_finds_all_targets_busy_waits_for_its_turn() {
     let mut rig = Rig::engine();
 
-    for link in 0..Limits::default().tries {
+    for link in 0..GenerationLimits::default().max_refusals {
         rig.busy(link);
     }
 
-    assert_eq!(rig.count(|step| matches!(step, Step::Queue)), 1);
+    assert_eq!(rig.count(|step| matches!(step, Step::Enqueue)), 1);
 
-    rig.feed(Event::Turn);
+    rig.feed(Event::Dequeued);
     assert_eq!(rig.dispatches(), 4);
     let (kind, retry) = (ErrorKind::Overloaded, Duration::from_secs(1));
-    rig.feed(Event::Unqueued { kind, retry });
+    rig.feed(Event::QueueRejected { kind, retry });
     assert_eq!(rig.end(), None);
 }
 
 #[rstest]
 fn a_request_that_the_queue_gives_up_was_not_run() {
     let mut rig = Rig::engine();
-    for link in 0..Limits::default().tries {
+    for link in 0..GenerationLimits::default().max_refusals {
         rig.busy(link);
     }
 
     let (kind, retry) = (ErrorKind::Expired, Duration::from_secs(1));
-    rig.feed(Event::Unqueued { kind, retry });
+    rig.feed(Event::QueueRejected { kind, retry });
 
     assert_eq!(rig.end(), Some((ErrorKind::Expired, Ran::No)));
 }
@@ -271,13 +274,13 @@
     #[case] dispatches: usize,
 ) {
     let mut rig = Rig::once();
-    while rig.count(|step| matches!(step, Step::Prove { .. })) == 0 {
+    while rig.count(|step| matches!(step, Step::ConfirmCancel { .. })) == 0 {
         rig.expire();
     }
     assert_eq!(rig.dispatches(), 1);
 
     let attempt = AttemptNo(1);
-    rig.feed(Event::Proof { attempt, ran });
+    rig.feed(Event::CancelResult { attempt, ran });
 
     assert_eq!((rig.end(), rig.dispatches()), (end, dispatches));
 }
@@ -309,7 +312,7 @@
     let mut rig = Rig::engine();
     rig.tokens(0, 0..3);
     rig.feed(Event::CallerGone);
-    let leave = rig.now + Limits::default().absence;
+    let leave = rig.now + GenerationLimits::default().caller_timeout;
 
     while rig.now < leave {
         rig.now = rig.now + Duration::from_millis(500);
@@ -344,9 +347,9 @@
 
 #[rstest]
 fn an_output_lost_after_its_last_token_is_whole() {
-    let mut plan = Plan::generate(Duration::from_secs(10));
+    let mut plan = GenerationPlan::generate(Duration::from_secs(10));
     plan.max_tokens = Some(TokenCount(3));
-    let mut rig = Rig::new(plan, Limits::default());
+    let mut rig = Rig::new(plan, GenerationLimits::default());
     rig.tokens(0, 0..3);
 
     rig.fail(0, Failure::TargetLost);
@@ -369,11 +372,11 @@
 
 #[rstest]
 fn a_caller_with_output_is_never_told_that_it_was_not_run() {
-    let mut plan = Plan::generate(Duration::from_secs(10)).with_idempotent(false);
-    plan.from = TokenIndex(3);
-    plan.running = Some(target(1));
-    plan.first = AttemptNo(1);
-    let mut rig = Rig::new(plan, Limits::default());
+    let mut plan = GenerationPlan::generate(Duration::from_secs(10)).with_idempotent(false);
+    plan.resume_index = TokenIndex(3);
+    plan.running_target = Some(target(1));
+    plan.running_attempt = AttemptNo(1);
+    let mut rig = Rig::new(plan, GenerationLimits::default());
 
     let (reason, retry) = (Reason::Unknown, Duration::ZERO);
     let load = Load::default();
--- a/crates/cw_policy/tests/generation_fuzz.rs
+++ b/crates/cw_policy/tests/generation_fuzz.rs
@@ -6,8 +6,8 @@
 
 mod generation_world;
 
-use cw_policy::Limits;
-use cw_policy::Plan;
+use cw_policy::GenerationLimits;
+use cw_policy::GenerationPlan;
 use generation_world::Op;
 use generation_world::TARGETS;
 use generation_world::World;
@@ -61,23 +61,26 @@
     ]
 }
 
-fn plans() -> Vec<(Plan, Limits)> {
+fn plans() -> Vec<(GenerationPlan, GenerationLimits)> {
     let patience = Duration::from_secs(10);
-    let hedged = Limits::default();
-    let thrifty = Limits {
+    let hedged = GenerationLimits::default();
+    let thrifty = GenerationLimits {
         hedges: 1,
-        silence: Duration::from_millis(1200),
-        stall: Duration::from_millis(2000),
-        ..Limits::default()
+        link_timeout: Duration::from_millis(1200),
+        stall_timeout: Duration::from_millis(2000),
+        ..GenerationLimits::default()
     };
     vec![
-        (Plan::generate(patience), hedged.clone()),
-        (Plan::generate(patience), thrifty),
+        (GenerationPlan::generate(patience), hedged.clone()),
+        (GenerationPlan::generate(patience), thrifty),
         (
-            Plan::generate(patience).with_idempotent(false),
+            GenerationPlan::generate(patience).with_idempotent(false),
             hedged.clone(),
         ),
-        (Plan::generate(patience).with_idempotent(false), hedged),
+        (
+            GenerationPlan::generate(patience).with_idempotent(false),
+            hedged,
+        ),
     ]
 }
 
--- a/crates/cw_policy/tests/generation_world/claims.rs
+++ b/crates/cw_policy/tests/generation_world/claims.rs
@@ -12,9 +12,9 @@
 use cw_policy::ClaimWrite;
 use cw_policy::Event;
 use cw_policy::Generation;
-use cw_policy::Limits;
+use cw_policy::GenerationLimits;
+use cw_policy::GenerationPlan;
 use cw_policy::LinkId;
-use cw_policy::Plan;
 use cw_types::AttemptNo;
 use cw_types::ErrorKind;
 use cw_types::GenerationId;
@@ -55,7 +55,7 @@
 
     fn read(&self) -> ClaimEvent {
         let held = self.held.clone();
-        ClaimEvent::Holds(held.map(|(claim, revision)| (Box::new(claim), revision)))
+        ClaimEvent::Current(held.map(|(claim, revision)| (Box::new(claim), revision)))
     }
 
     /// A write that was on its way when its entry died takes effect.
@@ -132,13 +132,13 @@
         let key = self.callers[caller].key.as_mut().expect("it has the key");
         let pending = key.claiming.as_mut().expect("it is claiming");
         let event = match (fault, &pending.step) {
-            (2, _) => ClaimEvent::Lost,
+            (2, _) => ClaimEvent::Unconfirmed,
             (3, ClaimStep::Swap { .. }) => ClaimEvent::Unavailable,
             (_, ClaimStep::Swap { expected, claim }) => self.store.swap(*expected, claim),
             _ => self.store.read(),
         };
         let event = match fault {
-            1 => ClaimEvent::Lost,
+            1 => ClaimEvent::Unconfirmed,
             _ => event,
         };
         pending.step = pending.write.on_event(event);
@@ -152,13 +152,13 @@
         };
         let link = pending.link;
         let kind = match pending.step {
-            ClaimStep::Mine(revision) => {
+            ClaimStep::Acquired(revision) => {
                 key.held = Some((pending.claim, revision));
                 let ask = Ask::Dispatch(Box::new(pending.dispatch));
                 self.open(caller, link, pending.agent, ask);
                 return self.feed(caller, Event::Claimed { link });
             }
-            ClaimStep::Taken(..) => ErrorKind::InProgress,
+            ClaimStep::Conflict(..) => ErrorKind::InProgress,
             ClaimStep::Unavailable => ErrorKind::StoreUnavailable,
             ClaimStep::Swap { .. } | ClaimStep::Read => {
                 key.claiming = Some(pending);
@@ -172,21 +172,22 @@
     pub(super) fn call_again(&mut self) {
         self.entries += 1;
         let held = self.store.held.clone();
-        let mut plan = Plan::generate(std::time::Duration::from_secs(10)).with_idempotent(false);
+        let mut plan =
+            GenerationPlan::generate(std::time::Duration::from_secs(10)).with_idempotent(false);
         plan.max_tokens = Some(TokenCount(MOST));
         plan.claimed = true;
         let mut id = GenerationId(1_000_000 + u128::from(self.entries));
         let mut sent = BTreeMap::new();
         if let Some((claim, _)) = &held {
             id = claim.attempt.generation;
-            plan.running = Some(claim.target.clone());
-            plan.first = claim.attempt.attempt;
-            plan.next = AttemptNo(1000 * self.entries);
-            sent.insert(plan.first, (index(&claim.target), claim.stamp));
+            plan.running_target = Some(claim.target.clone());
+            plan.running_attempt = claim.attempt.attempt;
+            plan.next_attempt = AttemptNo(1000 * self.entries);
+            sent.insert(plan.running_attempt, (index(&claim.target), claim.stamp));
         }
         self.callers.push(Caller {
             id,
-            machine: Generation::new(plan.clone(), Limits::default()),
+            machine: Generation::new(plan.clone(), GenerationLimits::default()),
             plan,
             links: BTreeMap::new(),
             sent,
--- a/crates/cw_policy/tests/generation_world/machines.rs
+++ b/crates/cw_policy/tests/generation_world/machines.rs
@@ -6,7 +6,7 @@
 
 use cw_policy::Event;
 use cw_policy::Generation;
-use cw_policy::Limits;
+use cw_policy::GenerationLimits;
 use cw_policy::LinkId;
 use cw_policy::Step;
 use cw_types::AttemptId;
@@ -80,12 +80,12 @@
             }
             Step::Close { link } => self.close(caller, link),
             Step::Cancel { attempt, .. } => self.push_cancel(caller, attempt, None),
-            Step::Prove { attempt, .. } => self.push_cancel(caller, attempt, Some(caller)),
-            Step::Queue => {
+            Step::ConfirmCancel { attempt, .. } => self.push_cancel(caller, attempt, Some(caller)),
+            Step::Enqueue => {
                 let (kind, retry) = (ErrorKind::Overloaded, Duration::from_secs(1));
-                return Some(Event::Unqueued { kind, retry });
+                return Some(Event::QueueRejected { kind, retry });
             }
-            Step::Judge => return Some(Event::Judged { guilty: false }),
+            Step::CheckCrashes => return Some(Event::CrashesChecked { at_fault: false }),
             Step::Ack { attempt, next, .. } => {
                 let (agent, _) = self.callers[caller].sent[&attempt];
                 let id = self.attempt(caller, attempt);
@@ -130,11 +130,11 @@
         }
         caller.left = true;
         let mut plan = caller.plan.clone();
-        plan.from = TokenIndex(caller.output.len() as u64);
-        plan.running = Some(target.clone());
-        plan.first = attempt;
+        plan.resume_index = TokenIndex(caller.output.len() as u64);
+        plan.running_target = Some(target.clone());
+        plan.running_attempt = attempt;
         self.entries += 1;
-        plan.next = AttemptNo(1000 * self.entries);
+        plan.next_attempt = AttemptNo(1000 * self.entries);
         plan.prefix = match held {
             true => caller.output.clone(),
             false => Vec::new(),
@@ -143,7 +143,7 @@
         let stamp = self.agents[agent].stamp;
         let back = Caller {
             id: caller.id,
-            machine: Generation::new(plan.clone(), Limits::default()),
+            machine: Generation::new(plan.clone(), GenerationLimits::default()),
             plan,
             links: BTreeMap::new(),
             sent: BTreeMap::from([(attempt, (agent, stamp))]),
--- a/crates/cw_policy/tests/generation_world/messages.rs
+++ b/crates/cw_policy/tests/generation_world/messages.rs
@@ -37,7 +37,7 @@
         }
         if let Some(caller) = asked.prover {
             let attempt = asked.cancel.id.attempt;
-            self.feed(caller, Event::Proof { attempt, ran });
+            self.feed(caller, Event::CancelResult { attempt, ran });
         }
     }
 
--- a/crates/cw_policy/tests/generation_world/mod.rs
+++ b/crates/cw_policy/tests/generation_world/mod.rs
@@ -16,9 +16,9 @@
 use claims::StoreSim;
 use cw_policy::Event;
 use cw_policy::Generation;
-use cw_policy::Limits;
+use cw_policy::GenerationLimits;
+use cw_policy::GenerationPlan;
 use cw_policy::LinkId;
-use cw_policy::Plan;
 use cw_policy::Reader;
 use cw_policy::Step;
 use cw_types::AttemptId;
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 struct Caller {
     id: GenerationId,
-    plan: Plan,
+    plan: GenerationPlan,
     machine: Generation,
     links: BTreeMap<LinkId, Link>,
     sent: BTreeMap<AttemptNo, (usize, Stamp)>,
@@ -155,7 +155,7 @@
 
 impl World {
     /// Returns a world with one caller for each plan.
-    pub(crate) fn new(plans: Vec<(Plan, Limits)>) -> Self {
+    pub(crate) fn new(plans: Vec<(GenerationPlan, GenerationLimits)>) -> Self {
         let now = Time(1_000_000);
         let agents = (0..TARGETS).map(|at| AgentSim::new(now, 1000 * at as u32));
         let callers = plans.into_iter().enumerate().map(|(at, (plan, limits))| {
--- a/crates/cw_policy/tests/membership.rs
+++ b/crates/cw_policy/tests/membership.rs
@@ -297,7 +297,7 @@
         host: name(&format!("e{n}")),
         zone: name("a"),
         region: name("r"),
-        peers: "127.0.0.1:1".parse().expect("an address"),
+        peer_address: "127.0.0.1:1".parse().expect("an address"),
     };
     (0..count).map(entry).collect()
 }
--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -262,8 +262,8 @@
         liveness: Liveness::Alive,
         incarnation: Incarnation(1),
         load: Default::default(),
-        reported: at(0),
-        returned: at(0),
+        reported_at: at(0),
+        alive_since: at(0),
         versions: [(model(), [name("v1")].into())].into(),
         crashes: Vec::new(),
     }
--- a/crates/cw_policy/tests/routing/fixtures.rs
+++ b/crates/cw_policy/tests/routing/fixtures.rs
@@ -48,8 +48,8 @@
             limit: 16,
             ..Load::default()
         },
-        reported: Time(now().0 - 100_000),
-        returned: Time(0),
+        reported_at: Time(now().0 - 100_000),
+        alive_since: Time(0),
         versions,
         crashes: Vec::new(),
     }
--- a/crates/cw_policy/tests/routing/preference.rs
+++ b/crates/cw_policy/tests/routing/preference.rs
@@ -113,7 +113,7 @@
     target.load.running = 0;
     let age = Duration::from_secs(1);
     let later = now();
-    target.returned.0 = later.0 - u64::try_from(age.as_micros()).unwrap();
+    target.alive_since.0 = later.0 - u64::try_from(age.as_micros()).unwrap();
     let counts = spread(&view, 100, 0);
     let to_returned = counts.get(&id(4)).copied().unwrap_or_default();
 
--- a/crates/cw_policy/tests/suspicion.rs
+++ b/crates/cw_policy/tests/suspicion.rs
@@ -53,8 +53,8 @@
         liveness: Liveness::Alive,
         incarnation: Incarnation(1),
         load: Load::default(),
-        reported: Time(0),
-        returned: Time(0),
+        reported_at: Time(0),
+        alive_since: Time(0),
         versions: BTreeMap::new(),
         crashes: crashes.iter().enumerate().map(report).collect(),
     };
--- a/crates/cw_policy/tests/trace.rs
+++ b/crates/cw_policy/tests/trace.rs
@@ -27,7 +27,7 @@
     let outcome = replay(&text(&file)).expect("a trace can be read");
 
     let outcome = outcome.unwrap_or_else(|difference| panic!("{difference}"));
-    assert_eq!(outcome.misplaced, 0);
+    assert_eq!(outcome.out_of_order, 0);
     assert_ne!(outcome.ending, Ending::Open);
 }
 
@@ -66,7 +66,7 @@
 #[rstest]
 fn an_outcome_is_written_with_units() {
     let outcome = Outcome {
-        slowest: Some(std::time::Duration::from_millis(1250)),
+        longest_gap: Some(std::time::Duration::from_millis(1250)),
         ..Outcome::default()
     };
 
--- a/crates/cw_testkit/src/experiment/capacity/choice.rs
+++ b/crates/cw_testkit/src/experiment/capacity/choice.rs
@@ -65,8 +65,8 @@
             limit: 16,
             ..Load::default()
         },
-        reported: NOW,
-        returned: Time(0),
+        reported_at: NOW,
+        alive_since: Time(0),
         versions: BTreeMap::from([(name("model".to_owned()), versions)]),
         crashes: Vec::new(),
     }
@@ -117,7 +117,7 @@
     let (mut deciding, mut indexing) = (Duration::ZERO, Duration::ZERO);
     for _ in 0..REPEATS {
         for (id, target) in &mut view.targets {
-            target.reported = now;
+            target.reported_at = now;
             if all_busy {
                 ledger.refused(now, id, Duration::from_secs(1));
             }
--- a/crates/cw_testkit/src/experiment/capacity/spread.rs
+++ b/crates/cw_testkit/src/experiment/capacity/spread.rs
@@ -321,7 +321,7 @@
         region: format!("region-{}", n % REGIONS)
             .parse()
             .expect("a valid name"),
-        peers: "10.0.0.1:7000".parse().expect("an address"),
+        peer_address: "10.0.0.1:7000".parse().expect("an address"),
     }
 }
 
--- a/crates/cw_testkit/src/experiment/record.rs
+++ b/crates/cw_testkit/src/experiment/record.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cw_policy::trace::Head;
+use cw_policy::trace::TraceHeader;
 use cw_policy::trace::replay;
 use cw_types::ByteSize;
 use cw_types::Recovery;
@@ -145,7 +145,7 @@
     let outcome = replay(trace).map_err(ExperimentError::new)?;
     let outcome = outcome.map_err(ExperimentError::new)?;
     let (head, rest) = trace.split_once('\n').unwrap_or((trace, ""));
-    let mut head: Head = serde_json::from_str(head).map_err(ExperimentError::new)?;
+    let mut head: TraceHeader = serde_json::from_str(head).map_err(ExperimentError::new)?;
     head.outcome = Some(outcome);
     let head = serde_json::to_string(&head).map_err(ExperimentError::new)?;
     let file = directory.join(format!("{name}.jsonl"));
--- a/crates/cyclamenwharf/src/agent/lease_floor.rs
+++ b/crates/cyclamenwharf/src/agent/lease_floor.rs
@@ -43,7 +43,7 @@
     let found = state.store.get(LEASE_KEY).await.context(ReadSnafu)?;
     let lease = found.ok_or(FloorError::Vacant)?;
     let floor = u64::try_from(lease.created.0).unwrap_or_default();
-    lock(&state.orders).on_highest(FencingNumber(floor));
+    lock(&state.orders).observe_fencing(FencingNumber(floor));
     state.floored.store(true, Ordering::Release);
     Ok(())
 }
--- a/crates/cyclamenwharf/src/agent/order_runner.rs
+++ b/crates/cyclamenwharf/src/agent/order_runner.rs
@@ -79,7 +79,7 @@
             return (orders.on_order(order, 0), Vec::new());
         };
         let step = orders.on_order(order, table.pinned(model, version));
-        if step == OrderStep::Pass {
+        if step == OrderStep::Forward {
             table.on_unloading(model, version, true);
         }
         (step, Vec::new())
@@ -124,7 +124,7 @@
         },
         StatusCode::CONFLICT => match serde_json::from_slice::<OrderFenced>(bytes) {
             Ok(OrderFenced { highest }) => {
-                lock(&state.orders).on_highest(highest);
+                lock(&state.orders).observe_fencing(highest);
                 OrderAnswer::Fenced { highest }
             }
             Err(_) => failed(),
--- a/crates/cyclamenwharf/src/agent/reporter.rs
+++ b/crates/cyclamenwharf/src/agent/reporter.rs
@@ -59,7 +59,7 @@
     let relays = relays(&settings.target.id, &settings.region, &entries);
     let calls = relays
         .iter()
-        .map(|entry| client.call(entry.peers, path::REPORTS, report, TIMEOUT));
+        .map(|entry| client.call(entry.peer_address, path::REPORTS, report, TIMEOUT));
     for answer in join_all(calls).await {
         match answer {
             Ok(ReportAnswer { revision, drained }) => {
--- a/crates/cyclamenwharf/src/control/sender.rs
+++ b/crates/cyclamenwharf/src/control/sender.rs
@@ -46,7 +46,7 @@
             let batch = batch.clone();
             async move {
                 client
-                    .call::<Batch, ()>(peer.peers, path::BATCHES, &batch, LIMIT)
+                    .call::<Batch, ()>(peer.peer_address, path::BATCHES, &batch, LIMIT)
                     .await
             }
         };
@@ -70,7 +70,7 @@
             let call = this
                 .client
                 .fresh()
-                .call::<_, ConfigAnswer>(peer.peers, path::CONFIG, &ask, WHOLE_LIMIT)
+                .call::<_, ConfigAnswer>(peer.peer_address, path::CONFIG, &ask, WHOLE_LIMIT)
                 .await;
             match call {
                 Ok(answer) => {
@@ -89,7 +89,7 @@
         tokio::spawn(async move {
             let call = this
                 .client
-                .call::<_, Batch>(peer.peers, path::STATE, &(), WHOLE_LIMIT)
+                .call::<_, Batch>(peer.peer_address, path::STATE, &(), WHOLE_LIMIT)
                 .await;
             match call {
                 Ok(batch) => {
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -163,7 +163,7 @@
         host: settings.host.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        peers: addresses.peers,
+        peer_address: addresses.peers,
     };
     keep_planner(parts, &services, &sender, &shared.view);
     keep_core(parts, receiver, move |seed, health| CoreParts {
--- a/crates/cyclamenwharf/src/entry/calls.rs
+++ b/crates/cyclamenwharf/src/entry/calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chrono::Utc;
-use cw_policy::Plan;
+use cw_policy::GenerationPlan;
 use cw_policy::View;
 use cw_types::ByteSize;
 use cw_types::ErrorKind;
@@ -186,8 +186,8 @@
     asked: &Asked,
     back: Option<&EventId>,
     idempotent: bool,
-) -> Result<Plan, Refusal> {
-    let mut plan = Plan::generate(route.patience).with_idempotent(idempotent);
+) -> Result<GenerationPlan, Refusal> {
+    let mut plan = GenerationPlan::generate(route.patience).with_idempotent(idempotent);
     plan.max_tokens = Some(asked.max_tokens);
     let Some(back) = back else {
         return match asked.so_far.is_empty() {
@@ -205,11 +205,11 @@
             back.next
         )));
     }
-    plan.from = back.next;
+    plan.resume_index = back.next;
     plan.prefix = asked.so_far.clone();
-    plan.running = Some(back.target.clone());
-    plan.first = back.attempt.attempt;
-    plan.next = taken_over();
+    plan.running_target = Some(back.target.clone());
+    plan.running_attempt = back.attempt.attempt;
+    plan.next_attempt = taken_over();
     Ok(plan)
 }
 
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -11,7 +11,7 @@
 use cw_policy::ClaimState;
 use cw_policy::ClaimStep;
 use cw_policy::ClaimWrite;
-use cw_policy::KeptAnswer;
+use cw_policy::StoredAnswer;
 use cw_store::KeyValue;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
@@ -83,12 +83,12 @@
                     self.swap(key, expected, &claim, lease).await?
                 }
                 ClaimStep::Read => match self.store.get(key).await {
-                    Ok(value) => ClaimEvent::Holds(value.as_ref().map(parse).transpose()?),
+                    Ok(value) => ClaimEvent::Current(value.as_ref().map(parse).transpose()?),
                     // A read has no effect, so it may be asked again.
-                    Err(_) => ClaimEvent::Lost,
+                    Err(_) => ClaimEvent::Unconfirmed,
                 },
-                ClaimStep::Mine(revision) => return Ok(revision),
-                ClaimStep::Taken(..) => return Err(ErrorKind::InProgress),
+                ClaimStep::Acquired(revision) => return Ok(revision),
+                ClaimStep::Conflict(..) => return Err(ErrorKind::InProgress),
                 ClaimStep::Unavailable => return Err(ErrorKind::StoreUnavailable),
             };
             step = write.on_event(event);
@@ -109,7 +109,7 @@
             Ok(Swap::Done(revision)) => Ok(ClaimEvent::Written(ClaimRevision(revision.0))),
             Ok(Swap::Conflict(value)) => {
                 let held = value.as_ref().map(parse).transpose()?;
-                Ok(ClaimEvent::Holds(held))
+                Ok(ClaimEvent::Current(held))
             }
             Err(StoreError::Unavailable { .. } | StoreError::Compacted) => {
                 Ok(ClaimEvent::Unavailable)
@@ -118,7 +118,9 @@
                 *self.lease.lock().await = None;
                 Ok(ClaimEvent::Unavailable)
             }
-            Err(StoreError::Lost { .. } | StoreError::Protocol { .. }) => Ok(ClaimEvent::Lost),
+            Err(StoreError::Lost { .. } | StoreError::Protocol { .. }) => {
+                Ok(ClaimEvent::Unconfirmed)
+            }
         }
     }
 
@@ -173,7 +175,7 @@
     }
 
     /// Keeps the answer with the claim, for later calls; one that is too large is not kept.
-    pub(crate) async fn keep(&self, now: Time, answer: KeptAnswer) {
+    pub(crate) async fn keep(&self, now: Time, answer: StoredAnswer) {
         let mut held = self.held.lock().await;
         let Some((claim, revision)) = held.take() else {
             return;
--- a/crates/cyclamenwharf/src/entry/delivery.rs
+++ b/crates/cyclamenwharf/src/entry/delivery.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_policy::KeptAnswer;
 use cw_policy::Step;
+use cw_policy::StoredAnswer;
 use cw_policy::slo::Class;
 use cw_policy::slo::Counts;
 use cw_types::ErrorKind;
@@ -103,7 +103,7 @@
                 self.send(Output::Finish(finish)).await;
             }
             Step::Fail { kind, ran, retry } => self.fail(kind, ran, retry).await,
-            Step::Cleared => self.front.suspicion.finished(self.job.fingerprint),
+            Step::ClearSuspicion => self.front.suspicion.finished(self.job.fingerprint),
             Step::Abandon => self.end("abandoned"),
             Step::Crashed { target } => self.note(&target, "an engine crashed"),
             Step::Lost { target } => self.note(&target, "an attempt is lost"),
@@ -122,7 +122,7 @@
         self.front.slo.whole(&self.class, true);
         if let Some(KeyUse::Claimed(slot)) = &self.job.key {
             let slot = Arc::clone(slot);
-            let kept = KeptAnswer {
+            let kept = StoredAnswer {
                 status: answer.status,
                 headers: answer.headers.clone(),
                 body: answer.body.clone(),
--- a/crates/cyclamenwharf/src/entry/driver/links.rs
+++ b/crates/cyclamenwharf/src/entry/driver/links.rs
@@ -126,12 +126,12 @@
 
     pub(super) fn prove(&mut self, attempt: AttemptNo) -> Option<Event> {
         let Some(sent) = self.attempts.get(attempt).cloned() else {
-            return Some(Event::Proof { attempt, ran: None });
+            return Some(Event::CancelResult { attempt, ran: None });
         };
         let front = Arc::clone(&self.front);
         self.inputs.wait(async move {
             let ran = front.prove(sent.peer, sent.cancel()).await;
-            Event::Proof { attempt, ran }
+            Event::CancelResult { attempt, ran }
         });
         None
     }
--- a/crates/cyclamenwharf/src/entry/driver/mod.rs
+++ b/crates/cyclamenwharf/src/entry/driver/mod.rs
@@ -59,7 +59,7 @@
         let view = front.view.load_full();
         let verdict = (front.suspicion).verdict(now, &view, job.fingerprint);
         let mut limits = job.limits(&front.settings);
-        limits.crashes = verdict.crashes_left(limits.crashes);
+        limits.max_crashes = verdict.crashes_left(limits.max_crashes);
         let known = match verdict {
             Verdict::Guilty { crashes } => crashes,
             Verdict::Clear | Verdict::Suspect { .. } => 0,
@@ -182,9 +182,9 @@
                     self.front.cancel(sent.peer, sent.cancel());
                 }
             }
-            Step::Prove { attempt, .. } => return self.prove(attempt),
-            Step::Queue => self.queue(now),
-            Step::Judge => self.judge(),
+            Step::ConfirmCancel { attempt, .. } => return self.prove(attempt),
+            Step::Enqueue => self.queue(now),
+            Step::CheckCrashes => self.judge(),
             Step::Ack { attempt, next, .. } => {
                 if let Some(sent) = self.attempts.get(attempt) {
                     self.front.ack(sent.peer, sent.id, next);
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -88,9 +88,9 @@
         let turn = self.front.line.wait(now, waiter, again);
         self.inputs.wait(async move {
             match turn.await {
-                Ok(Turn::Start) => Event::Turn,
-                Ok(Turn::Refuse { kind, retry }) => Event::Unqueued { kind, retry },
-                Err(_) => Event::Unqueued {
+                Ok(Turn::Start) => Event::Dequeued,
+                Ok(Turn::Refuse { kind, retry }) => Event::QueueRejected { kind, retry },
+                Err(_) => Event::QueueRejected {
                     kind: ErrorKind::Overloaded,
                     retry: TARGET_RETRY,
                 },
@@ -129,10 +129,10 @@
                 let verdict = front.suspicion.verdict(now, &view, request);
                 if matches!(verdict, Verdict::Guilty { crashes } if crashes > known) {
                     front.suspicion.convict(request);
-                    return Event::Judged { guilty: true };
+                    return Event::CrashesChecked { at_fault: true };
                 }
             }
-            Event::Judged { guilty: false }
+            Event::CrashesChecked { at_fault: false }
         });
     }
 }
--- a/crates/cyclamenwharf/src/entry/job.rs
+++ b/crates/cyclamenwharf/src/entry/job.rs
@@ -6,8 +6,8 @@
 use cw_policy::Claim;
 use cw_policy::ClaimId;
 use cw_policy::ClaimState;
-use cw_policy::Limits;
-use cw_policy::Plan;
+use cw_policy::GenerationLimits;
+use cw_policy::GenerationPlan;
 use cw_types::AttemptId;
 use cw_types::AttemptNo;
 use cw_types::ByteSize;
@@ -62,7 +62,7 @@
     /// The request's fingerprint.
     pub(crate) fingerprint: Fingerprint,
     /// What the generation's machine starts from.
-    pub(crate) plan: Plan,
+    pub(crate) plan: GenerationPlan,
     /// The work, without output of earlier attempts.
     pub(crate) work: Work,
     /// The size of the request's body.
@@ -88,9 +88,9 @@
     #[must_use]
     pub(crate) fn join(mut self, sent: Sent) -> Self {
         self.generation = sent.id.generation;
-        self.plan.running = Some(sent.target.clone());
-        self.plan.first = sent.id.attempt;
-        self.plan.next = taken_over();
+        self.plan.running_target = Some(sent.target.clone());
+        self.plan.running_attempt = sent.id.attempt;
+        self.plan.next_attempt = taken_over();
         self.known = Some(sent);
         if let Work::Generate(work) = &mut self.work {
             work.sampling.seed = self.seed.unwrap_or(drawn_seed(self.generation));
@@ -172,23 +172,23 @@
     }
 
     /// Returns the limits that the generation is held to.
-    pub(crate) fn limits(&self, settings: &EntrySettings) -> Limits {
+    pub(crate) fn limits(&self, settings: &EntrySettings) -> GenerationLimits {
         let recovery = &settings.recovery;
         let (silence, stall, hedges) = match self.recovery {
             Recovery::Latency => (recovery.latency_silence, recovery.latency_stall, HEDGES),
             Recovery::Thrift => (recovery.thrift_silence, recovery.stall, 1),
         };
-        Limits {
-            silence,
-            stall,
-            first: stall * FIRST_FACTOR,
-            head: recovery.head,
-            reattach: recovery.reattach,
-            attempts: recovery.attempts,
+        GenerationLimits {
+            link_timeout: silence,
+            stall_timeout: stall,
+            resume_timeout: stall * FIRST_FACTOR,
+            dispatch_timeout: recovery.head,
+            attach_timeout: recovery.reattach,
+            max_attempts: recovery.attempts,
             hedges,
-            absence: settings.limits.absence,
-            backoff: RESUME_BACKOFF,
-            ..Limits::default()
+            caller_timeout: settings.limits.absence,
+            busy_backoff: RESUME_BACKOFF,
+            ..GenerationLimits::default()
         }
     }
 }
--- a/crates/cyclamenwharf/src/entry/keyed.rs
+++ b/crates/cyclamenwharf/src/entry/keyed.rs
@@ -89,7 +89,7 @@
     };
     let key = Claim::key(&job.workspace, &key);
     // A caller that comes back by an event's id has found its generation already.
-    if job.plan.running.is_some() {
+    if job.plan.running_target.is_some() {
         return run(front, job).await;
     }
     match job.plan.idempotent {
@@ -184,7 +184,7 @@
 
 /// Counts a new request against its workspace's quota; one that was begun before counts already.
 fn admit(front: &Frontend, job: &Job) -> Result<Option<QuotaGuard>, Refusal> {
-    if job.plan.running.is_some() {
+    if job.plan.running_target.is_some() {
         return Ok(None);
     }
     let tokens = match &job.work {
--- a/crates/cyclamenwharf/src/entry/service.rs
+++ b/crates/cyclamenwharf/src/entry/service.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use cw_policy::Plan;
+use cw_policy::GenerationPlan;
 use cw_types::ByteSize;
 use cw_types::ErrorKind;
 use cw_types::GenerationId;
@@ -88,7 +88,7 @@
         rank: calls::rank(&view, &route),
         recovery: route.recovery,
         fingerprint: fingerprint(&caller, &call)?,
-        plan: Plan::call(route.patience).with_idempotent(idempotent),
+        plan: GenerationPlan::call(route.patience).with_idempotent(idempotent),
         size: ByteSize(call.body.len() as u64),
         work: Work::Call(call),
         seed: None,
--- a/crates/cyclamenwharf/src/host_entry.rs
+++ b/crates/cyclamenwharf/src/host_entry.rs
@@ -21,6 +21,6 @@
         host: host.host.clone(),
         zone: host.zone.clone(),
         region: host.region.clone(),
-        peers: host.peers,
+        peer_address: host.peers,
     })
 }
--- a/crates/cyclamenwharf/src/trace_book.rs
+++ b/crates/cyclamenwharf/src/trace_book.rs
@@ -6,13 +6,13 @@
 use std::sync::PoisonError;
 
 use cw_policy::Event;
-use cw_policy::Limits;
-use cw_policy::Plan;
+use cw_policy::GenerationLimits;
+use cw_policy::GenerationPlan;
 use cw_policy::Step;
 use cw_policy::trace::Ending;
-use cw_policy::trace::Entry;
-use cw_policy::trace::Head;
 use cw_policy::trace::Outcome;
+use cw_policy::trace::TraceHeader;
+use cw_policy::trace::TraceRecord;
 use cw_policy::trace::redacted;
 use cw_types::GenerationId;
 use cw_types::Time;
@@ -40,7 +40,7 @@
         for step in steps {
             self.outcome.observe(&mut self.next, step);
         }
-        let entry = Entry {
+        let entry = TraceRecord {
             at: now,
             event,
             steps: steps.to_vec(),
@@ -67,7 +67,7 @@
     /// Returns whether a person may want to see it: something was lost or refused on the way.
     fn is_notable(&self) -> bool {
         let links = self.outcome.dispatches + self.outcome.attachments;
-        self.outcome.ending != Ending::Whole || links > 1
+        self.outcome.ending != Ending::Complete || links > 1
     }
 }
 
@@ -91,8 +91,8 @@
     pub fn begin(
         &self,
         generation: GenerationId,
-        plan: &Plan,
-        limits: &Limits,
+        plan: &GenerationPlan,
+        limits: &GenerationLimits,
     ) -> Option<Recorder> {
         let room = self.settings.kept.as_usize() / SHARE;
         if room == 0 {
@@ -106,8 +106,8 @@
             outcome: Outcome::default(),
             next: None,
         };
-        recorder.push(&Head {
-            version: Head::VERSION,
+        recorder.push(&TraceHeader {
+            version: TraceHeader::VERSION,
             generation,
             plan: plan.clone(),
             limits: limits.clone(),
--- a/crates/cyclamenwharf/tests/entry_kit/mod.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/mod.rs
@@ -191,8 +191,8 @@
         liveness: Liveness::Alive,
         incarnation: Incarnation(1),
         load: Load::default(),
-        reported: Default::default(),
-        returned: Default::default(),
+        reported_at: Default::default(),
+        alive_since: Default::default(),
         versions: BTreeMap::from([(name_of("m"), BTreeSet::from([name_of("v1")]))]),
         crashes: Vec::new(),
     }
