--- a/crates/cw_policy/src/claim/claim_write.rs
+++ b/crates/cw_policy/src/claim/claim_write.rs
@@ -14,7 +14,8 @@
 pub enum ClaimEvent {
     /// The claim is written.
     Written(ClaimRevision),
-    /// The current value of the key, returned by a read or a refused write.
+    /// The current value of the key, or `None` if it does not exist, as returned by a read or a
+    /// refused write.
     Current(Option<(Box<Claim>, ClaimRevision)>),
     /// The reply is lost: the write may have taken effect, or may still do so.
     Unconfirmed,
@@ -44,8 +45,8 @@
 
 /// The state machine that writes one claim.
 ///
-/// After a lost reply it reads the key back: the id of the stored claim shows whether the write took
-/// effect.
+/// After a lost reply it reads the key back; the id of the stored claim shows whether the write
+/// took effect.
 #[derive(Clone, Debug)]
 pub struct ClaimWrite {
     claim: Claim,
@@ -54,8 +55,8 @@
 }
 
 impl ClaimWrite {
-    /// Returns a write of `claim` that replaces the claim of revision `expected`, or creates the key
-    /// if `expected` is `None`.
+    /// Returns a write of `claim` that replaces the claim of revision `expected`, or creates the
+    /// key if `expected` is `None`.
     pub fn new(claim: Claim, expected: Option<ClaimRevision>) -> Self {
         Self {
             claim,
--- a/crates/cw_policy/src/generation/frames.rs
+++ b/crates/cw_policy/src/generation/frames.rs
@@ -1,4 +1,4 @@
-//! What a generation does with the frames of its attempts.
+//! The handling of frames from agents.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,29 +21,37 @@
 use super::tracked_attempt::Phase;
 
 impl Generation {
-    pub(super) fn frame(&mut self, now: Time, link: LinkId, frame: Frame, steps: &mut Vec<Step>) {
-        let Some(track) = self.track_of(link) else {
+    pub(super) fn on_frame(
+        &mut self,
+        now: Time,
+        link: LinkId,
+        frame: Frame,
+        steps: &mut Vec<Step>,
+    ) {
+        let Some(tracked) = self.linked_attempt(link) else {
             steps.push(Step::Dropped(DropReason::ClosedLink));
             return;
         };
-        track.heard = now;
-        track.phase = Phase::Flowing;
-        let attempt = track.attempt;
+        tracked.last_frame = now;
+        tracked.phase = Phase::Streaming;
+        let attempt = tracked.attempt;
         match frame {
             Frame::Accepted { .. } => {}
-            Frame::Tokens { first, tokens } => self.tokens(now, attempt, first, tokens, steps),
-            Frame::Head { status, headers } => self.head(now, attempt, status, headers, steps),
-            Frame::Body { offset, bytes } => self.body(now, attempt, offset, &bytes, steps),
-            Frame::Heartbeat { quiet } => self.heartbeat(now, attempt, quiet, steps),
-            Frame::Done { finish, next } => self.done(now, attempt, finish, next, steps),
-            Frame::Failed { failure, ran, .. } => self.failed(now, attempt, failure, ran, steps),
-            Frame::NotRun { reason, retry, .. } => self.not_run(now, attempt, reason, retry, steps),
+            Frame::Tokens { first, tokens } => self.on_tokens(now, attempt, first, tokens, steps),
+            Frame::Head { status, headers } => self.on_head(now, attempt, status, headers, steps),
+            Frame::Body { offset, bytes } => self.on_body(now, attempt, offset, &bytes, steps),
+            Frame::Heartbeat { quiet } => self.on_heartbeat(now, attempt, quiet, steps),
+            Frame::Done { finish, next } => self.on_done(now, attempt, finish, next, steps),
+            Frame::Failed { failure, ran, .. } => self.on_failed(now, attempt, failure, ran, steps),
+            Frame::NotRun { reason, retry, .. } => {
+                self.on_not_run(now, attempt, reason, retry, steps)
+            }
         }
     }
 
-    // ---- Output of an engine ----
+    // ---- Output of engines ----
 
-    fn tokens(
+    fn on_tokens(
         &mut self,
         now: Time,
         attempt: AttemptNo,
@@ -51,31 +59,31 @@
         mut tokens: Vec<Token>,
         steps: &mut Vec<Step>,
     ) {
-        if self.is_other(attempt) {
+        if self.is_superseded(attempt) {
             steps.push(Step::Dropped(DropReason::OtherAttempt));
             return;
         }
         let next = self.next_index();
         if first > next {
-            return self.gap(now, attempt, steps);
+            return self.on_gap(now, attempt, steps);
         }
-        let known = usize::try_from(next.0 - first.0).unwrap_or(usize::MAX);
-        if known > 0 {
+        let received = usize::try_from(next.0 - first.0).unwrap_or(usize::MAX);
+        if received > 0 {
             steps.push(Step::Dropped(DropReason::Repeated));
         }
-        if known >= tokens.len() {
+        if received >= tokens.len() {
             return;
         }
-        tokens.drain(..known);
-        self.elect(now, attempt, steps);
+        tokens.drain(..received);
+        self.select_writer(now, attempt, steps);
         self.output.extend(tokens.iter().map(|token| token.id));
-        self.clear(steps);
-        self.deliver(attempt, next, tokens, steps);
-        self.ack(attempt, steps);
+        self.clear_suspicion(steps);
+        self.deliver_tokens(attempt, next, tokens, steps);
+        self.ack_output(attempt, steps);
     }
 
-    /// Passes on what the caller does not have; one that comes back has the beginning.
-    fn deliver(
+    /// Delivers the tokens that the caller lacks; a reconnecting caller already has the first ones.
+    fn deliver_tokens(
         &mut self,
         attempt: AttemptNo,
         first: TokenIndex,
@@ -83,74 +91,74 @@
         steps: &mut Vec<Step>,
     ) {
         let from = self.plan.resume_index.max(first);
-        let known = usize::try_from(from.0 - first.0).unwrap_or(usize::MAX);
-        if known >= tokens.len() {
+        let received = usize::try_from(from.0 - first.0).unwrap_or(usize::MAX);
+        if received >= tokens.len() {
             return;
         }
-        tokens.drain(..known);
-        let Some(track) = self.tracks.get(&attempt) else {
+        tokens.drain(..received);
+        let Some(tracked) = self.attempts.get(&attempt) else {
             return;
         };
         steps.push(Step::Deliver {
             first: from,
             attempt,
-            target: track.target.clone(),
+            target: tracked.target.clone(),
             tokens,
         });
     }
 
-    fn ack(&mut self, attempt: AttemptNo, steps: &mut Vec<Step>) {
+    fn ack_output(&mut self, attempt: AttemptNo, steps: &mut Vec<Step>) {
         let next = TokenIndex(
             self.next_index()
                 .0
                 .saturating_sub(self.limits.resend_window),
         );
-        if next.0 < self.acked.0 + self.limits.resend_window {
+        if next.0 < self.acked_index.0 + self.limits.resend_window {
             return;
         }
-        let Some(track) = self.tracks.get(&attempt) else {
+        let Some(tracked) = self.attempts.get(&attempt) else {
             return;
         };
-        self.acked = next;
+        self.acked_index = next;
         steps.push(Step::Ack {
             attempt,
-            target: track.target.clone(),
+            target: tracked.target.clone(),
             next,
         });
     }
 
-    fn is_other(&self, attempt: AttemptNo) -> bool {
+    fn is_superseded(&self, attempt: AttemptNo) -> bool {
         self.writer.is_some_and(|writer| writer != attempt)
     }
 
-    /// Makes an attempt the writer, and ends all others.
-    fn elect(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        if let Some(track) = self.tracks.get_mut(&attempt) {
-            track.moved = now;
-            track.begun = true;
-            track.stalled = false;
-            track.reattached = 0;
+    /// Makes an attempt the writer and cancels all others.
+    fn select_writer(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+        if let Some(tracked) = self.attempts.get_mut(&attempt) {
+            tracked.last_output = now;
+            tracked.has_output = true;
+            tracked.stalled = false;
+            tracked.reattach_count = 0;
         }
-        if self.writer == Some(attempt) && self.tracks.len() == 1 && self.lost_at.is_none() {
+        if self.writer == Some(attempt) && self.attempts.len() == 1 && self.lost_at.is_none() {
             return;
         }
         self.writer = Some(attempt);
-        let others: Vec<AttemptNo> = self.tracks.keys().copied().collect();
+        let others: Vec<AttemptNo> = self.attempts.keys().copied().collect();
         for other in others.into_iter().filter(|&other| other != attempt) {
-            self.drop_track(other, steps);
+            self.cancel_attempt(other, steps);
         }
-        self.wanted = 0;
-        self.judging = false;
+        self.pending_choices = 0;
+        self.checking_crashes = false;
         self.retry_at = None;
-        self.busy.clear();
-        self.lost.clear();
+        self.busy_targets.clear();
+        self.lost_targets.clear();
         if let Some(lost) = self.lost_at.take() {
             let latency = now.since(lost);
             steps.push(Step::Resumed { latency });
         }
     }
 
-    fn done(
+    fn on_done(
         &mut self,
         now: Time,
         attempt: AttemptNo,
@@ -158,34 +166,40 @@
         next: TokenIndex,
         steps: &mut Vec<Step>,
     ) {
-        if self.is_other(attempt) {
+        if self.is_superseded(attempt) {
             steps.push(Step::Dropped(DropReason::OtherAttempt));
             return;
         }
         if self.is_call() {
-            return self.answer(now, attempt, steps);
+            return self.deliver_response(now, attempt, steps);
         }
         if next > self.next_index() {
-            return self.gap(now, attempt, steps);
+            return self.on_gap(now, attempt, steps);
         }
-        self.elect(now, attempt, steps);
+        self.select_writer(now, attempt, steps);
         steps.push(Step::Finish(finish));
         self.end();
     }
 
-    fn heartbeat(&mut self, now: Time, attempt: AttemptNo, quiet: Duration, steps: &mut Vec<Step>) {
-        let Some(track) = self.tracks.get(&attempt) else {
+    fn on_heartbeat(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        quiet: Duration,
+        steps: &mut Vec<Step>,
+    ) {
+        let Some(tracked) = self.attempts.get(&attempt) else {
             return;
         };
-        let limit = track.quiet_limit(&self.limits, self.plan.patience);
-        if !self.is_call() && !track.stalled && quiet >= limit {
-            self.stalled(now, attempt, quiet, steps);
+        let limit = tracked.output_timeout(&self.limits, self.plan.patience);
+        if !self.is_call() && !tracked.stalled && quiet >= limit {
+            self.on_stalled(now, attempt, quiet, steps);
         }
     }
 
-    // ---- Answer of a plain service ----
+    // ---- Responses of plain services ----
 
-    fn head(
+    fn on_head(
         &mut self,
         now: Time,
         attempt: AttemptNo,
@@ -193,17 +207,17 @@
         headers: BTreeMap<String, String>,
         steps: &mut Vec<Step>,
     ) {
-        if self.is_other(attempt) {
+        if self.is_superseded(attempt) {
             steps.push(Step::Dropped(DropReason::OtherAttempt));
             return;
         }
-        self.elect(now, attempt, steps);
-        if self.held.head.is_none() {
-            self.held.head = Some((status, headers));
+        self.select_writer(now, attempt, steps);
+        if self.response.head.is_none() {
+            self.response.head = Some((status, headers));
         }
     }
 
-    fn body(
+    fn on_body(
         &mut self,
         now: Time,
         attempt: AttemptNo,
@@ -211,28 +225,28 @@
         bytes: &Bytes,
         steps: &mut Vec<Step>,
     ) {
-        if self.is_other(attempt) {
+        if self.is_superseded(attempt) {
             steps.push(Step::Dropped(DropReason::OtherAttempt));
             return;
         }
-        let next = self.held.body.len() as u64;
-        if offset > next || self.held.head.is_none() {
-            return self.gap(now, attempt, steps);
+        let next = self.response.body.len() as u64;
+        if offset > next || self.response.head.is_none() {
+            return self.on_gap(now, attempt, steps);
         }
-        let known = usize::try_from(next - offset).unwrap_or(usize::MAX);
-        if known > 0 {
+        let received = usize::try_from(next - offset).unwrap_or(usize::MAX);
+        if received > 0 {
             steps.push(Step::Dropped(DropReason::Repeated));
         }
-        if known < bytes.len() {
-            self.held.body.extend_from_slice(&bytes[known..]);
+        if received < bytes.len() {
+            self.response.body.extend_from_slice(&bytes[received..]);
         }
     }
 
-    fn answer(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        let Some((status, headers)) = self.held.head.take() else {
-            return self.gap(now, attempt, steps);
+    fn deliver_response(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+        let Some((status, headers)) = self.response.head.take() else {
+            return self.on_gap(now, attempt, steps);
         };
-        let body = self.held.body.split().freeze();
+        let body = self.response.body.split().freeze();
         steps.push(Step::Answer {
             status,
             headers,
@@ -241,9 +255,9 @@
         self.end();
     }
 
-    // ---- Ends ----
+    // ---- Failures ----
 
-    fn failed(
+    fn on_failed(
         &mut self,
         now: Time,
         attempt: AttemptNo,
@@ -252,14 +266,14 @@
         steps: &mut Vec<Step>,
     ) {
         match failure {
-            Failure::TargetLost => self.crashed(now, attempt, ran, steps),
+            Failure::TargetLost => self.on_crashed(now, attempt, ran, steps),
             Failure::TargetError if ran != Ran::No => {
-                self.remove(attempt);
+                self.remove_attempt(attempt);
                 self.fail(ErrorKind::TargetFailed, ran, Duration::ZERO, steps);
             }
-            Failure::Trimmed => self.trimmed(now, attempt, steps),
+            Failure::Trimmed => self.on_trimmed(now, attempt, steps),
             Failure::TargetError | Failure::TargetStalled | Failure::Cancelled => {
-                self.lose(now, attempt, ran, steps);
+                self.lose_attempt(now, attempt, ran, steps);
             }
         }
     }
--- a/crates/cw_policy/src/generation/generation_state.rs
+++ b/crates/cw_policy/src/generation/generation_state.rs
@@ -1,4 +1,4 @@
-//! The state machine of one generation: its state, its clock and its beginning.
+//! The state of a generation, its timers, and the dispatch of its attempts.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,55 +21,55 @@
 use super::Step;
 use super::WorkKind;
 use super::tracked_attempt::Phase;
-use super::tracked_attempt::Track;
+use super::tracked_attempt::TrackedAttempt;
 
-/// The answer of a plain service, held back until it is whole.
+/// The response of a plain service, buffered until it is complete.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Held {
+pub(super) struct BufferedResponse {
     pub(super) head: Option<(u16, BTreeMap<String, String>)>,
     pub(super) body: BytesMut,
 }
 
-/// One generation at its entry.
+/// The state machine of one generation at its entry.
 ///
-/// At any moment at most one attempt writes: the first that brings the next token after a loss.
-/// All others are cancelled then, and what they still send is dropped.
+/// At any time, at most one attempt writes the output. After a loss, the first attempt to deliver
+/// the next token becomes the writer; the others are cancelled, and their later frames are dropped.
 #[derive(Clone, Debug)]
 pub struct Generation {
     pub(super) plan: GenerationPlan,
     pub(super) limits: GenerationLimits,
-    pub(super) tracks: BTreeMap<AttemptNo, Track>,
+    pub(super) attempts: BTreeMap<AttemptNo, TrackedAttempt>,
     pub(super) writer: Option<AttemptNo>,
-    pub(super) base: TokenIndex,
+    pub(super) base_index: TokenIndex,
     pub(super) output: Vec<TokenId>,
-    pub(super) held: Held,
-    pub(super) acked: TokenIndex,
+    pub(super) response: BufferedResponse,
+    pub(super) acked_index: TokenIndex,
     pub(super) next_attempt: AttemptNo,
     pub(super) next_link: LinkId,
-    pub(super) dispatched: u32,
-    pub(super) wanted: u32,
+    pub(super) dispatch_count: u32,
+    pub(super) pending_choices: u32,
     pub(super) queued: bool,
-    pub(super) busy: BTreeSet<TargetId>,
-    pub(super) lost: BTreeSet<TargetId>,
-    pub(super) refused: u32,
-    /// When the targets that refused are worth asking again, as the soonest of them says.
-    pub(super) retry: Option<Duration>,
-    pub(super) crashes: u32,
-    pub(super) crashed_at: TokenIndex,
-    pub(super) cleared_at: TokenIndex,
-    pub(super) judging: bool,
+    pub(super) busy_targets: BTreeSet<TargetId>,
+    pub(super) lost_targets: BTreeSet<TargetId>,
+    pub(super) refusal_count: u32,
+    /// The shortest retry delay that a refusing target has given.
+    pub(super) retry_after: Option<Duration>,
+    pub(super) crash_count: u32,
+    pub(super) crash_index: TokenIndex,
+    pub(super) cleared_index: TokenIndex,
+    pub(super) checking_crashes: bool,
     pub(super) lost_at: Option<Time>,
     pub(super) retry_at: Option<Time>,
     pub(super) started: Time,
-    pub(super) absent: Option<Time>,
+    pub(super) gone_since: Option<Time>,
     pub(super) ended: bool,
 }
 
 impl Generation {
-    /// Returns a generation that waits for [`Event::Start`].
+    /// Returns a generation that awaits [`Event::Start`].
     pub fn new(plan: GenerationPlan, limits: GenerationLimits) -> Self {
-        let known = plan.prefix.len() as u64 >= plan.resume_index.0;
-        let base = match known || plan.running_target.is_some() {
+        let has_prefix = plan.prefix.len() as u64 >= plan.resume_index.0;
+        let base_index = match has_prefix || plan.running_target.is_some() {
             true => TokenIndex(0),
             false => plan.resume_index,
         };
@@ -77,69 +77,71 @@
         output.truncate(usize::try_from(plan.resume_index.0).unwrap_or(usize::MAX));
         Self {
             next_attempt: plan.next_attempt,
-            base,
+            base_index,
             output,
             plan,
             limits,
-            tracks: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             writer: None,
-            held: Held::default(),
-            acked: TokenIndex(0),
+            response: BufferedResponse::default(),
+            acked_index: TokenIndex(0),
             next_link: LinkId(0),
-            dispatched: 0,
-            wanted: 0,
+            dispatch_count: 0,
+            pending_choices: 0,
             queued: false,
-            busy: BTreeSet::new(),
-            lost: BTreeSet::new(),
-            refused: 0,
-            retry: None,
-            crashes: 0,
-            crashed_at: TokenIndex(0),
-            cleared_at: TokenIndex(0),
-            judging: false,
+            busy_targets: BTreeSet::new(),
+            lost_targets: BTreeSet::new(),
+            refusal_count: 0,
+            retry_after: None,
+            crash_count: 0,
+            crash_index: TokenIndex(0),
+            cleared_index: TokenIndex(0),
+            checking_crashes: false,
             lost_at: None,
             retry_at: None,
             started: Time::default(),
-            absent: None,
+            gone_since: None,
             ended: false,
         }
     }
 
-    /// Takes in what happened and returns what to do next.
+    /// Processes an event and returns the steps to carry out.
     pub fn on_event(&mut self, now: Time, event: Event) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.ended {
             return steps;
         }
         match event {
-            Event::Start => self.start(now, &mut steps),
-            Event::Chosen(target) => self.chosen(now, target, &mut steps),
-            Event::NoTarget { kind, retry } => self.no_target(now, kind, retry, &mut steps),
-            Event::Dequeued => self.turn(&mut steps),
-            Event::QueueRejected { kind, retry } => self.unqueued(kind, retry, &mut steps),
-            Event::Frame { link, frame } => self.frame(now, link, frame, &mut steps),
-            Event::Closed { link, effect } => self.closed(now, link, effect, &mut steps),
-            Event::CancelResult { attempt, ran } => self.proof(now, attempt, ran, &mut steps),
-            Event::Claimed { link } => self.claimed(now, link),
-            Event::NotClaimed { link, kind } => self.not_claimed(link, kind, &mut steps),
-            Event::CrashesChecked { at_fault } => self.judged(at_fault, &mut steps),
+            Event::Start => self.on_start(now, &mut steps),
+            Event::Chosen(target) => self.on_chosen(now, target, &mut steps),
+            Event::NoTarget { kind, retry } => self.on_no_target(now, kind, retry, &mut steps),
+            Event::Dequeued => self.on_dequeued(&mut steps),
+            Event::QueueRejected { kind, retry } => self.on_queue_rejected(kind, retry, &mut steps),
+            Event::Frame { link, frame } => self.on_frame(now, link, frame, &mut steps),
+            Event::Closed { link, effect } => self.on_closed(now, link, effect, &mut steps),
+            Event::CancelResult { attempt, ran } => {
+                self.on_cancel_result(now, attempt, ran, &mut steps)
+            }
+            Event::Claimed { link } => self.on_claimed(now, link),
+            Event::NotClaimed { link, kind } => self.on_not_claimed(link, kind, &mut steps),
+            Event::CrashesChecked { at_fault } => self.on_crashes_checked(at_fault, &mut steps),
             Event::Refuse(kind) => self.fail(kind, self.ran(), Duration::ZERO, &mut steps),
-            Event::CallerGone => self.caller_gone(now, &mut steps),
-            Event::Tick => self.tick(now, &mut steps),
+            Event::CallerGone => self.on_caller_gone(now, &mut steps),
+            Event::Tick => self.on_tick(now, &mut steps),
         }
         steps
     }
 
-    /// Returns when the next [`Event::Tick`] is due.
+    /// Returns the time at which the next [`Event::Tick`] is due, if a timeout is pending.
     pub fn deadline(&self) -> Option<Time> {
         if self.ended {
             return None;
         }
-        let tracks = self.tracks.values();
-        tracks
-            .filter_map(|track| track.deadline(&self.limits))
+        let attempts = self.attempts.values();
+        attempts
+            .filter_map(|tracked| tracked.deadline(&self.limits))
             .chain(self.retry_at)
-            .chain(self.leave_at())
+            .chain(self.abandon_at())
             .min()
     }
 
@@ -148,51 +150,51 @@
         self.ended
     }
 
-    /// Returns the first index that has not come yet.
+    /// Returns the first token index that has not been received.
     pub fn next_index(&self) -> TokenIndex {
-        self.base.plus(self.output.len())
+        self.base_index.plus(self.output.len())
     }
 
-    /// Returns whether the request was run, as far as the machine knows.
+    /// Returns whether the request has run, as far as the machine knows.
     pub fn ran(&self) -> Ran {
         let answered =
-            self.next_index().max(self.plan.resume_index).0 > 0 || self.held.head.is_some();
-        match (answered, self.dispatched) {
+            self.next_index().max(self.plan.resume_index).0 > 0 || self.response.head.is_some();
+        match (answered, self.dispatch_count) {
             (true, _) => Ran::Partly,
             (false, 0) => Ran::No,
             (false, _) => Ran::Unknown,
         }
     }
 
-    // ---- Beginning ----
+    // ---- Start and dispatch ----
 
-    fn start(&mut self, now: Time, steps: &mut Vec<Step>) {
+    fn on_start(&mut self, now: Time, steps: &mut Vec<Step>) {
         self.started = now;
         match self.plan.running_target.clone() {
-            Some(target) => self.come_back(now, target, steps),
-            None => self.choose(self.next_index() > TokenIndex(0), false, steps),
+            Some(target) => self.attach_running(now, target, steps),
+            None => self.choose_target(self.next_index() > TokenIndex(0), false, steps),
         }
     }
 
-    /// Attaches to the attempt that an earlier entry, or an earlier call, dispatched.
-    fn come_back(&mut self, now: Time, target: TargetId, steps: &mut Vec<Step>) {
+    /// Attaches to an attempt that another entry or an earlier call dispatched.
+    fn attach_running(&mut self, now: Time, target: TargetId, steps: &mut Vec<Step>) {
         let attempt = self.plan.running_attempt;
-        self.dispatched += 1;
+        self.dispatch_count += 1;
         let link = self.new_link();
-        let track = Track {
+        let tracked = TrackedAttempt {
             attempt,
             target: target.clone(),
             link,
             phase: Phase::Reattached,
-            heard: now,
-            moved: now,
-            so_far: None,
+            last_frame: now,
+            last_output: now,
+            dispatched_output: None,
             resumed: false,
-            begun: false,
+            has_output: false,
             stalled: false,
-            reattached: 1,
+            reattach_count: 1,
         };
-        self.tracks.insert(attempt, track);
+        self.attempts.insert(attempt, tracked);
         steps.push(Step::Attach {
             link,
             attempt,
@@ -202,28 +204,32 @@
         });
     }
 
-    pub(super) fn choose(&mut self, resumed: bool, hedge: bool, steps: &mut Vec<Step>) {
-        self.wanted += 1;
+    pub(super) fn choose_target(&mut self, resumed: bool, hedge: bool, steps: &mut Vec<Step>) {
+        self.pending_choices += 1;
         steps.push(Step::Choose {
-            exclude: self.busy.union(&self.lost).cloned().collect(),
+            exclude: self
+                .busy_targets
+                .union(&self.lost_targets)
+                .cloned()
+                .collect(),
             resumed,
-            suspect: self.crashes > 0,
+            suspect: self.crash_count > 0,
             hedge,
         });
     }
 
-    fn chosen(&mut self, now: Time, target: TargetId, steps: &mut Vec<Step>) {
-        if self.wanted == 0 {
+    fn on_chosen(&mut self, now: Time, target: TargetId, steps: &mut Vec<Step>) {
+        if self.pending_choices == 0 {
             return;
         }
-        self.wanted -= 1;
+        self.pending_choices -= 1;
         let attempt = self.next_attempt;
         self.next_attempt = attempt.next();
-        let resumed = self.dispatched > 0 || self.next_index() > TokenIndex(0);
-        self.dispatched += 1;
+        let resumed = self.dispatch_count > 0 || self.next_index() > TokenIndex(0);
+        self.dispatch_count += 1;
         let link = self.new_link();
         let so_far = self.output.clone();
-        let track = Track {
+        let tracked = TrackedAttempt {
             attempt,
             target: target.clone(),
             link,
@@ -231,17 +237,17 @@
                 true => Phase::Claiming,
                 false => Phase::Dispatched,
             },
-            heard: now,
-            moved: now,
-            so_far: Some(so_far.clone()),
+            last_frame: now,
+            last_output: now,
+            dispatched_output: Some(so_far.clone()),
             resumed,
-            begun: false,
+            has_output: false,
             stalled: false,
-            reattached: 0,
+            reattach_count: 0,
         };
-        // A second hedge must not go to the target of the first.
-        self.busy.insert(target.clone());
-        self.tracks.insert(attempt, track);
+        // Excludes the target from the choice for a second hedge.
+        self.busy_targets.insert(target.clone());
+        self.attempts.insert(attempt, tracked);
         steps.push(Step::Dispatch {
             link,
             attempt,
@@ -257,38 +263,38 @@
         link
     }
 
-    // ---- Time ----
+    // ---- Timeouts ----
 
-    fn leave_at(&self) -> Option<Time> {
-        let absent = self.absent.filter(|_| self.plan.idempotent);
-        absent.map(|absent| absent + self.limits.caller_timeout)
+    fn abandon_at(&self) -> Option<Time> {
+        let gone_since = self.gone_since.filter(|_| self.plan.idempotent);
+        gone_since.map(|since| since + self.limits.caller_timeout)
     }
 
-    fn caller_gone(&mut self, now: Time, steps: &mut Vec<Step>) {
-        self.absent = self.absent.or(Some(now));
-        if self.dispatched == 0 {
-            // Nothing runs that a caller could come back to.
+    fn on_caller_gone(&mut self, now: Time, steps: &mut Vec<Step>) {
+        self.gone_since = self.gone_since.or(Some(now));
+        if self.dispatch_count == 0 {
+            // No attempt runs that the caller could reconnect to.
             self.abandon(steps);
         }
     }
 
-    fn tick(&mut self, now: Time, steps: &mut Vec<Step>) {
-        if self.leave_at().is_some_and(|at| at <= now) {
+    fn on_tick(&mut self, now: Time, steps: &mut Vec<Step>) {
+        if self.abandon_at().is_some_and(|at| at <= now) {
             return self.abandon(steps);
         }
         if self.retry_at.is_some_and(|at| at <= now) {
             self.retry_at = None;
-            self.busy.clear();
-            self.choose(true, false, steps);
+            self.busy_targets.clear();
+            self.choose_target(true, false, steps);
         }
         let limits = &self.limits;
-        let tracks = self.tracks.values();
-        let silent: Vec<AttemptNo> = tracks
-            .filter(|track| track.deadline(limits).is_some_and(|at| at <= now))
-            .map(|track| track.attempt)
+        let attempts = self.attempts.values();
+        let timed_out: Vec<AttemptNo> = attempts
+            .filter(|tracked| tracked.deadline(limits).is_some_and(|at| at <= now))
+            .map(|tracked| tracked.attempt)
             .collect();
-        for attempt in silent {
-            self.silent(now, attempt, steps);
+        for attempt in timed_out {
+            self.on_timeout(now, attempt, steps);
         }
     }
 
@@ -296,8 +302,8 @@
 
     pub(super) fn end(&mut self) {
         self.ended = true;
-        self.tracks.clear();
-        self.wanted = 0;
+        self.attempts.clear();
+        self.pending_choices = 0;
     }
 
     pub(super) fn fail(
@@ -318,75 +324,77 @@
         self.end();
     }
 
-    /// Cancels every attempt that may still run. One that may run once is left to end by itself.
+    /// Closes the link of every attempt and cancels idempotent work; non-idempotent work runs to
+    /// completion.
     fn cancel_all(&mut self, steps: &mut Vec<Step>) {
-        let attempts: Vec<AttemptNo> = self.tracks.keys().copied().collect();
+        let attempts: Vec<AttemptNo> = self.attempts.keys().copied().collect();
         for attempt in attempts {
-            self.drop_track(attempt, steps);
+            self.cancel_attempt(attempt, steps);
         }
     }
 
-    /// Closes and cancels one attempt, and returns its target.
-    pub(super) fn drop_track(
+    /// Removes an attempt, closes its link, cancels it if it is idempotent, and returns its target.
+    pub(super) fn cancel_attempt(
         &mut self,
         attempt: AttemptNo,
         steps: &mut Vec<Step>,
     ) -> Option<TargetId> {
-        let track = self.tracks.remove(&attempt)?;
+        let tracked = self.attempts.remove(&attempt)?;
         if self.writer == Some(attempt) {
             self.writer = None;
         }
-        steps.push(Step::Close { link: track.link });
+        steps.push(Step::Close { link: tracked.link });
         if self.plan.idempotent {
-            let target = track.target.clone();
+            let target = tracked.target.clone();
             steps.push(Step::Cancel { attempt, target });
         }
-        Some(track.target)
+        Some(tracked.target)
     }
 
     // ---- Links ----
 
-    pub(super) fn track_of(&mut self, link: LinkId) -> Option<&mut Track> {
-        self.tracks
+    pub(super) fn linked_attempt(&mut self, link: LinkId) -> Option<&mut TrackedAttempt> {
+        self.attempts
             .values_mut()
-            .find(|track| track.link == link && track.is_linked())
+            .find(|tracked| tracked.link == link && tracked.has_link())
     }
 
-    fn closed(&mut self, now: Time, link: LinkId, effect: Effect, steps: &mut Vec<Step>) {
-        let Some(track) = self.track_of(link) else {
+    fn on_closed(&mut self, now: Time, link: LinkId, effect: Effect, steps: &mut Vec<Step>) {
+        let Some(tracked) = self.linked_attempt(link) else {
             return;
         };
-        let (attempt, phase) = (track.attempt, track.phase);
-        if self.absent.is_some() && self.plan.idempotent {
-            // The caller may be back by now, through another entry that reads the attempt.
-            self.remove(attempt);
+        let (attempt, phase) = (tracked.attempt, tracked.phase);
+        if self.gone_since.is_some() && self.plan.idempotent {
+            // The caller may have reconnected through another entry that reads the attempt, so the
+            // attempt is not cancelled.
+            self.remove_attempt(attempt);
             return self.abandon(steps);
         }
         match (phase, effect) {
             (Phase::Claiming, _) | (Phase::Dispatched, Effect::None) => {
-                self.not_sent(now, attempt, steps)
+                self.on_not_sent(now, attempt, steps)
             }
-            (Phase::Reattached, _) => self.unreachable(now, attempt, steps),
-            // A call that may have been read is asked for by its id, whatever became of it.
+            (Phase::Reattached, _) => self.on_unreachable(now, attempt, steps),
+            // The agent may have read the call, so the machine reattaches by the attempt's id.
             _ => self.reattach(now, attempt, steps),
         }
     }
 
-    fn claimed(&mut self, now: Time, link: LinkId) {
-        if let Some(track) = self.track_of(link) {
-            track.phase = Phase::Dispatched;
-            track.heard = now;
+    fn on_claimed(&mut self, now: Time, link: LinkId) {
+        if let Some(tracked) = self.linked_attempt(link) {
+            tracked.phase = Phase::Dispatched;
+            tracked.last_frame = now;
         }
     }
 
-    fn not_claimed(&mut self, link: LinkId, kind: ErrorKind, steps: &mut Vec<Step>) {
-        let Some(track) = self.track_of(link) else {
+    fn on_not_claimed(&mut self, link: LinkId, kind: ErrorKind, steps: &mut Vec<Step>) {
+        let Some(tracked) = self.linked_attempt(link) else {
             return;
         };
-        let attempt = track.attempt;
-        self.remove(attempt);
-        self.dispatched -= 1;
-        self.fail(kind, self.ran(), CLAIM_RETRY, steps);
+        let attempt = tracked.attempt;
+        self.remove_attempt(attempt);
+        self.dispatch_count -= 1;
+        self.fail(kind, self.ran(), CLAIM_RETRY_DELAY, steps);
     }
 
     pub(super) fn is_call(&self) -> bool {
@@ -394,5 +402,5 @@
     }
 }
 
-/// When to call again after a claim could not be written.
-const CLAIM_RETRY: Duration = Duration::from_secs(1);
+/// The retry delay reported to the caller after a failed write of a claim.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/crates/cw_policy/src/generation/recover.rs
+++ b/crates/cw_policy/src/generation/recover.rs
@@ -1,4 +1,4 @@
-//! What a generation does when an attempt is silent, stalled or lost.
+//! Recovery from silent links, stalled engines, crashes and lost attempts.
 
 use std::time::Duration;
 
@@ -15,120 +15,132 @@
 use super::Step;
 use super::tracked_attempt::Phase;
 
-/// Re-attachments without new output before an attempt counts as lost.
-const REATTACH_MAX: u32 = 3;
+/// The number of reattachments without new output after which an attempt counts as unreachable.
+const MAX_REATTACHMENTS: u32 = 3;
 
 impl Generation {
-    // ---- Silence ----
+    // ---- Reattachment ----
 
-    pub(super) fn silent(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        let phase = self.tracks.get(&attempt).map(|track| track.phase);
+    pub(super) fn on_timeout(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+        let phase = self.attempts.get(&attempt).map(|tracked| tracked.phase);
         match phase {
-            Some(Phase::Reattached) => self.unreachable(now, attempt, steps),
+            Some(Phase::Reattached) => self.on_unreachable(now, attempt, steps),
             Some(_) => self.reattach(now, attempt, steps),
             None => {}
         }
     }
 
-    /// Reaches an attempt again over a new connection: the old one may be dead by itself.
+    /// Reattaches to an attempt over a new connection, since the failure may be limited to the old
+    /// connection.
     pub(super) fn reattach(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
         let link = self.new_link();
         let from = self.next_index();
         let (idempotent, call) = (self.plan.idempotent, self.is_call());
-        let Some(track) = self.tracks.get_mut(&attempt) else {
+        let Some(tracked) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        if track.reattached >= REATTACH_MAX {
-            return self.unreachable(now, attempt, steps);
+        if tracked.reattach_count >= MAX_REATTACHMENTS {
+            return self.on_unreachable(now, attempt, steps);
         }
-        steps.push(Step::Close { link: track.link });
-        // The time of the loss is that of the last sign of life.
-        self.lost_at = self.lost_at.or(Some(track.heard.max(track.moved)));
-        track.link = link;
-        track.phase = Phase::Reattached;
-        track.heard = now;
-        track.reattached += 1;
+        steps.push(Step::Close { link: tracked.link });
+        // The loss is dated to the last frame or output.
+        self.lost_at = self
+            .lost_at
+            .or(Some(tracked.last_frame.max(tracked.last_output)));
+        tracked.link = link;
+        tracked.phase = Phase::Reattached;
+        tracked.last_frame = now;
+        tracked.reattach_count += 1;
         steps.push(Step::Attach {
             link,
             attempt,
-            target: track.target.clone(),
-            repeat: track.so_far.clone().filter(|_| idempotent),
+            target: tracked.target.clone(),
+            repeat: tracked.dispatched_output.clone().filter(|_| idempotent),
             from,
         });
         if call {
-            self.held = Default::default();
+            self.response = Default::default();
         }
     }
 
-    /// An output with a hole is asked for again.
-    pub(super) fn gap(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+    /// Requests the output again from the first missing index.
+    pub(super) fn on_gap(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
         steps.push(Step::Dropped(DropReason::Gap));
         self.reattach(now, attempt, steps);
     }
 
-    /// The agent cannot be reached.
-    pub(super) fn unreachable(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+    /// Handles an attempt whose agent cannot be reached.
+    pub(super) fn on_unreachable(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
         if self.plan.idempotent {
-            return self.lose(now, attempt, Ran::Unknown, steps);
+            return self.lose_attempt(now, attempt, Ran::Unknown, steps);
         }
-        let Some(track) = self.tracks.get_mut(&attempt) else {
+        let Some(tracked) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        if track.reattached < REATTACH_MAX {
-            steps.push(Step::Close { link: track.link });
-            track.phase = Phase::Pausing;
-            track.heard = now;
+        if tracked.reattach_count < MAX_REATTACHMENTS {
+            steps.push(Step::Close { link: tracked.link });
+            tracked.phase = Phase::BackingOff;
+            tracked.last_frame = now;
             return;
         }
-        if track.so_far.is_some() {
-            return self.prove(attempt, steps);
+        if tracked.dispatched_output.is_some() {
+            return self.confirm_cancel(attempt, steps);
         }
-        // The attempt is another entry's, which may well reach it: it is not to be cancelled.
-        self.drop_track(attempt, steps);
-        self.unknown_outcome(steps);
+        // Another entry dispatched the attempt and may still reach it, so it is not cancelled.
+        self.cancel_attempt(attempt, steps);
+        self.fail_unknown_outcome(steps);
     }
 
-    /// The agent does not know the attempt.
-    pub(super) fn forgotten(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+    /// Handles the reply of an agent that does not know the attempt.
+    pub(super) fn on_unknown_attempt(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        steps: &mut Vec<Step>,
+    ) {
         if self.plan.idempotent {
-            return self.lose(now, attempt, Ran::Unknown, steps);
+            return self.lose_attempt(now, attempt, Ran::Unknown, steps);
         }
         if self.plan.resume_index.0 == 0 {
-            return self.prove(attempt, steps);
+            return self.confirm_cancel(attempt, steps);
         }
-        // Its caller holds output of it: an agent that never saw it is of a later life.
-        self.drop_track(attempt, steps);
-        self.unknown_outcome(steps);
+        // The caller has received output of the attempt, so the agent has restarted since.
+        self.cancel_attempt(attempt, steps);
+        self.fail_unknown_outcome(steps);
     }
 
-    fn prove(&mut self, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        if let Some(track) = self.tracks.get_mut(&attempt) {
-            steps.push(Step::Close { link: track.link });
-            track.phase = Phase::Proving;
-            let target = track.target.clone();
+    fn confirm_cancel(&mut self, attempt: AttemptNo, steps: &mut Vec<Step>) {
+        if let Some(tracked) = self.attempts.get_mut(&attempt) {
+            steps.push(Step::Close { link: tracked.link });
+            tracked.phase = Phase::ConfirmingCancel;
+            let target = tracked.target.clone();
             steps.push(Step::ConfirmCancel { attempt, target });
         }
     }
 
-    pub(super) fn proof(
+    pub(super) fn on_cancel_result(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         ran: Option<Ran>,
         steps: &mut Vec<Step>,
     ) {
-        let proving = |phase| phase == Phase::Proving;
-        if !self.tracks.get(&attempt).is_some_and(|t| proving(t.phase)) {
+        let confirming = |phase| phase == Phase::ConfirmingCancel;
+        if !self
+            .attempts
+            .get(&attempt)
+            .is_some_and(|t| confirming(t.phase))
+        {
             return;
         }
         if ran == Some(Ran::No) {
-            return self.not_sent(now, attempt, steps);
+            return self.on_not_sent(now, attempt, steps);
         }
-        self.remove(attempt);
-        self.unknown_outcome(steps);
+        self.remove_attempt(attempt);
+        self.fail_unknown_outcome(steps);
     }
 
-    fn unknown_outcome(&mut self, steps: &mut Vec<Step>) {
+    fn fail_unknown_outcome(&mut self, steps: &mut Vec<Step>) {
         let ran = match self.ran() {
             Ran::Partly => Ran::Partly,
             _ => Ran::Unknown,
@@ -136,59 +148,61 @@
         self.fail(ErrorKind::OutcomeUnknown, ran, Duration::ZERO, steps);
     }
 
-    /// The beginning of the output is not kept any more: only a caller that has it can go on.
-    pub(super) fn trimmed(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+    /// Handles an attempt whose early output the agent no longer retains; only a caller that has
+    /// received it can continue.
+    pub(super) fn on_trimmed(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
         if self.next_index() >= self.plan.resume_index {
-            return self.lose(now, attempt, Ran::Partly, steps);
+            return self.lose_attempt(now, attempt, Ran::Partly, steps);
         }
-        self.base = self.plan.resume_index;
+        self.base_index = self.plan.resume_index;
         self.output.clear();
         self.reattach(now, attempt, steps);
     }
 
-    // ---- Stalls and losses ----
+    // ---- Stalls, crashes and losses ----
 
-    /// The engine produces nothing, though its agent lives.
-    pub(super) fn stalled(
+    /// Handles an engine that produces no output while its agent is alive.
+    pub(super) fn on_stalled(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         quiet: Duration,
         steps: &mut Vec<Step>,
     ) {
-        let Some(track) = self.tracks.get_mut(&attempt) else {
+        let Some(tracked) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        // Work that may run once has nothing to do but wait for the engine.
-        track.stalled = true;
+        // Non-idempotent work can only wait for the engine.
+        tracked.stalled = true;
         if !self.plan.idempotent {
             return;
         }
-        let target = track.target.clone();
-        let began = Time(now.0.saturating_sub((Time::default() + quiet).0));
-        self.lost_at = self.lost_at.or(Some(began));
+        let target = tracked.target.clone();
+        let stalled_since = Time(now.0.saturating_sub((Time::default() + quiet).0));
+        self.lost_at = self.lost_at.or(Some(stalled_since));
         steps.push(Step::Lost {
             target: target.clone(),
         });
         if self.limits.hedges < 2 {
-            self.drop_track(attempt, steps);
+            self.cancel_attempt(attempt, steps);
         } else if self.writer == Some(attempt) {
-            // The stalled attempt stays in the race: whichever brings the next token wins.
+            // The stalled attempt keeps running, and the first attempt to deliver the next token
+            // becomes the writer.
             self.writer = None;
         }
-        self.lost.insert(target);
-        self.resume(steps);
+        self.lost_targets.insert(target);
+        self.start_replacements(steps);
     }
 
-    /// An engine died under a living agent while it ran the attempt.
-    pub(super) fn crashed(
+    /// Handles an engine that crashed while it ran the attempt and its agent stayed up.
+    pub(super) fn on_crashed(
         &mut self,
         now: Time,
         attempt: AttemptNo,
         ran: Ran,
         steps: &mut Vec<Step>,
     ) {
-        let Some(target) = self.remove(attempt) else {
+        let Some(target) = self.remove_attempt(attempt) else {
             return;
         };
         self.count_crash();
@@ -196,119 +210,131 @@
         steps.push(Step::Crashed {
             target: target.clone(),
         });
-        self.lost.insert(target);
-        let cut = ran != Ran::No && self.plan.idempotent && self.absent.is_none();
-        if cut && self.crashes >= self.limits.max_crashes {
-            self.judging = true;
+        self.lost_targets.insert(target);
+        let may_check = ran != Ran::No && self.plan.idempotent && self.gone_since.is_none();
+        if may_check && self.crash_count >= self.limits.max_crashes {
+            self.checking_crashes = true;
             steps.push(Step::CheckCrashes);
             return;
         }
-        self.replace(now, ran, steps);
+        self.replace_attempt(now, ran, steps);
     }
 
-    /// A request that crashes its engines does so at the same place of its output each time. One
-    /// whose output went on since the last crash was only there when an engine died.
+    /// Counts a crash. A request that causes crashes does so at the same index of its output each
+    /// time; one whose output has advanced since the last crash was in flight by coincidence.
     fn count_crash(&mut self) {
-        let here = self.next_index();
-        let progress = here.0.saturating_sub(self.crashed_at.0);
-        self.crashes = match progress >= self.limits.crash_progress {
+        let index = self.next_index();
+        let progress = index.0.saturating_sub(self.crash_index.0);
+        self.crash_count = match progress >= self.limits.crash_progress {
             true => 1,
-            false => self.crashes + 1,
+            false => self.crash_count + 1,
         };
-        self.crashed_at = here;
-        self.cleared_at = here;
+        self.crash_index = index;
+        self.cleared_index = index;
     }
 
-    /// Output that goes on past the place of a crash speaks for the request.
-    pub(super) fn clear(&mut self, steps: &mut Vec<Step>) {
-        let here = self.next_index();
-        let progress = here.0.saturating_sub(self.cleared_at.0);
-        if self.crashes > 0 && progress >= self.limits.crash_progress {
-            self.cleared_at = here;
+    /// Clears the request of suspicion once its output has advanced past the index of a crash.
+    pub(super) fn clear_suspicion(&mut self, steps: &mut Vec<Step>) {
+        let index = self.next_index();
+        let progress = index.0.saturating_sub(self.cleared_index.0);
+        if self.crash_count > 0 && progress >= self.limits.crash_progress {
+            self.cleared_index = index;
             steps.push(Step::ClearSuspicion);
         }
     }
 
-    pub(super) fn judged(&mut self, guilty: bool, steps: &mut Vec<Step>) {
-        if !std::mem::take(&mut self.judging) {
+    pub(super) fn on_crashes_checked(&mut self, at_fault: bool, steps: &mut Vec<Step>) {
+        if !std::mem::take(&mut self.checking_crashes) {
             return;
         }
-        match guilty {
+        match at_fault {
             true => self.fail(ErrorKind::CrashesTargets, self.ran(), Duration::ZERO, steps),
-            false => self.resume(steps),
+            false => self.start_replacements(steps),
         }
     }
 
-    /// An attempt is lost: it is cancelled and, where that is allowed, replaced.
-    pub(super) fn lose(&mut self, now: Time, attempt: AttemptNo, ran: Ran, steps: &mut Vec<Step>) {
-        let Some(track) = self.tracks.get(&attempt) else {
+    /// Cancels a lost attempt and replaces it if the work is idempotent or has not run.
+    pub(super) fn lose_attempt(
+        &mut self,
+        now: Time,
+        attempt: AttemptNo,
+        ran: Ran,
+        steps: &mut Vec<Step>,
+    ) {
+        let Some(tracked) = self.attempts.get(&attempt) else {
             return;
         };
-        self.lost_at = self.lost_at.or(Some(track.heard.max(track.moved)));
-        let Some(target) = self.drop_track(attempt, steps) else {
+        self.lost_at = self
+            .lost_at
+            .or(Some(tracked.last_frame.max(tracked.last_output)));
+        let Some(target) = self.cancel_attempt(attempt, steps) else {
             return;
         };
         steps.push(Step::Lost {
             target: target.clone(),
         });
-        self.lost.insert(target);
-        self.replace(now, ran, steps);
+        self.lost_targets.insert(target);
+        self.replace_attempt(now, ran, steps);
     }
 
-    fn replace(&mut self, now: Time, ran: Ran, steps: &mut Vec<Step>) {
+    fn replace_attempt(&mut self, now: Time, ran: Ran, steps: &mut Vec<Step>) {
         if ran == Ran::No {
-            self.dispatched -= 1;
-            return self.next_target(now, steps);
+            self.dispatch_count -= 1;
+            return self.try_next_target(now, steps);
         }
         if !self.plan.idempotent {
-            return self.unknown_outcome(steps);
+            return self.fail_unknown_outcome(steps);
         }
-        if self.absent.is_some() {
+        if self.gone_since.is_some() {
             return self.abandon(steps);
         }
-        self.resume(steps);
+        self.start_replacements(steps);
     }
 
-    /// Asks for targets until enough attempts that have not stalled race for the next token.
-    fn resume(&mut self, steps: &mut Vec<Step>) {
+    /// Requests targets until enough attempts run that have not stalled.
+    fn start_replacements(&mut self, steps: &mut Vec<Step>) {
         if self.is_call() {
-            self.held = Default::default();
+            self.response = Default::default();
         }
-        let whole = self.plan.max_tokens.map(|most| TokenIndex(most.0));
-        if whole.is_some_and(|whole| self.next_index() >= whole) {
+        let end_index = self.plan.max_tokens.map(|limit| TokenIndex(limit.0));
+        if end_index.is_some_and(|end| self.next_index() >= end) {
             steps.push(Step::Finish(Finish::Length));
             return self.end();
         }
-        let unknown = self.base.0 > 0 || self.next_index() < self.plan.resume_index;
-        let spent = self.dispatched >= self.limits.max_attempts;
-        let live = self.tracks.values().filter(|track| !track.stalled).count();
-        let live = u32::try_from(live).unwrap_or(u32::MAX) + self.wanted;
-        if unknown || spent {
-            if self.tracks.is_empty() {
-                self.give_up(steps);
+        let prefix_missing = self.base_index.0 > 0 || self.next_index() < self.plan.resume_index;
+        let exhausted = self.dispatch_count >= self.limits.max_attempts;
+        let active = self
+            .attempts
+            .values()
+            .filter(|tracked| !tracked.stalled)
+            .count();
+        let active = u32::try_from(active).unwrap_or(u32::MAX) + self.pending_choices;
+        if prefix_missing || exhausted {
+            if self.attempts.is_empty() {
+                self.fail_exhausted(steps);
             }
             return;
         }
-        for place in live..self.hedges() {
-            self.choose(true, place > 0, steps);
+        for number in active..self.replacement_count() {
+            self.choose_target(true, number > 0, steps);
         }
     }
 
-    /// Returns how many attempts may replace a lost one.
-    fn hedges(&self) -> u32 {
-        // A request that may have crashed an engine is not given to two others at once.
-        match self.is_call() || self.crashes > 0 {
+    /// Returns the number of concurrent attempts that may replace a lost one.
+    fn replacement_count(&self) -> u32 {
+        // A request that may have crashed an engine is not sent to two more at the same time.
+        match self.is_call() || self.crash_count > 0 {
             true => 1,
-            false => (self.limits.hedges).min(self.limits.max_attempts - self.dispatched),
+            false => (self.limits.hedges).min(self.limits.max_attempts - self.dispatch_count),
         }
     }
 
-    /// Forgets an attempt whose link and work have ended by themselves.
-    pub(super) fn remove(&mut self, attempt: AttemptNo) -> Option<TargetId> {
-        let track = self.tracks.remove(&attempt)?;
+    /// Removes an attempt that needs no close or cancel and returns its target.
+    pub(super) fn remove_attempt(&mut self, attempt: AttemptNo) -> Option<TargetId> {
+        let tracked = self.attempts.remove(&attempt)?;
         if self.writer == Some(attempt) {
             self.writer = None;
         }
-        Some(track.target)
+        Some(tracked.target)
     }
 }
--- a/crates/cw_policy/src/generation/refuse.rs
+++ b/crates/cw_policy/src/generation/refuse.rs
@@ -1,4 +1,4 @@
-//! What a generation does when targets refuse its attempts.
+//! The handling of refusals, and the selection of the next target.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use super::Generation;
 use super::Step;
 
-/// What a refusal says when no target says better.
-const RETRY_DEFAULT: Duration = Duration::from_secs(1);
+/// The retry delay reported to the caller when attempts are exhausted or no target is available.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Generation {
-    pub(super) fn not_run(
+    pub(super) fn on_not_run(
         &mut self,
         now: Time,
         attempt: AttemptNo,
@@ -23,106 +23,117 @@
         retry: Duration,
         steps: &mut Vec<Step>,
     ) {
-        let Some(track) = self.tracks.get(&attempt) else {
+        let Some(tracked) = self.attempts.get(&attempt) else {
             return;
         };
-        // An agent that lost its memory knows nothing of what it ran.
-        if reason == Reason::Unknown && track.reattached > 0 {
-            return self.forgotten(now, attempt, steps);
+        // The agent may have restarted and lost the record of an attempt that it ran.
+        if reason == Reason::Unknown && tracked.reattach_count > 0 {
+            return self.on_unknown_attempt(now, attempt, steps);
         }
-        let Some(target) = self.remove(attempt) else {
+        let Some(target) = self.remove_attempt(attempt) else {
             return;
         };
-        self.dispatched -= 1;
-        self.refused += 1;
-        self.retry = Some(self.retry.map_or(retry, |known| known.min(retry)));
+        self.dispatch_count -= 1;
+        self.refusal_count += 1;
+        self.retry_after = Some(self.retry_after.map_or(retry, |known| known.min(retry)));
         match reason {
-            Reason::Busy | Reason::Expired => self.busy.insert(target),
-            _ => self.lost.insert(target),
+            Reason::Busy | Reason::Expired => self.busy_targets.insert(target),
+            _ => self.lost_targets.insert(target),
         };
-        if reason == Reason::Expired && self.dispatched == 0 {
+        if reason == Reason::Expired && self.dispatch_count == 0 {
             return self.fail(ErrorKind::Expired, Ran::No, retry, steps);
         }
-        self.next_target(now, steps);
+        self.try_next_target(now, steps);
     }
 
-    /// The call never reached the agent.
-    pub(super) fn not_sent(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
-        let Some(target) = self.remove(attempt) else {
+    /// Excludes the target of an attempt that never ran, and tries the next one.
+    pub(super) fn on_not_sent(&mut self, now: Time, attempt: AttemptNo, steps: &mut Vec<Step>) {
+        let Some(target) = self.remove_attempt(attempt) else {
             return;
         };
-        self.dispatched -= 1;
-        self.lost.insert(target);
-        self.next_target(now, steps);
+        self.dispatch_count -= 1;
+        self.lost_targets.insert(target);
+        self.try_next_target(now, steps);
     }
 
-    pub(super) fn next_target(&mut self, now: Time, steps: &mut Vec<Step>) {
-        if !self.tracks.is_empty() || self.wanted > 0 {
+    pub(super) fn try_next_target(&mut self, now: Time, steps: &mut Vec<Step>) {
+        if !self.attempts.is_empty() || self.pending_choices > 0 {
             return;
         }
-        let first = self.dispatched == 0 && self.next_index() == self.plan.resume_index;
-        if first && self.refused >= self.limits.max_refusals && !self.busy.is_empty() {
-            return self.enqueue(steps);
+        let not_started = self.dispatch_count == 0 && self.next_index() == self.plan.resume_index;
+        if not_started
+            && self.refusal_count >= self.limits.max_refusals
+            && !self.busy_targets.is_empty()
+        {
+            return self.enqueue_request(steps);
         }
-        if !first && self.refused > 0 && self.refused.is_multiple_of(self.limits.max_refusals) {
+        if !not_started
+            && self.refusal_count > 0
+            && self.refusal_count.is_multiple_of(self.limits.max_refusals)
+        {
             self.retry_at = Some(now + self.limits.busy_backoff);
             return;
         }
-        self.choose(!first, false, steps);
+        self.choose_target(!not_started, false, steps);
     }
 
-    pub(super) fn no_target(
+    pub(super) fn on_no_target(
         &mut self,
         now: Time,
         kind: ErrorKind,
         retry: Duration,
         steps: &mut Vec<Step>,
     ) {
-        self.wanted = self.wanted.saturating_sub(1);
-        if !self.tracks.is_empty() || self.wanted > 0 {
+        self.pending_choices = self.pending_choices.saturating_sub(1);
+        if !self.attempts.is_empty() || self.pending_choices > 0 {
             return;
         }
-        let first = self.dispatched == 0 && self.next_index() == self.plan.resume_index;
-        if first {
-            let busy = kind == ErrorKind::Overloaded || !self.busy.is_empty();
-            return match busy {
-                true => self.enqueue(steps),
+        let not_started = self.dispatch_count == 0 && self.next_index() == self.plan.resume_index;
+        if not_started {
+            let any_busy = kind == ErrorKind::Overloaded || !self.busy_targets.is_empty();
+            return match any_busy {
+                true => self.enqueue_request(steps),
                 false => self.fail(kind, Ran::No, retry, steps),
             };
         }
-        if kind == ErrorKind::Overloaded || !self.busy.is_empty() {
+        if kind == ErrorKind::Overloaded || !self.busy_targets.is_empty() {
             self.retry_at = Some(now + self.limits.busy_backoff);
             return;
         }
-        self.give_up(steps);
+        self.fail_exhausted(steps);
     }
 
-    /// Every target is busy: the request waits for its turn.
-    fn enqueue(&mut self, steps: &mut Vec<Step>) {
-        self.busy.clear();
-        self.refused = 0;
+    /// Queues the request because all targets are busy.
+    fn enqueue_request(&mut self, steps: &mut Vec<Step>) {
+        self.busy_targets.clear();
+        self.refusal_count = 0;
         self.queued = true;
         steps.push(Step::Enqueue);
     }
 
-    pub(super) fn turn(&mut self, steps: &mut Vec<Step>) {
+    pub(super) fn on_dequeued(&mut self, steps: &mut Vec<Step>) {
         if std::mem::take(&mut self.queued) {
-            self.choose(false, false, steps);
+            self.choose_target(false, false, steps);
         }
     }
 
-    pub(super) fn unqueued(&mut self, kind: ErrorKind, retry: Duration, steps: &mut Vec<Step>) {
+    pub(super) fn on_queue_rejected(
+        &mut self,
+        kind: ErrorKind,
+        retry: Duration,
+        steps: &mut Vec<Step>,
+    ) {
         if std::mem::take(&mut self.queued) {
-            let retry = self.retry.unwrap_or(retry).max(retry);
+            let retry = self.retry_after.unwrap_or(retry).max(retry);
             self.fail(kind, Ran::No, retry, steps);
         }
     }
 
-    pub(super) fn give_up(&mut self, steps: &mut Vec<Step>) {
+    pub(super) fn fail_exhausted(&mut self, steps: &mut Vec<Step>) {
         let kind = match self.ran() {
             Ran::No => ErrorKind::NoTarget,
             _ => ErrorKind::GenerationLost,
         };
-        self.fail(kind, self.ran(), RETRY_DEFAULT, steps);
+        self.fail(kind, self.ran(), DEFAULT_RETRY_DELAY, steps);
     }
 }
--- a/crates/cw_policy/src/generation/tracked_attempt.rs
+++ b/crates/cw_policy/src/generation/tracked_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, as its generation follows it.
+//! The state of one attempt, as tracked by its generation.
 
 use std::time::Duration;
 
@@ -10,70 +10,72 @@
 use super::GenerationLimits;
 use super::LinkId;
 
-/// What the present link of an attempt waits for.
+/// What an attempt is waiting for on its current link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The writing of its claim; nothing is sent.
+    /// The write of the attempt's claim; nothing has been sent.
     Claiming,
     /// The first frame after the dispatch.
     Dispatched,
-    /// The first frame after a re-attachment.
+    /// The first frame after a reattachment.
     Reattached,
     /// The next frame.
-    Flowing,
-    /// The time to try a re-attachment again; there is no link.
-    Pausing,
-    /// The agent's word on whether the attempt was run; there is no link.
-    Proving,
+    Streaming,
+    /// The delay before another reattachment; there is no link.
+    BackingOff,
+    /// The agent's reply on whether the attempt was run; there is no link.
+    ConfirmingCancel,
 }
 
-/// One attempt, as its generation follows it.
+/// The state of one attempt, as tracked by its generation.
 #[derive(Clone, Debug)]
-pub(super) struct Track {
-    /// The attempt.
+pub(super) struct TrackedAttempt {
+    /// The number of the attempt.
     pub(super) attempt: AttemptNo,
-    /// Where it runs.
+    /// The target that runs the attempt.
     pub(super) target: TargetId,
-    /// The link in use.
+    /// The current link.
     pub(super) link: LinkId,
-    /// What the link waits for.
+    /// What the attempt is waiting for.
     pub(super) phase: Phase,
-    /// When the last frame came, or the link was opened.
-    pub(super) heard: Time,
-    /// When the last output came, or the attempt was dispatched.
-    pub(super) moved: Time,
-    /// The output that it was dispatched with; `None` when another entry dispatched it.
-    pub(super) so_far: Option<Vec<TokenId>>,
-    /// Whether it continues or repeats an earlier attempt.
+    /// The time at which the last frame arrived, or the link was opened.
+    pub(super) last_frame: Time,
+    /// The time at which the last output arrived, or the attempt was dispatched.
+    pub(super) last_output: Time,
+    /// The output that the attempt was dispatched with; `None` if another entry dispatched it.
+    pub(super) dispatched_output: Option<Vec<TokenId>>,
+    /// Whether the attempt continues or repeats an earlier one.
     pub(super) resumed: bool,
-    /// Whether output of it has come.
-    pub(super) begun: bool,
-    /// Whether its engine has stalled and others were asked to replace it.
+    /// Whether the attempt has produced output.
+    pub(super) has_output: bool,
+    /// Whether the engine has stalled; idempotent work then has replacement attempts.
     pub(super) stalled: bool,
-    /// Re-attachments since output of it last came.
-    pub(super) reattached: u32,
+    /// The number of reattachments since the last output.
+    pub(super) reattach_count: u32,
 }
 
-impl Track {
-    /// Returns whether frames may come over its link.
-    pub(super) fn is_linked(&self) -> bool {
-        !matches!(self.phase, Phase::Pausing | Phase::Proving)
+impl TrackedAttempt {
+    /// Returns whether frames may arrive over the link.
+    pub(super) fn has_link(&self) -> bool {
+        !matches!(self.phase, Phase::BackingOff | Phase::ConfirmingCancel)
     }
 
-    /// Returns when the link counts as silent, if it can.
+    /// Returns the time at which the present wait times out, if it has a limit.
     pub(super) fn deadline(&self, limits: &GenerationLimits) -> Option<Time> {
         match self.phase {
-            Phase::Dispatched => Some(self.heard + limits.dispatch_timeout),
-            Phase::Reattached => Some(self.heard + limits.attach_timeout),
-            Phase::Flowing => Some(self.heard + limits.link_timeout),
-            Phase::Pausing => Some(self.heard + limits.attach_backoff * self.reattached),
-            Phase::Claiming | Phase::Proving => None,
+            Phase::Dispatched => Some(self.last_frame + limits.dispatch_timeout),
+            Phase::Reattached => Some(self.last_frame + limits.attach_timeout),
+            Phase::Streaming => Some(self.last_frame + limits.link_timeout),
+            Phase::BackingOff => {
+                Some(self.last_frame + limits.attach_backoff * self.reattach_count)
+            }
+            Phase::Claiming | Phase::ConfirmingCancel => None,
         }
     }
 
-    /// Returns how long the engine may be quiet, if that has a limit.
-    pub(super) fn quiet_limit(&self, limits: &GenerationLimits, patience: Duration) -> Duration {
-        match (self.begun, self.resumed) {
+    /// Returns the longest time that the engine may run without output.
+    pub(super) fn output_timeout(&self, limits: &GenerationLimits, patience: Duration) -> Duration {
+        match (self.has_output, self.resumed) {
             (true, _) => limits.stall_timeout,
             (false, true) => limits.resume_timeout,
             (false, false) => patience,
--- a/crates/cw_policy/src/order_guard.rs
+++ b/crates/cw_policy/src/order_guard.rs
@@ -45,7 +45,7 @@
             return OrderStep::Answer(answer.clone());
         }
         if order.sequence <= self.last_evicted {
-            let message = "the order is older than the retained answers".to_owned();
+            let message = "the order is older than those remembered".to_owned();
             return OrderStep::Answer(OrderAnswer::Failed { message });
         }
         if pinned > 0 {
