--- a/crates/cw_policy/tests/claim.rs
+++ b/crates/cw_policy/tests/claim.rs
@@ -1,4 +1,5 @@
-//! A claim is taken once, whatever answers of the key-value service are lost.
+//! Tests that at most one writer acquires a claim, whichever replies of the key-value service are
+//! lost.
 
 use cw_policy::Claim;
 use cw_policy::ClaimEvent;
@@ -25,8 +26,8 @@
             generation: GenerationId(u128::from(id)),
             attempt: AttemptNo(1),
         },
-        target: "t".parse().expect("a name"),
-        agent: "127.0.0.1:1".parse().expect("an address"),
+        target: "t".parse().expect("a valid name"),
+        agent: "127.0.0.1:1".parse().expect("a valid address"),
         stamp: Stamp {
             incarnation: Incarnation(1),
             age: std::time::Duration::ZERO,
@@ -36,12 +37,12 @@
     }
 }
 
-fn held(id: u64, revision: i64) -> ClaimEvent {
+fn current(id: u64, revision: i64) -> ClaimEvent {
     ClaimEvent::Current(Some((Box::new(claim(id)), ClaimRevision(revision))))
 }
 
 #[rstest]
-fn a_written_claim_is_mine() {
+fn a_written_claim_is_acquired() {
     let mut write = ClaimWrite::new(claim(1), None);
     write.start();
 
@@ -51,19 +52,19 @@
 }
 
 #[rstest]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_lost_reply_is_resolved_by_reading_the_key() {
     let mut write = ClaimWrite::new(claim(1), None);
     write.start();
 
     assert_eq!(write.on_event(ClaimEvent::Unconfirmed), ClaimStep::Read);
     assert_eq!(
-        write.on_event(held(1, 4)),
+        write.on_event(current(1, 4)),
         ClaimStep::Acquired(ClaimRevision(4))
     );
 }
 
 #[rstest]
-fn a_write_that_was_lost_on_its_way_is_tried_again() {
+fn a_lost_write_is_retried() {
     let mut write = ClaimWrite::new(claim(1), None);
     let first = write.start();
     write.on_event(ClaimEvent::Unconfirmed);
@@ -74,18 +75,18 @@
 }
 
 #[rstest]
-fn another_claim_keeps_the_attempt_from_being_dispatched() {
+fn another_claim_is_a_conflict() {
     let mut write = ClaimWrite::new(claim(1), None);
     write.start();
 
-    let step = write.on_event(held(2, 4));
+    let step = write.on_event(current(2, 4));
 
-    let taken = ClaimStep::Conflict(Box::new(claim(2)), ClaimRevision(4));
-    assert_eq!(step, taken);
+    let conflict = ClaimStep::Conflict(Box::new(claim(2)), ClaimRevision(4));
+    assert_eq!(step, conflict);
 }
 
 #[rstest]
-fn a_claim_that_lapsed_is_not_written_anew() {
+fn an_expired_claim_is_not_replaced() {
     let mut write = ClaimWrite::new(claim(1), Some(ClaimRevision(3)));
     write.start();
 
@@ -98,7 +99,7 @@
 #[rstest]
 fn keys_of_different_workspaces_differ() {
     let key = |workspace: &str| {
-        let workspace: WorkspaceId = workspace.parse().expect("a name");
+        let workspace: WorkspaceId = workspace.parse().expect("a valid name");
         Claim::key(&workspace, "k")
     };
 
@@ -106,22 +107,22 @@
     assert!(!key("a").contains("/k"));
 }
 
-/// A store of one key, whose next answers the test chooses.
+/// A store with one key and injected faults.
 #[derive(Default)]
 struct Store {
-    held: Option<(Claim, ClaimRevision)>,
+    value: Option<(Claim, ClaimRevision)>,
     revision: i64,
 }
 
 impl Store {
-    /// Answers `step`: 0 as it should, 1 losing the answer, 2 losing the call, 3 refusing it.
+    /// Answers `step`. Fault 0 is none, 1 loses the reply, 2 loses the call, and 3 refuses a write.
     fn answer(&mut self, step: &ClaimStep, fault: u8) -> ClaimEvent {
         if fault == 2 {
             return ClaimEvent::Unconfirmed;
         }
         let event = match step {
             ClaimStep::Swap { expected, claim } => self.swap(*expected, claim, fault),
-            _ => ClaimEvent::Current(self.boxed()),
+            _ => ClaimEvent::Current(self.boxed_value()),
         };
         match fault {
             1 => ClaimEvent::Unconfirmed,
@@ -133,18 +134,18 @@
         if fault == 3 {
             return ClaimEvent::Unavailable;
         }
-        if self.held.as_ref().map(|held| held.1) != expected {
-            return ClaimEvent::Current(self.boxed());
+        if self.value.as_ref().map(|stored| stored.1) != expected {
+            return ClaimEvent::Current(self.boxed_value());
         }
         self.revision += 1;
         let revision = ClaimRevision(self.revision);
-        self.held = Some((claim.clone(), revision));
+        self.value = Some((claim.clone(), revision));
         ClaimEvent::Written(revision)
     }
 
-    fn boxed(&self) -> Option<(Box<Claim>, ClaimRevision)> {
-        let held = self.held.clone();
-        held.map(|(claim, revision)| (Box::new(claim), revision))
+    fn boxed_value(&self) -> Option<(Box<Claim>, ClaimRevision)> {
+        let stored = self.value.clone();
+        stored.map(|(claim, revision)| (Box::new(claim), revision))
     }
 }
 
@@ -163,7 +164,7 @@
 }
 
 #[rstest]
-fn of_several_that_claim_one_key_at_most_one_is_told_that_it_is_theirs() {
+fn at_most_one_of_several_writers_acquires_a_claim() {
     let turns = proptest::collection::vec((0..3_usize, 0..4_u8), 1..40);
 
     let result = runner().run(&turns, |turns| {
@@ -171,17 +172,17 @@
         let mut writes: Vec<ClaimWrite> =
             (1..4).map(|id| ClaimWrite::new(claim(id), None)).collect();
         let mut steps: Vec<ClaimStep> = writes.iter_mut().map(ClaimWrite::start).collect();
-        for (who, fault) in turns {
-            let open = matches!(steps[who], ClaimStep::Swap { .. } | ClaimStep::Read);
-            if open {
-                let event = store.answer(&steps[who], fault);
-                steps[who] = writes[who].on_event(event);
+        for (writer, fault) in turns {
+            let is_pending = matches!(steps[writer], ClaimStep::Swap { .. } | ClaimStep::Read);
+            if is_pending {
+                let event = store.answer(&steps[writer], fault);
+                steps[writer] = writes[writer].on_event(event);
             }
         }
-        let mine = |step: &&ClaimStep| matches!(step, ClaimStep::Acquired(_));
-        prop_assert!(steps.iter().filter(mine).count() <= 1, "{steps:?}");
+        let acquired = |step: &&ClaimStep| matches!(step, ClaimStep::Acquired(_));
+        prop_assert!(steps.iter().filter(acquired).count() <= 1, "{steps:?}");
         Ok(())
     });
 
-    result.expect("at most one claim is taken");
+    result.expect("at most one writer acquires the claim");
 }
--- a/crates/cw_policy/tests/fencing.rs
+++ b/crates/cw_policy/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! Orders at the agent.
+//! Tests of the guard that checks orders at an agent.
 
 use cw_policy::OrderGuard;
 use cw_policy::OrderStep;
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-fn a_lower_number_is_refused_for_good() {
+fn a_lower_fencing_number_is_refused() {
     let mut guard = OrderGuard::default();
     guard.on_order(&order(5, 1), 0);
 
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-fn a_repeat_gets_the_first_answer() {
+fn a_repeated_order_gets_the_recorded_answer() {
     let mut guard = OrderGuard::default();
     let first = guard.on_order(&order(5, 1), 0);
     let meanwhile = guard.on_order(&order(5, 1), 0);
@@ -50,7 +50,7 @@
 }
 
 #[rstest]
-fn an_order_that_failed_is_passed_on_again() {
+fn a_failed_order_is_forwarded_again() {
     let mut guard = OrderGuard::default();
     guard.on_order(&order(5, 1), 0);
     guard.on_answer(&order(5, 1), &failed());
@@ -61,7 +61,7 @@
 }
 
 #[rstest]
-fn a_late_answer_to_a_deposed_planner_changes_nothing() {
+fn a_late_answer_to_a_previous_planner_is_ignored() {
     let mut guard = OrderGuard::default();
     guard.on_order(&order(5, 1), 0);
     guard.on_order(&order(6, 1), 0);
@@ -73,7 +73,7 @@
 }
 
 #[rstest]
-fn a_pinned_version_is_not_unloaded_and_may_be_asked_for_again() {
+fn a_pinned_version_is_not_unloaded_and_the_order_may_be_repeated() {
     let mut guard = OrderGuard::default();
 
     let pinned = guard.on_order(&order(5, 1), 2);
@@ -88,7 +88,7 @@
 }
 
 #[rstest]
-fn a_number_that_the_engine_or_the_lease_shows_counts_too() {
+fn an_observed_fencing_number_raises_the_highest() {
     let mut guard = OrderGuard::default();
 
     guard.observe_fencing(FencingNumber(9));
@@ -99,7 +99,7 @@
 }
 
 #[rstest]
-fn an_order_older_than_all_that_is_remembered_is_not_run_twice() {
+fn an_order_older_than_the_retained_answers_is_not_run_again() {
     let mut guard = OrderGuard::default();
     for sequence in 1..=300 {
         guard.on_order(&order(5, sequence), 0);
--- a/crates/cw_policy/tests/generation.rs
+++ b/crates/cw_policy/tests/generation.rs
@@ -1,4 +1,4 @@
-//! Focused cases of the generation machine, one for each thing that goes wrong.
+//! Unit tests of the generation state machine, one for each kind of failure.
 
 use std::time::Duration;
 
@@ -25,38 +25,38 @@
 use cw_wire::Token;
 use rstest::rstest;
 
-fn target(at: u32) -> TargetId {
-    format!("t{at}").parse().expect("a name")
+fn target(number: u32) -> TargetId {
+    format!("t{number}").parse().expect("a valid target name")
 }
 
-/// A machine whose targets are chosen in turn.
-struct Rig {
+/// A generation with a driver that selects a new target for each choice.
+struct Harness {
     now: Time,
     machine: Generation,
-    chosen: u32,
-    log: Vec<Step>,
+    choices: u32,
+    steps: Vec<Step>,
 }
 
-impl Rig {
+impl Harness {
     fn new(plan: GenerationPlan, limits: GenerationLimits) -> Self {
-        let mut rig = Self {
+        let mut harness = Self {
             now: Time(1_000_000),
             machine: Generation::new(plan, limits),
-            chosen: 0,
-            log: Vec::new(),
+            choices: 0,
+            steps: Vec::new(),
         };
-        rig.feed(Event::Start);
-        rig
+        harness.feed(Event::Start);
+        harness
     }
 
-    fn engine() -> Self {
+    fn idempotent() -> Self {
         Self::new(
             GenerationPlan::generate(Duration::from_secs(10)),
             GenerationLimits::default(),
         )
     }
 
-    fn once() -> Self {
+    fn non_idempotent() -> Self {
         let plan = GenerationPlan::generate(Duration::from_secs(10)).with_idempotent(false);
         Self::new(plan, GenerationLimits::default())
     }
@@ -67,11 +67,11 @@
             let steps = self.machine.on_event(self.now, events.remove(0));
             for step in &steps {
                 if let Step::Choose { .. } = step {
-                    self.chosen += 1;
-                    events.push(Event::Chosen(target(self.chosen)));
+                    self.choices += 1;
+                    events.push(Event::Chosen(target(self.choices)));
                 }
             }
-            self.log.extend(steps);
+            self.steps.extend(steps);
         }
     }
 
@@ -95,7 +95,7 @@
         self.frame(link, Frame::Failed { failure, ran, next });
     }
 
-    fn busy(&mut self, link: u32) {
+    fn refuse_busy(&mut self, link: u32) {
         let refusal = Frame::NotRun {
             reason: Reason::Busy,
             retry: Duration::from_secs(3),
@@ -104,22 +104,22 @@
         self.frame(link, refusal);
     }
 
-    /// Lets time pass to the next deadline.
-    fn expire(&mut self) {
-        self.now = self.machine.deadline().expect("something is waited for");
+    /// Advances the clock to the next deadline and feeds a tick.
+    fn advance_to_deadline(&mut self) {
+        self.now = self.machine.deadline().expect("a deadline is pending");
         self.feed(Event::Tick);
     }
 
-    fn count(&self, is: impl Fn(&Step) -> bool) -> usize {
-        self.log.iter().filter(|step| is(step)).count()
+    fn count(&self, predicate: impl Fn(&Step) -> bool) -> usize {
+        self.steps.iter().filter(|step| predicate(step)).count()
     }
 
     fn dispatches(&self) -> usize {
         self.count(|step| matches!(step, Step::Dispatch { .. }))
     }
 
-    fn end(&self) -> Option<(ErrorKind, Ran)> {
-        self.log.iter().find_map(|step| match step {
+    fn failure(&self) -> Option<(ErrorKind, Ran)> {
+        self.steps.iter().find_map(|step| match step {
             Step::Fail { kind, ran, .. } => Some((*kind, *ran)),
             _ => None,
         })
@@ -127,14 +127,14 @@
 }
 
 #[rstest]
-fn silence_leads_to_a_new_connection_before_a_new_attempt() {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
+fn a_silent_link_leads_to_a_new_connection_before_a_new_attempt() {
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
 
-    rig.expire();
+    harness.advance_to_deadline();
 
-    assert_eq!(rig.dispatches(), 1);
-    let attach = rig.log.iter().rev().find_map(|step| match step {
+    assert_eq!(harness.dispatches(), 1);
+    let attach = harness.steps.iter().rev().find_map(|step| match step {
         Step::Attach { from, repeat, .. } => Some((*from, repeat.clone())),
         _ => None,
     });
@@ -149,147 +149,147 @@
         hedges,
         ..GenerationLimits::default()
     };
-    let mut rig = Rig::new(GenerationPlan::generate(Duration::from_secs(10)), limits);
-    rig.tokens(0, 0..3);
+    let mut harness = Harness::new(GenerationPlan::generate(Duration::from_secs(10)), limits);
+    harness.tokens(0, 0..3);
 
-    rig.expire();
-    rig.expire();
+    harness.advance_to_deadline();
+    harness.advance_to_deadline();
 
-    assert_eq!(rig.dispatches(), dispatches);
+    assert_eq!(harness.dispatches(), dispatches);
 }
 
 #[rstest]
-fn the_first_hedge_to_bring_a_token_wins_and_the_other_is_cancelled() {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
-    rig.expire();
-    rig.expire();
-
-    rig.tokens(3, 3..4);
-    rig.tokens(2, 3..5);
-
-    let cancelled = |no| {
-        let attempt = AttemptNo(no);
-        rig.count(|step| matches!(step, Step::Cancel { attempt: a, .. } if *a == attempt))
+fn the_first_hedge_to_deliver_a_token_becomes_the_writer_and_the_other_is_cancelled() {
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
+    harness.advance_to_deadline();
+    harness.advance_to_deadline();
+
+    harness.tokens(3, 3..4);
+    harness.tokens(2, 3..5);
+
+    let cancelled = |number| {
+        let attempt = AttemptNo(number);
+        harness.count(|step| matches!(step, Step::Cancel { attempt: a, .. } if *a == attempt))
     };
     assert_eq!((cancelled(2), cancelled(3)), (1, 0));
-    assert_eq!(rig.machine.next_index(), TokenIndex(4));
+    assert_eq!(harness.machine.next_index(), TokenIndex(4));
 }
 
 #[rstest]
-fn a_stalled_engine_stays_in_the_race_and_may_win_it() {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
+fn a_stalled_engine_keeps_running_and_may_become_the_writer_again() {
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
     let quiet = GenerationLimits::default().stall_timeout;
-    rig.frame(0, Frame::Heartbeat { quiet });
-    assert_eq!(rig.dispatches(), 3);
+    harness.frame(0, Frame::Heartbeat { quiet });
+    assert_eq!(harness.dispatches(), 3);
 
-    rig.tokens(0, 3..4);
+    harness.tokens(0, 3..4);
 
-    assert_eq!(rig.machine.next_index(), TokenIndex(4));
-    assert_eq!(rig.count(|step| matches!(step, Step::Cancel { .. })), 2);
+    assert_eq!(harness.machine.next_index(), TokenIndex(4));
+    assert_eq!(harness.count(|step| matches!(step, Step::Cancel { .. })), 2);
 }
 
 #[rstest]
-fn a_request_whose_engine_crashed_is_not_given_to_two_others_at_once() {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
+fn a_request_whose_engine_crashed_is_not_sent_to_two_targets_at_once() {
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
 
-    rig.fail(0, Failure::TargetLost);
+    harness.fail(0, Failure::TargetLost);
 
-    assert_eq!(rig.dispatches(), 2);
+    assert_eq!(harness.dispatches(), 2);
 }
 
 #[rstest]
 #[case::guilty(true, Some((ErrorKind::CrashesTargets, Ran::Partly)), 2)]
 #[case::not_guilty(false, None, 3)]
-fn the_second_crash_is_judged_before_a_third_target_is_tried(
-    #[case] guilty: bool,
+fn the_second_crash_is_checked_before_a_third_target_is_tried(
+    #[case] at_fault: bool,
     #[case] end: Option<(ErrorKind, Ran)>,
     #[case] dispatches: usize,
 ) {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
-    rig.fail(0, Failure::TargetLost);
-    rig.fail(1, Failure::TargetLost);
-    assert_eq!(rig.dispatches(), 2);
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
+    harness.fail(0, Failure::TargetLost);
+    harness.fail(1, Failure::TargetLost);
+    assert_eq!(harness.dispatches(), 2);
 
-    rig.feed(Event::CrashesChecked { at_fault: guilty });
+    harness.feed(Event::CrashesChecked { at_fault });
 
-    assert_eq!((rig.end(), rig.dispatches()), (end, dispatches));
+    assert_eq!((harness.failure(), harness.dispatches()), (end, dispatches));
 }
 
 #[rstest]
-fn a_request_that_finds_all_targets_busy_waits_for_its_turn() {
-    let mut rig = Rig::engine();
+fn a_request_that_finds_all_targets_busy_is_queued() {
+    let mut harness = Harness::idempotent();
 
     for link in 0..GenerationLimits::default().max_refusals {
-        rig.busy(link);
+        harness.refuse_busy(link);
     }
 
-    assert_eq!(rig.count(|step| matches!(step, Step::Enqueue)), 1);
+    assert_eq!(harness.count(|step| matches!(step, Step::Enqueue)), 1);
 
-    rig.feed(Event::Dequeued);
-    assert_eq!(rig.dispatches(), 4);
+    harness.feed(Event::Dequeued);
+    assert_eq!(harness.dispatches(), 4);
     let (kind, retry) = (ErrorKind::Overloaded, Duration::from_secs(1));
-    rig.feed(Event::QueueRejected { kind, retry });
-    assert_eq!(rig.end(), None);
+    harness.feed(Event::QueueRejected { kind, retry });
+    assert_eq!(harness.failure(), None);
 }
 
 #[rstest]
-fn a_request_that_the_queue_gives_up_was_not_run() {
-    let mut rig = Rig::engine();
+fn a_request_that_the_queue_rejects_was_not_run() {
+    let mut harness = Harness::idempotent();
     for link in 0..GenerationLimits::default().max_refusals {
-        rig.busy(link);
+        harness.refuse_busy(link);
     }
 
     let (kind, retry) = (ErrorKind::Expired, Duration::from_secs(1));
-    rig.feed(Event::QueueRejected { kind, retry });
+    harness.feed(Event::QueueRejected { kind, retry });
 
-    assert_eq!(rig.end(), Some((ErrorKind::Expired, Ran::No)));
+    assert_eq!(harness.failure(), Some((ErrorKind::Expired, Ran::No)));
 }
 
 #[rstest]
-fn a_resumed_attempt_that_finds_all_busy_tries_again_soon() {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
-    rig.fail(0, Failure::TargetLost);
+fn a_resumed_attempt_that_finds_all_targets_busy_is_retried_after_a_backoff() {
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
+    harness.fail(0, Failure::TargetLost);
     for link in 1..4 {
-        rig.busy(link);
+        harness.refuse_busy(link);
     }
-    assert_eq!(rig.end(), None);
+    assert_eq!(harness.failure(), None);
 
-    rig.expire();
+    harness.advance_to_deadline();
 
-    assert_eq!(rig.dispatches(), 5);
+    assert_eq!(harness.dispatches(), 5);
 }
 
 #[rstest]
 #[case::proof(Some(Ran::No), None, 2)]
 #[case::it_ran(Some(Ran::Unknown), Some((ErrorKind::OutcomeUnknown, Ran::Unknown)), 1)]
 #[case::no_answer(None, Some((ErrorKind::OutcomeUnknown, Ran::Unknown)), 1)]
-fn work_that_may_run_once_is_dispatched_again_only_with_proof(
+fn non_idempotent_work_is_dispatched_again_only_if_it_is_confirmed_not_run(
     #[case] ran: Option<Ran>,
     #[case] end: Option<(ErrorKind, Ran)>,
     #[case] dispatches: usize,
 ) {
-    let mut rig = Rig::once();
-    while rig.count(|step| matches!(step, Step::ConfirmCancel { .. })) == 0 {
-        rig.expire();
+    let mut harness = Harness::non_idempotent();
+    while harness.count(|step| matches!(step, Step::ConfirmCancel { .. })) == 0 {
+        harness.advance_to_deadline();
     }
-    assert_eq!(rig.dispatches(), 1);
+    assert_eq!(harness.dispatches(), 1);
 
     let attempt = AttemptNo(1);
-    rig.feed(Event::CancelResult { attempt, ran });
+    harness.feed(Event::CancelResult { attempt, ran });
 
-    assert_eq!((rig.end(), rig.dispatches()), (end, dispatches));
+    assert_eq!((harness.failure(), harness.dispatches()), (end, dispatches));
 }
 
 #[rstest]
-fn work_that_may_run_once_is_attached_to_and_never_dispatched_to_the_same_agent_again() {
-    let mut rig = Rig::once();
+fn non_idempotent_work_is_reattached_and_never_dispatched_to_the_same_agent_again() {
+    let mut harness = Harness::non_idempotent();
 
-    rig.feed(Event::Closed {
+    harness.feed(Event::Closed {
         link: LinkId(0),
         effect: Effect::Possible,
     });
@@ -303,71 +303,74 @@
             }
         )
     };
-    assert_eq!(rig.count(repeated), 0);
-    assert_eq!(rig.count(|step| matches!(step, Step::Attach { .. })), 1);
+    assert_eq!(harness.count(repeated), 0);
+    assert_eq!(harness.count(|step| matches!(step, Step::Attach { .. })), 1);
 }
 
 #[rstest]
-fn a_caller_that_stays_away_has_its_generation_cancelled() {
-    let mut rig = Rig::engine();
-    rig.tokens(0, 0..3);
-    rig.feed(Event::CallerGone);
-    let leave = rig.now + GenerationLimits::default().caller_timeout;
-
-    while rig.now < leave {
-        rig.now = rig.now + Duration::from_millis(500);
+fn the_generation_of_a_disconnected_caller_is_cancelled_after_the_timeout() {
+    let mut harness = Harness::idempotent();
+    harness.tokens(0, 0..3);
+    harness.feed(Event::CallerGone);
+    let timeout = harness.now + GenerationLimits::default().caller_timeout;
+
+    while harness.now < timeout {
+        harness.now = harness.now + Duration::from_millis(500);
         let quiet = Duration::ZERO;
-        rig.frame(0, Frame::Heartbeat { quiet });
-        rig.feed(Event::Tick);
+        harness.frame(0, Frame::Heartbeat { quiet });
+        harness.feed(Event::Tick);
     }
 
-    assert_eq!(rig.count(|step| matches!(step, Step::Abandon)), 1);
-    assert_eq!(rig.count(|step| matches!(step, Step::Cancel { .. })), 1);
+    assert_eq!(harness.count(|step| matches!(step, Step::Abandon)), 1);
+    assert_eq!(harness.count(|step| matches!(step, Step::Cancel { .. })), 1);
 }
 
 #[rstest]
-fn work_that_may_run_once_goes_on_without_its_caller() {
-    let mut rig = Rig::once();
-    rig.tokens(0, 0..3);
-    rig.feed(Event::CallerGone);
+fn non_idempotent_work_continues_without_its_caller() {
+    let mut harness = Harness::non_idempotent();
+    harness.tokens(0, 0..3);
+    harness.feed(Event::CallerGone);
 
     for _ in 0..100 {
-        rig.now = rig.now + Duration::from_millis(500);
-        rig.frame(
+        harness.now = harness.now + Duration::from_millis(500);
+        harness.frame(
             0,
             Frame::Heartbeat {
                 quiet: Duration::ZERO,
             },
         );
-        rig.feed(Event::Tick);
+        harness.feed(Event::Tick);
     }
 
-    assert!(!rig.machine.is_ended());
+    assert!(!harness.machine.is_ended());
 }
 
 #[rstest]
-fn an_output_lost_after_its_last_token_is_whole() {
+fn an_output_lost_after_its_last_token_is_complete() {
     let mut plan = GenerationPlan::generate(Duration::from_secs(10));
     plan.max_tokens = Some(TokenCount(3));
-    let mut rig = Rig::new(plan, GenerationLimits::default());
-    rig.tokens(0, 0..3);
+    let mut harness = Harness::new(plan, GenerationLimits::default());
+    harness.tokens(0, 0..3);
 
-    rig.fail(0, Failure::TargetLost);
+    harness.fail(0, Failure::TargetLost);
 
-    let whole = |step: &Step| matches!(step, Step::Finish(Finish::Length));
-    assert_eq!((rig.count(whole), rig.dispatches()), (1, 1));
+    let complete = |step: &Step| matches!(step, Step::Finish(Finish::Length));
+    assert_eq!((harness.count(complete), harness.dispatches()), (1, 1));
 }
 
 #[rstest]
 fn an_attempt_whose_claim_could_not_be_written_was_not_run() {
-    let mut rig = Rig::once();
+    let mut harness = Harness::non_idempotent();
 
-    rig.feed(Event::NotClaimed {
+    harness.feed(Event::NotClaimed {
         link: LinkId(0),
         kind: ErrorKind::StoreUnavailable,
     });
 
-    assert_eq!(rig.end(), Some((ErrorKind::StoreUnavailable, Ran::No)));
+    assert_eq!(
+        harness.failure(),
+        Some((ErrorKind::StoreUnavailable, Ran::No))
+    );
 }
 
 #[rstest]
@@ -376,11 +379,11 @@
     plan.resume_index = TokenIndex(3);
     plan.running_target = Some(target(1));
     plan.running_attempt = AttemptNo(1);
-    let mut rig = Rig::new(plan, GenerationLimits::default());
+    let mut harness = Harness::new(plan, GenerationLimits::default());
 
     let (reason, retry) = (Reason::Unknown, Duration::ZERO);
     let load = Load::default();
-    rig.frame(
+    harness.frame(
         0,
         Frame::NotRun {
             reason,
@@ -389,6 +392,9 @@
         },
     );
 
-    assert_eq!(rig.end(), Some((ErrorKind::OutcomeUnknown, Ran::Partly)));
-    assert_eq!(rig.dispatches(), 0);
+    assert_eq!(
+        harness.failure(),
+        Some((ErrorKind::OutcomeUnknown, Ran::Partly))
+    );
+    assert_eq!(harness.dispatches(), 0);
 }
--- a/crates/cw_policy/tests/generation_fuzz.rs
+++ b/crates/cw_policy/tests/generation_fuzz.rs
@@ -1,8 +1,10 @@
-//! The generation machine against the real attempt table, through a network that fails at will.
+//! Fuzz test of the generation state machine with the real attempt table, over a simulated network
+//! with injected faults.
 //!
-//! Engines never make the same token twice, and each token tells the output that it continues, so
-//! any missing, repeated or mixed token shows. `CW_FUZZ_CASES` and `CW_FUZZ_SEED` set the budget
-//! and the seed; a failing case is printed with its operations.
+//! An engine never generates the same token twice, and each token encodes a digest of the output
+//! that it continues, so any missing, repeated or mixed token is detected. `CW_FUZZ_CASES` and
+//! `CW_FUZZ_SEED` set the number of cases and the seed; a failing case is printed with its
+//! operations.
 
 mod generation_world;
 
@@ -21,11 +23,11 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// How many sequences of operations are tried.
+/// The default number of operation sequences.
 const CASES: u32 = 800;
 
-/// The longest sequence.
-const OPS: usize = 120;
+/// The exclusive upper bound of the length of a sequence.
+const MAX_OPS: usize = 120;
 
 fn from_env<T: std::str::FromStr>(name: &str, default: T) -> T {
     let value = std::env::var(name).ok();
@@ -37,34 +39,35 @@
     let target = || 0..TARGETS;
     prop_oneof![
         30 => link().prop_map(Op::Deliver),
-        20 => target().prop_map(Op::Engine),
-        8 => (50..700_u64).prop_map(Op::Pass),
-        4 => link().prop_map(Op::Cancel),
+        20 => target().prop_map(Op::StepEngine),
+        8 => (50..700_u64).prop_map(Op::AdvanceTime),
+        4 => link().prop_map(Op::DeliverCancel),
         2 => link().prop_map(Op::LoseCancel),
-        2 => link().prop_map(Op::Break),
-        2 => link().prop_map(Op::Silence),
-        2 => link().prop_map(Op::Repeat),
-        4 => link().prop_map(Op::Swap),
-        2 => link().prop_map(Op::Late),
+        2 => link().prop_map(Op::BreakLink),
+        2 => link().prop_map(Op::SilenceLink),
+        2 => link().prop_map(Op::RepeatFrame),
+        4 => link().prop_map(Op::SwapFrames),
+        2 => link().prop_map(Op::RepeatDispatch),
         2 => target().prop_map(Op::KillEngine),
-        2 => target().prop_map(Op::Pause),
+        2 => target().prop_map(Op::TogglePause),
         1 => target().prop_map(Op::KillAgent),
-        4 => target().prop_map(Op::Restart),
+        4 => target().prop_map(Op::RestartAgent),
         3 => target().prop_map(Op::Report),
-        1 => (0..3_usize).prop_map(Op::Leave),
+        1 => (0..3_usize).prop_map(Op::Disconnect),
         4 => (0..3_usize, prop_oneof![4 => Just(0_u8), 2 => 1..4_u8])
-            .prop_map(|(at, fault)| Op::Store(at, fault)),
-        1 => Just(Op::LateSwap),
-        1 => Just(Op::Again),
+            .prop_map(|(at, fault)| Op::AnswerStore(at, fault)),
+        1 => Just(Op::ApplyLateWrite),
+        1 => Just(Op::CallAgain),
         1 => (0..8_usize).prop_map(Op::KillEntry),
-        2 => (0..8_usize, any::<bool>()).prop_map(|(at, held)| Op::Return(at, held)),
+        2 => (0..8_usize, any::<bool>())
+            .prop_map(|(at, with_output)| Op::Reconnect(at, with_output)),
     ]
 }
 
 fn plans() -> Vec<(GenerationPlan, GenerationLimits)> {
     let patience = Duration::from_secs(10);
     let hedged = GenerationLimits::default();
-    let thrifty = GenerationLimits {
+    let unhedged = GenerationLimits {
         hedges: 1,
         link_timeout: Duration::from_millis(1200),
         stall_timeout: Duration::from_millis(2000),
@@ -72,7 +75,7 @@
     };
     vec![
         (GenerationPlan::generate(patience), hedged.clone()),
-        (GenerationPlan::generate(patience), thrifty),
+        (GenerationPlan::generate(patience), unhedged),
         (
             GenerationPlan::generate(patience).with_idempotent(false),
             hedged.clone(),
@@ -84,7 +87,7 @@
     ]
 }
 
-fn run(ops: &[Op], whole: &Cell<usize>) -> Result<(), TestCaseError> {
+fn run(ops: &[Op], complete: &Cell<usize>) -> Result<(), TestCaseError> {
     let mut world = World::new(plans());
     for &op in ops {
         world.apply(op);
@@ -92,7 +95,7 @@
     }
     world.settle();
     world.check_settled().map_err(TestCaseError::fail)?;
-    whole.set(whole.get() + world.whole());
+    complete.set(complete.get() + world.complete_count());
     Ok(())
 }
 
@@ -110,14 +113,18 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let ops = proptest::collection::vec(op(), 1..OPS);
-    let whole = Cell::new(0);
+    let ops = proptest::collection::vec(op(), 1..MAX_OPS);
+    let complete = Cell::new(0);
 
-    let result = runner.run(&ops, |ops| run(&ops, &whole));
+    let result = runner.run(&ops, |ops| run(&ops, &complete));
 
     if let Err(fault) = result {
         panic!("seed {seed}: {fault}");
     }
-    // Most callers get their whole output, so the faults above do not hide behind refusals.
-    assert!(whole.get() > cases as usize, "{} outputs", whole.get());
+    // Requires more complete outputs than cases, so that refusals do not hide the injected faults.
+    assert!(
+        complete.get() > cases as usize,
+        "{} complete outputs",
+        complete.get()
+    );
 }
--- a/crates/cw_policy/tests/generation_world/agent_sim.rs
+++ b/crates/cw_policy/tests/generation_world/agent_sim.rs
@@ -1,4 +1,4 @@
-//! One target: the real attempt table of its agent, before an engine that makes tokens.
+//! A simulated target: the real attempt table of its agent, and an engine that generates tokens.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,46 +26,46 @@
 
 /// An attempt that the engine runs.
 #[derive(Debug)]
-struct Run {
+struct EngineRun {
     output: Vec<TokenId>,
-    most: u64,
+    max_tokens: u64,
 }
 
-/// One target: the real attempt table of its agent, before an engine that makes tokens.
+/// A simulated target: the real attempt table of its agent, and an engine that generates tokens.
 #[derive(Debug)]
 pub(crate) struct AgentSim {
-    /// The table.
+    /// The attempt table.
     pub(crate) table: AttemptTable,
     /// Whether the agent runs.
     pub(crate) alive: bool,
-    /// Whether its engine runs.
-    pub(crate) up: bool,
-    /// Whether its engine stands still.
-    pub(crate) paused: bool,
-    /// How often each attempt was given to the engine.
-    pub(crate) starts: BTreeMap<AttemptId, u32>,
-    /// What entries know of the agent's life.
+    /// Whether the engine runs.
+    pub(crate) engine_up: bool,
+    /// Whether the engine is paused.
+    pub(crate) engine_paused: bool,
+    /// The number of times that each attempt was started on the engine.
+    pub(crate) start_counts: BTreeMap<AttemptId, u32>,
+    /// The stamp of the agent's incarnation that the entries know.
     pub(crate) stamp: Stamp,
-    runs: BTreeMap<AttemptId, Run>,
-    born: Time,
+    runs: BTreeMap<AttemptId, EngineRun>,
+    started_at: Time,
     nonce: u32,
 }
 
 impl AgentSim {
-    /// Returns a target whose agent begins its first life.
+    /// Returns a target whose agent is in its first incarnation.
     pub(crate) fn new(now: Time, nonce: u32) -> Self {
         let mut sim = Self {
             table: AttemptTable::new(Incarnation(1), AttemptLimits::default()),
             alive: true,
-            up: true,
-            paused: false,
-            starts: BTreeMap::new(),
+            engine_up: true,
+            engine_paused: false,
+            start_counts: BTreeMap::new(),
             stamp: Stamp {
                 incarnation: Incarnation(1),
                 age: Default::default(),
             },
             runs: BTreeMap::new(),
-            born: now,
+            started_at: now,
             nonce,
         };
         sim.report(now);
@@ -74,21 +74,21 @@
 
     /// Returns the time on the agent's own clock.
     pub(crate) fn clock(&self, now: Time) -> Time {
-        Time::default() + now.since(self.born)
+        Time::default() + now.since(self.started_at)
     }
 
-    /// Reads the engine's load, and tells entries of the agent's life.
+    /// Reads the engine's load and updates the stamp that the entries know.
     pub(crate) fn report(&mut self, now: Time) {
         if !self.alive {
             return;
         }
         let clock = self.clock(now);
-        if self.up {
-            let name = |text: &str| text.to_owned().try_into().expect("a name");
-            let versions = BTreeSet::from(["v".to_owned().try_into().expect("a name")]);
+        if self.engine_up {
+            let name = |text: &str| text.to_owned().try_into().expect("a valid name");
+            let versions = BTreeSet::from(["v".to_owned().try_into().expect("a valid name")]);
             let versions = BTreeMap::from([(name("m"), versions)]);
             let steps = self.table.on_load(clock, clock, Load::default(), versions);
-            self.take(clock, steps);
+            self.carry_out(clock, steps);
         }
         self.stamp = Stamp {
             incarnation: self.table.incarnation(),
@@ -96,8 +96,8 @@
         };
     }
 
-    /// Does what the table says.
-    pub(crate) fn take(&mut self, clock: Time, steps: Vec<AttemptStep>) {
+    /// Carries out the steps of the attempt table.
+    pub(crate) fn carry_out(&mut self, clock: Time, steps: Vec<AttemptStep>) {
         for step in steps {
             match step {
                 AttemptStep::Start(dispatch) => self.start(clock, *dispatch),
@@ -111,36 +111,36 @@
 
     fn start(&mut self, clock: Time, dispatch: Dispatch) {
         let id = dispatch.id;
-        *self.starts.entry(id).or_default() += 1;
+        *self.start_counts.entry(id).or_default() += 1;
         let Work::Generate(work) = dispatch.work else {
             return;
         };
-        if !self.up {
+        if !self.engine_up {
             let steps = self.table.on_break(clock, id);
-            return self.take(clock, steps);
+            return self.carry_out(clock, steps);
         }
-        let run = Run {
+        let run = EngineRun {
             output: work.so_far,
-            most: work.max_tokens.0,
+            max_tokens: work.max_tokens.0,
         };
         self.runs.insert(id, run);
         let steps = self.table.on_accepted(clock, id, TokenCount(0));
-        self.take(clock, steps);
+        self.carry_out(clock, steps);
     }
 
-    /// The engine makes one token for each of its attempts.
-    pub(crate) fn step(&mut self, now: Time) {
-        if !self.alive || !self.up || self.paused {
+    /// Generates one token for each attempt of the engine.
+    pub(crate) fn step_engine(&mut self, now: Time) {
+        if !self.alive || !self.engine_up || self.engine_paused {
             return;
         }
         let clock = self.clock(now);
         let ids: Vec<AttemptId> = self.runs.keys().copied().collect();
         for id in ids {
-            self.step_one(clock, id);
+            self.step_attempt(clock, id);
         }
     }
 
-    fn step_one(&mut self, clock: Time, id: AttemptId) {
+    fn step_attempt(&mut self, clock: Time, id: AttemptId) {
         self.nonce = self.nonce.wrapping_add(1);
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -150,60 +150,61 @@
             text: String::new(),
         };
         run.output.push(token.id);
-        let whole = run.output.len() as u64 >= run.most;
+        let is_complete = run.output.len() as u64 >= run.max_tokens;
         let (flow, mut steps) = self.table.on_output(clock, id, Chunk::Tokens(vec![token]));
-        if whole || flow == Flow::Stop {
+        if is_complete || flow == Flow::Stop {
             self.runs.remove(&id);
             steps.extend(self.table.on_end(clock, id, End::Done(Finish::Length)));
         }
-        self.take(clock, steps);
+        self.carry_out(clock, steps);
     }
 
-    /// The engine dies under its agent.
+    /// Crashes the engine; its agent stays up.
     pub(crate) fn kill_engine(&mut self, now: Time) {
-        self.up = false;
+        self.engine_up = false;
         let clock = self.clock(now);
         for id in std::mem::take(&mut self.runs).into_keys() {
             let steps = self.table.on_break(clock, id);
-            self.take(clock, steps);
+            self.carry_out(clock, steps);
         }
         self.table.on_crash(clock);
         let steps = self.table.on_down(clock);
-        self.take(clock, steps);
+        self.carry_out(clock, steps);
     }
 
-    /// The agent dies, and what its engine runs for it is cancelled.
+    /// Crashes the agent and cancels the work of its engine.
     pub(crate) fn kill(&mut self) {
         self.alive = false;
         self.runs.clear();
     }
 
-    /// A new life of the agent begins.
+    /// Starts a new incarnation of the agent if it has crashed, and reports.
     pub(crate) fn restart(&mut self, now: Time) {
         if !self.alive {
-            let life = self.table.incarnation().next();
-            self.table = AttemptTable::new(life, AttemptLimits::default());
+            let incarnation = self.table.incarnation().next();
+            self.table = AttemptTable::new(incarnation, AttemptLimits::default());
             self.alive = true;
-            self.born = now;
+            self.started_at = now;
         }
         self.report(now);
     }
 
-    /// Returns how many attempts the engine runs.
+    /// Returns the number of attempts that the engine runs.
     pub(crate) fn running(&self) -> usize {
         self.runs.len()
     }
 }
 
-/// Returns a token that tells which output it continues, and that no other engine makes again.
+/// Returns a token with a digest of the output that it continues and a nonce, so that no engine
+/// generates it again.
 fn next_token(output: &[TokenId], nonce: u32) -> TokenId {
     TokenId((digest(output) << 16) | (nonce & 0xffff))
 }
 
-/// Returns whether each token of `output` continues those before it.
-pub(crate) fn is_whole_chain(output: &[TokenId]) -> bool {
-    let mut places = 0..output.len();
-    places.all(|at| output[at].0 >> 16 == digest(&output[..at]))
+/// Returns whether each token of `output` continues the tokens before it.
+pub(crate) fn is_consistent(output: &[TokenId]) -> bool {
+    let mut indices = 0..output.len();
+    indices.all(|at| output[at].0 >> 16 == digest(&output[..at]))
 }
 
 fn digest(output: &[TokenId]) -> u32 {
--- a/crates/cw_policy/tests/generation_world/claims.rs
+++ b/crates/cw_policy/tests/generation_world/claims.rs
@@ -1,4 +1,4 @@
-//! Callers with one idempotency key, and the key-value service that loses answers.
+//! Calls with one idempotency key, and a simulated key-value service that loses replies.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -22,53 +22,53 @@
 use cw_wire::Dispatch;
 use cw_wire::Fingerprint;
 
-use super::Ask;
 use super::Caller;
-use super::MOST;
+use super::MAX_TOKENS;
+use super::Request;
 use super::World;
-use super::index;
-use super::target;
+use super::target_id;
+use super::target_index;
 
 /// A claim and the revision that wrote it.
-type Held = (Claim, ClaimRevision);
+type StoredClaim = (Claim, ClaimRevision);
 
-/// The key-value service, as far as the key goes.
+/// A simulated key-value service with one key.
 #[derive(Debug, Default)]
 pub(super) struct StoreSim {
-    held: Option<Held>,
+    value: Option<StoredClaim>,
     revision: i64,
-    /// Writes on their way from entries that died.
-    late: VecDeque<(Option<ClaimRevision>, Claim)>,
-    claims: u64,
+    /// The writes that were in flight when their entries crashed.
+    late_writes: VecDeque<(Option<ClaimRevision>, Claim)>,
+    claim_count: u64,
 }
 
 impl StoreSim {
-    fn swap(&mut self, expected: Option<ClaimRevision>, claim: &Claim) -> ClaimEvent {
-        if self.held.as_ref().map(|held| held.1) != expected {
+    fn compare_and_swap(&mut self, expected: Option<ClaimRevision>, claim: &Claim) -> ClaimEvent {
+        if self.value.as_ref().map(|stored| stored.1) != expected {
             return self.read();
         }
         self.revision += 1;
         let revision = ClaimRevision(self.revision);
-        self.held = Some((claim.clone(), revision));
+        self.value = Some((claim.clone(), revision));
         ClaimEvent::Written(revision)
     }
 
     fn read(&self) -> ClaimEvent {
-        let held = self.held.clone();
-        ClaimEvent::Current(held.map(|(claim, revision)| (Box::new(claim), revision)))
+        let stored = self.value.clone();
+        ClaimEvent::Current(stored.map(|(claim, revision)| (Box::new(claim), revision)))
     }
 
-    /// A write that was on its way when its entry died takes effect.
-    pub(super) fn late_swap(&mut self) {
-        if let Some((expected, claim)) = self.late.pop_front() {
-            self.swap(expected, &claim);
+    /// Applies a write that was in flight when its entry crashed.
+    pub(super) fn apply_late_write(&mut self) {
+        if let Some((expected, claim)) = self.late_writes.pop_front() {
+            self.compare_and_swap(expected, &claim);
         }
     }
 }
 
-/// A claim that is being written.
+/// A claim that is being written, and the dispatch that awaits it.
 #[derive(Debug)]
-struct Claiming {
+struct PendingClaim {
     write: ClaimWrite,
     claim: Claim,
     step: ClaimStep,
@@ -77,42 +77,52 @@
     dispatch: Dispatch,
 }
 
-/// What an entry knows of the key for one call.
+/// The state of the idempotency key at an entry, for one call.
 #[derive(Debug, Default)]
-pub(super) struct KeyUse {
-    held: Option<Held>,
-    claiming: Option<Claiming>,
+pub(super) struct KeyState {
+    /// The stored claim that the entry last read or wrote.
+    stored: Option<StoredClaim>,
+    pending: Option<PendingClaim>,
 }
 
 impl World {
-    /// Returns the callers whose claims are being written.
-    pub(super) fn claiming(&self) -> Vec<usize> {
+    /// Returns the indices of the callers whose claims are being written.
+    pub(super) fn claiming_callers(&self) -> Vec<usize> {
         let claims = |caller: &Caller| {
             let key = caller.key.as_ref();
-            key.is_some_and(|key| key.claiming.is_some())
+            key.is_some_and(|key| key.pending.is_some())
         };
         let callers = 0..self.callers.len();
         callers.filter(|&at| claims(&self.callers[at])).collect()
     }
 
-    /// Begins to write the claim of a dispatch.
-    pub(super) fn claim(&mut self, caller: usize, link: LinkId, agent: usize, dispatch: Dispatch) {
-        self.store.claims += 1;
+    /// Starts to write the claim of a dispatch.
+    pub(super) fn start_claim(
+        &mut self,
+        caller: usize,
+        link: LinkId,
+        agent: usize,
+        dispatch: Dispatch,
+    ) {
+        self.store.claim_count += 1;
         let claim = Claim {
-            id: ClaimId(self.store.claims),
+            id: ClaimId(self.store.claim_count),
             fingerprint: Fingerprint(7),
             attempt: dispatch.id,
-            target: target(agent),
-            agent: "127.0.0.1:1".parse().expect("an address"),
+            target: target_id(agent),
+            agent: "127.0.0.1:1".parse().expect("a valid address"),
             stamp: dispatch.stamp,
             version: None,
             state: ClaimState::Open,
         };
-        let key = self.callers[caller].key.as_mut().expect("it has the key");
-        let expected = key.held.as_ref().map(|held| held.1);
+        let key = self.callers[caller]
+            .key
+            .as_mut()
+            .expect("the caller has the key");
+        let expected = key.stored.as_ref().map(|stored| stored.1);
         let mut write = ClaimWrite::new(claim.clone(), expected);
         let step = write.start();
-        key.claiming = Some(Claiming {
+        key.pending = Some(PendingClaim {
             write,
             claim,
             step,
@@ -122,19 +132,25 @@
         });
     }
 
-    /// The service answers: 0 as it should, 1 losing the answer, 2 losing the call, 3 refusing it.
+    /// Answers a call to the service. Fault 0 is none, 1 loses the reply, 2 loses the call, and 3
+    /// refuses a write.
     pub(super) fn answer_store(&mut self, at: usize, fault: u8) {
-        let claiming = self.claiming();
+        let claiming = self.claiming_callers();
         if claiming.is_empty() {
             return;
         }
         let caller = claiming[at % claiming.len()];
-        let key = self.callers[caller].key.as_mut().expect("it has the key");
-        let pending = key.claiming.as_mut().expect("it is claiming");
+        let key = self.callers[caller]
+            .key
+            .as_mut()
+            .expect("the caller has the key");
+        let pending = key.pending.as_mut().expect("a claim is pending");
         let event = match (fault, &pending.step) {
             (2, _) => ClaimEvent::Unconfirmed,
             (3, ClaimStep::Swap { .. }) => ClaimEvent::Unavailable,
-            (_, ClaimStep::Swap { expected, claim }) => self.store.swap(*expected, claim),
+            (_, ClaimStep::Swap { expected, claim }) => {
+                self.store.compare_and_swap(*expected, claim)
+            }
             _ => self.store.read(),
         };
         let event = match fault {
@@ -142,48 +158,54 @@
             _ => event,
         };
         pending.step = pending.write.on_event(event);
-        self.end_claim(caller);
+        self.finish_claim(caller);
     }
 
-    fn end_claim(&mut self, caller: usize) {
-        let key = self.callers[caller].key.as_mut().expect("it has the key");
-        let Some(pending) = key.claiming.take() else {
+    fn finish_claim(&mut self, caller: usize) {
+        let key = self.callers[caller]
+            .key
+            .as_mut()
+            .expect("the caller has the key");
+        let Some(pending) = key.pending.take() else {
             return;
         };
         let link = pending.link;
         let kind = match pending.step {
             ClaimStep::Acquired(revision) => {
-                key.held = Some((pending.claim, revision));
-                let ask = Ask::Dispatch(Box::new(pending.dispatch));
-                self.open(caller, link, pending.agent, ask);
+                key.stored = Some((pending.claim, revision));
+                let request = Request::Dispatch(Box::new(pending.dispatch));
+                self.open_link(caller, link, pending.agent, request);
                 return self.feed(caller, Event::Claimed { link });
             }
             ClaimStep::Conflict(..) => ErrorKind::InProgress,
             ClaimStep::Unavailable => ErrorKind::StoreUnavailable,
             ClaimStep::Swap { .. } | ClaimStep::Read => {
-                key.claiming = Some(pending);
+                key.pending = Some(pending);
                 return;
             }
         };
         self.feed(caller, Event::NotClaimed { link, kind });
     }
 
-    /// A caller calls again with the key, through another entry.
+    /// Repeats the call with the key through another entry.
     pub(super) fn call_again(&mut self) {
-        self.entries += 1;
-        let held = self.store.held.clone();
+        self.takeovers += 1;
+        let stored = self.store.value.clone();
         let mut plan =
             GenerationPlan::generate(std::time::Duration::from_secs(10)).with_idempotent(false);
-        plan.max_tokens = Some(TokenCount(MOST));
+        plan.max_tokens = Some(TokenCount(MAX_TOKENS));
         plan.claimed = true;
-        let mut id = GenerationId(1_000_000 + u128::from(self.entries));
+        let mut id = GenerationId(1_000_000 + u128::from(self.takeovers));
         let mut sent = BTreeMap::new();
-        if let Some((claim, _)) = &held {
+        if let Some((claim, _)) = &stored {
             id = claim.attempt.generation;
             plan.running_target = Some(claim.target.clone());
             plan.running_attempt = claim.attempt.attempt;
-            plan.next_attempt = AttemptNo(1000 * self.entries);
-            sent.insert(plan.running_attempt, (index(&claim.target), claim.stamp));
+            plan.next_attempt = AttemptNo(1000 * self.takeovers);
+            sent.insert(
+                plan.running_attempt,
+                (target_index(&claim.target), claim.stamp),
+            );
         }
         self.callers.push(Caller {
             id,
@@ -192,33 +214,33 @@
             links: BTreeMap::new(),
             sent,
             output: Vec::new(),
-            last: None,
-            left: false,
-            dead: false,
-            key: Some(KeyUse {
-                held,
-                claiming: None,
+            last_delivery: None,
+            disconnected: false,
+            entry_dead: false,
+            key: Some(KeyState {
+                stored,
+                pending: None,
             }),
-            end: None,
+            end_step: None,
         });
         self.feed(self.callers.len() - 1, Event::Start);
     }
 
-    /// An entry dies, with all that it does for a caller; what it wrote may still arrive.
+    /// Crashes the entry of a caller; a write in flight may still take effect.
     pub(super) fn kill_entry(&mut self, at: usize) {
         let caller = &mut self.callers[at];
-        if caller.dead || caller.end.is_some() {
+        if caller.entry_dead || caller.end_step.is_some() {
             return;
         }
-        caller.dead = true;
-        caller.left = true;
-        let claiming = caller.key.as_mut().and_then(|key| key.claiming.take());
+        caller.entry_dead = true;
+        caller.disconnected = true;
+        let claiming = caller.key.as_mut().and_then(|key| key.pending.take());
         if let Some(ClaimStep::Swap { expected, claim }) = claiming.map(|pending| pending.step) {
-            self.store.late.push_back((expected, *claim));
+            self.store.late_writes.push_back((expected, *claim));
         }
         let links: Vec<LinkId> = self.callers[at].links.keys().copied().collect();
         for link in links {
-            self.close(at, link);
+            self.close_link(at, link);
         }
     }
 }
--- a/crates/cw_policy/tests/generation_world/machines.rs
+++ b/crates/cw_policy/tests/generation_world/machines.rs
@@ -1,4 +1,4 @@
-//! What the entries' machines ask for.
+//! The driver that carries out the steps of the generation state machines.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -24,33 +24,33 @@
 use cw_wire::Sampling;
 use cw_wire::Work;
 
-use super::Ask;
 use super::Caller;
 use super::Link;
-use super::MOST;
+use super::MAX_TOKENS;
+use super::Request;
 use super::TARGETS;
 use super::World;
-use super::index;
-use super::name;
-use super::target;
+use super::parse_name;
+use super::target_id;
+use super::target_index;
 
 impl World {
     pub(super) fn feed(&mut self, caller: usize, event: Event) {
-        if self.callers[caller].dead {
+        if self.callers[caller].entry_dead {
             return;
         }
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let steps = self.callers[caller].machine.on_event(self.now, event);
             for step in steps {
-                events.extend(self.take(caller, step));
+                events.extend(self.carry_out(caller, step));
             }
         }
     }
 
-    pub(super) fn take(&mut self, caller: usize, step: Step) -> Option<Event> {
+    pub(super) fn carry_out(&mut self, caller: usize, step: Step) -> Option<Event> {
         match step {
-            Step::Choose { exclude, .. } => return Some(self.choose(&exclude)),
+            Step::Choose { exclude, .. } => return Some(self.choose_target(&exclude)),
             Step::Dispatch {
                 link,
                 attempt,
@@ -58,15 +58,15 @@
                 so_far,
                 resumed,
             } => {
-                let agent = index(&target);
+                let agent = target_index(&target);
                 let stamp = self.agents[agent].stamp;
                 self.callers[caller].sent.insert(attempt, (agent, stamp));
-                let dispatch = self.dispatch(caller, attempt, so_far, resumed);
+                let dispatch = self.dispatch_request(caller, attempt, so_far, resumed);
                 if self.callers[caller].key.is_some() {
-                    self.claim(caller, link, agent, dispatch);
+                    self.start_claim(caller, link, agent, dispatch);
                     return None;
                 }
-                self.open(caller, link, agent, Ask::Dispatch(Box::new(dispatch)));
+                self.open_link(caller, link, agent, Request::Dispatch(Box::new(dispatch)));
             }
             Step::Attach {
                 link,
@@ -75,10 +75,10 @@
                 repeat,
                 from,
             } => {
-                let ask = self.attach(caller, attempt, repeat, from);
-                self.open(caller, link, index(&target), ask);
+                let request = self.attach_request(caller, attempt, repeat, from);
+                self.open_link(caller, link, target_index(&target), request);
             }
-            Step::Close { link } => self.close(caller, link),
+            Step::Close { link } => self.close_link(caller, link),
             Step::Cancel { attempt, .. } => self.push_cancel(caller, attempt, None),
             Step::ConfirmCancel { attempt, .. } => self.push_cancel(caller, attempt, Some(caller)),
             Step::Enqueue => {
@@ -88,10 +88,10 @@
             Step::CheckCrashes => return Some(Event::CrashesChecked { at_fault: false }),
             Step::Ack { attempt, next, .. } => {
                 let (agent, _) = self.callers[caller].sent[&attempt];
-                let id = self.attempt(caller, attempt);
+                let id = self.attempt_id(caller, attempt);
                 let clock = self.agents[agent].clock(self.now);
                 let steps = self.agents[agent].table.on_ack(clock, &Ack { id, next });
-                self.agents[agent].take(clock, steps);
+                self.agents[agent].carry_out(clock, steps);
             }
             Step::Deliver {
                 first,
@@ -100,17 +100,24 @@
                 tokens,
             } => {
                 let caller = &mut self.callers[caller];
-                if caller.left {
+                if caller.disconnected {
                     return None;
                 }
-                caller.last = Some((attempt, target));
-                assert_eq!(first.0, caller.output.len() as u64, "no gap, no repeat");
-                assert!(caller.end.is_none(), "nothing comes after the end");
+                caller.last_delivery = Some((attempt, target));
+                assert_eq!(
+                    first.0,
+                    caller.output.len() as u64,
+                    "tokens are delivered without gaps or repeats"
+                );
+                assert!(
+                    caller.end_step.is_none(),
+                    "no token is delivered after the end"
+                );
                 caller.output.extend(tokens.iter().map(|token| token.id));
             }
             Step::Finish(_) | Step::Fail { .. } | Step::Abandon | Step::Answer { .. } => {
-                let end = &mut self.callers[caller].end;
-                assert!(end.is_none(), "there is one end");
+                let end = &mut self.callers[caller].end_step;
+                assert!(end.is_none(), "a generation ends once");
                 *end = Some(step);
             }
             _ => {}
@@ -118,51 +125,54 @@
         None
     }
 
-    /// A caller hears nothing more from its entry, and calls again through another one.
-    pub(super) fn come_back(&mut self, at: usize, held: bool) {
+    /// Disconnects a caller from its entry and repeats its call through another one.
+    pub(super) fn reconnect(&mut self, at: usize, with_output: bool) {
         let caller = &mut self.callers[at];
-        let Some((attempt, target)) = caller.last.clone() else {
+        let Some((attempt, target)) = caller.last_delivery.clone() else {
             return;
         };
-        // A caller with a key calls again by its key.
-        if caller.left || caller.end.is_some() || caller.key.is_some() {
+        // A caller with an idempotency key repeats its call by [`World::call_again`].
+        if caller.disconnected || caller.end_step.is_some() || caller.key.is_some() {
             return;
         }
-        caller.left = true;
+        caller.disconnected = true;
         let mut plan = caller.plan.clone();
         plan.resume_index = TokenIndex(caller.output.len() as u64);
         plan.running_target = Some(target.clone());
         plan.running_attempt = attempt;
-        self.entries += 1;
-        plan.next_attempt = AttemptNo(1000 * self.entries);
-        plan.prefix = match held {
+        self.takeovers += 1;
+        plan.next_attempt = AttemptNo(1000 * self.takeovers);
+        plan.prefix = match with_output {
             true => caller.output.clone(),
             false => Vec::new(),
         };
-        let agent = index(&target);
+        let agent = target_index(&target);
         let stamp = self.agents[agent].stamp;
-        let back = Caller {
+        let reconnected = Caller {
             id: caller.id,
             machine: Generation::new(plan.clone(), GenerationLimits::default()),
             plan,
             links: BTreeMap::new(),
             sent: BTreeMap::from([(attempt, (agent, stamp))]),
             output: caller.output.clone(),
-            last: caller.last.clone(),
-            left: false,
-            dead: false,
+            last_delivery: caller.last_delivery.clone(),
+            disconnected: false,
+            entry_dead: false,
             key: None,
-            end: None,
+            end_step: None,
         };
         self.feed(at, Event::CallerGone);
-        self.callers.push(back);
+        self.callers.push(reconnected);
         self.feed(self.callers.len() - 1, Event::Start);
     }
 
-    pub(super) fn choose(&mut self, exclude: &std::collections::BTreeSet<TargetId>) -> Event {
+    pub(super) fn choose_target(
+        &mut self,
+        exclude: &std::collections::BTreeSet<TargetId>,
+    ) -> Event {
         for _ in 0..TARGETS {
-            self.turn = (self.turn + 1) % TARGETS;
-            let target = target(self.turn);
+            self.last_choice = (self.last_choice + 1) % TARGETS;
+            let target = target_id(self.last_choice);
             if !exclude.contains(&target) {
                 return Event::Chosen(target);
             }
@@ -173,10 +183,16 @@
         }
     }
 
-    pub(super) fn open(&mut self, caller: usize, link: LinkId, agent: usize, ask: Ask) {
+    pub(super) fn open_link(
+        &mut self,
+        caller: usize,
+        link: LinkId,
+        agent: usize,
+        request: Request,
+    ) {
         let opened = Link {
             agent,
-            ask: Some(ask),
+            request: Some(request),
             reader: None,
             frames: VecDeque::new(),
             silent: false,
@@ -185,7 +201,7 @@
         self.callers[caller].links.insert(link, opened);
     }
 
-    pub(super) fn attempt(&self, caller: usize, attempt: AttemptNo) -> AttemptId {
+    pub(super) fn attempt_id(&self, caller: usize, attempt: AttemptNo) -> AttemptId {
         let generation = self.callers[caller].id;
         AttemptId {
             generation,
@@ -193,30 +209,30 @@
         }
     }
 
-    pub(super) fn attach(
+    pub(super) fn attach_request(
         &self,
         caller: usize,
         attempt: AttemptNo,
         repeat: Option<Vec<TokenId>>,
         from: TokenIndex,
-    ) -> Ask {
+    ) -> Request {
         match repeat {
             Some(so_far) => {
-                let mut dispatch = self.dispatch(caller, attempt, so_far, true);
+                let mut dispatch = self.dispatch_request(caller, attempt, so_far, true);
                 dispatch.repeat = true;
                 dispatch.from = from;
-                Ask::Dispatch(Box::new(dispatch))
+                Request::Dispatch(Box::new(dispatch))
             }
-            None => Ask::Attach(Attach {
+            None => Request::Attach(Attach {
                 generation: self.callers[caller].id,
                 attempt: Some(attempt),
-                workspace: name("w"),
+                workspace: parse_name("w"),
                 from,
             }),
         }
     }
 
-    pub(super) fn dispatch(
+    pub(super) fn dispatch_request(
         &self,
         caller: usize,
         attempt: AttemptNo,
@@ -225,10 +241,10 @@
     ) -> Dispatch {
         let from = TokenIndex(so_far.len() as u64);
         Dispatch {
-            id: self.attempt(caller, attempt),
+            id: self.attempt_id(caller, attempt),
             stamp: self.callers[caller].sent[&attempt].1,
             repeat: false,
-            workspace: name("w"),
+            workspace: parse_name("w"),
             weight: 1,
             rank: 1,
             idempotent: self.callers[caller].plan.idempotent,
@@ -237,8 +253,8 @@
             fingerprint: Default::default(),
             from,
             work: Work::Generate(Generate {
-                model: name("m"),
-                version: name("v"),
+                model: parse_name("m"),
+                version: parse_name("v"),
                 adapter: None,
                 prompt: Prompt::Text(String::new()),
                 sampling: Sampling {
@@ -248,7 +264,7 @@
                     stop: Vec::new(),
                 },
                 so_far,
-                max_tokens: TokenCount(MOST),
+                max_tokens: TokenCount(MAX_TOKENS),
             }),
         }
     }
--- a/crates/cw_policy/tests/generation_world/messages.rs
+++ b/crates/cw_policy/tests/generation_world/messages.rs
@@ -1,4 +1,4 @@
-//! Cancellations, late dispatches, deaths of agents, and time.
+//! Cancellations, repeated dispatches, crashes of agents, and time.
 
 use std::time::Duration;
 
@@ -7,53 +7,61 @@
 use cw_types::AttemptNo;
 use cw_wire::Cancel;
 
-use super::Asked;
+use super::PendingCancel;
 use super::World;
 
 impl World {
-    pub(super) fn push_cancel(&mut self, caller: usize, attempt: AttemptNo, prover: Option<usize>) {
+    pub(super) fn push_cancel(
+        &mut self,
+        caller: usize,
+        attempt: AttemptNo,
+        requester: Option<usize>,
+    ) {
         let (agent, stamp) = self.callers[caller].sent[&attempt];
-        let id = self.attempt(caller, attempt);
-        self.cancels.push_back(Asked {
+        let id = self.attempt_id(caller, attempt);
+        self.pending_cancels.push_back(PendingCancel {
             agent,
             cancel: Cancel { id, stamp },
-            prover,
+            requester,
         });
     }
 
-    pub(super) fn cancel(&mut self, at: usize, lost: bool) {
-        if self.cancels.is_empty() {
+    pub(super) fn deliver_cancel(&mut self, at: usize, lost: bool) {
+        if self.pending_cancels.is_empty() {
             return;
         }
-        let at = at % self.cancels.len();
-        let asked = self.cancels.remove(at).expect("it is in the queue");
-        let agent = &mut self.agents[asked.agent];
+        let at = at % self.pending_cancels.len();
+        let pending = self
+            .pending_cancels
+            .remove(at)
+            .expect("the index is in range");
+        let agent = &mut self.agents[pending.agent];
         let mut ran = None;
         if agent.alive && !lost {
             let clock = agent.clock(self.now);
-            let (cancelled, steps) = agent.table.on_cancel(clock, &asked.cancel);
-            agent.take(clock, steps);
+            let (cancelled, steps) = agent.table.on_cancel(clock, &pending.cancel);
+            agent.carry_out(clock, steps);
             ran = Some(cancelled.ran);
         }
-        if let Some(caller) = asked.prover {
-            let attempt = asked.cancel.id.attempt;
+        if let Some(caller) = pending.requester {
+            let attempt = pending.cancel.id.attempt;
             self.feed(caller, Event::CancelResult { attempt, ran });
         }
     }
 
-    pub(super) fn late(&mut self, at: usize) {
-        if self.dispatches.is_empty() {
+    pub(super) fn repeat_dispatch(&mut self, at: usize) {
+        if self.sent_dispatches.is_empty() {
             return;
         }
-        let at = at % self.dispatches.len();
-        let (agent, dispatch) = self.dispatches[at].clone();
+        let at = at % self.sent_dispatches.len();
+        let (agent, dispatch) = self.sent_dispatches[at].clone();
         let agent = &mut self.agents[agent];
         if !agent.alive {
             return;
         }
         let clock = agent.clock(self.now);
         let (answer, steps) = agent.table.on_dispatch(clock, dispatch);
-        agent.take(clock, steps);
+        agent.carry_out(clock, steps);
         if let AttemptAnswer::Read(reader) = answer {
             agent.table.on_leave(clock, &reader);
         }
@@ -63,26 +71,26 @@
         self.agents[at].kill();
         for (caller, id) in self.links() {
             let link = self.link(caller, id);
-            if link.agent == at && link.ask.is_none() {
+            if link.agent == at && link.request.is_none() {
                 link.reader = None;
                 link.ended = true;
             }
         }
     }
 
-    pub(super) fn restart(&mut self, at: usize) {
-        self.agents[at].up = true;
+    pub(super) fn restart_agent(&mut self, at: usize) {
+        self.agents[at].engine_up = true;
         self.agents[at].restart(self.now);
     }
 
-    pub(super) fn pass(&mut self, span: Duration) {
-        self.now = self.now + span;
+    pub(super) fn advance_time(&mut self, duration: Duration) {
+        self.now = self.now + duration;
         for agent in self.agents.iter_mut().filter(|agent| agent.alive) {
             let clock = agent.clock(self.now);
             let steps = agent.table.on_tick(clock);
-            agent.take(clock, steps);
+            agent.carry_out(clock, steps);
         }
-        self.beat();
+        self.deliver_heartbeats();
         for caller in 0..self.callers.len() {
             let machine = &self.callers[caller].machine;
             if machine.deadline().is_some_and(|at| at <= self.now) {
@@ -91,8 +99,8 @@
         }
     }
 
-    /// Heartbeats arrive on links that carry nothing else.
-    pub(super) fn beat(&mut self) {
+    /// Delivers heartbeats on links without buffered frames.
+    pub(super) fn deliver_heartbeats(&mut self) {
         for (caller, id) in self.links() {
             let now = self.now;
             let Some(link) = self.callers[caller].links.get(&id) else {
--- a/crates/cw_policy/tests/generation_world/mod.rs
+++ b/crates/cw_policy/tests/generation_world/mod.rs
@@ -1,4 +1,4 @@
-//! Entries, agents and engines with a network between them that a fuzzer decides over.
+//! A simulation of entries, agents and engines whose network and faults the fuzzer controls.
 
 mod agent_sim;
 mod claims;
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use agent_sim::AgentSim;
-use agent_sim::is_whole_chain;
-use claims::KeyUse;
+use agent_sim::is_consistent;
+use claims::KeyState;
 use claims::StoreSim;
 use cw_policy::Event;
 use cw_policy::Generation;
@@ -35,67 +35,67 @@
 use cw_wire::Frame;
 use cw_wire::Stamp;
 
-/// How many targets there are.
+/// The number of targets.
 pub(crate) const TARGETS: usize = 3;
 
-/// The caller with an idempotency key.
-const KEYED: usize = 2;
+/// The index of the caller with an idempotency key.
+const KEYED_CALLER: usize = 2;
 
-/// The most tokens of each output.
-const MOST: u64 = 12;
+/// The number of tokens of a complete output.
+const MAX_TOKENS: u64 = 12;
 
-/// The most frames that a link reads ahead of its entry.
-const AHEAD: usize = 4;
+/// The maximum number of frames that a link buffers for its entry.
+const READ_AHEAD: usize = 4;
 
-/// What the fuzzer lets happen.
+/// An operation that the fuzzer applies to the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Op {
-    /// The next message of a link arrives.
+    /// Delivers the next message of a link.
     Deliver(usize),
-    /// A link breaks.
-    Break(usize),
-    /// A link goes silent for good.
-    Silence(usize),
-    /// The next frame of a link arrives twice.
-    Repeat(usize),
-    /// The next two frames of a link change places.
-    Swap(usize),
-    /// An old dispatch arrives once more.
-    Late(usize),
-    /// A cancellation, or the question for a proof, arrives.
-    Cancel(usize),
-    /// A cancellation, or the question for a proof, is lost.
+    /// Breaks a link.
+    BreakLink(usize),
+    /// Stops a link from delivering messages, permanently and without an error.
+    SilenceLink(usize),
+    /// Duplicates the next frame of a link.
+    RepeatFrame(usize),
+    /// Swaps the next two frames of a link.
+    SwapFrames(usize),
+    /// Delivers an earlier dispatch again.
+    RepeatDispatch(usize),
+    /// Delivers a cancellation, with or without a request for its result.
+    DeliverCancel(usize),
+    /// Loses a cancellation, with or without a request for its result.
     LoseCancel(usize),
-    /// An engine makes tokens.
-    Engine(usize),
-    /// An engine dies.
+    /// Generates one token for each attempt of an engine.
+    StepEngine(usize),
+    /// Crashes an engine.
     KillEngine(usize),
-    /// An engine stands still, or goes on.
-    Pause(usize),
-    /// An agent dies.
+    /// Pauses or resumes an engine.
+    TogglePause(usize),
+    /// Crashes an agent.
     KillAgent(usize),
-    /// An agent and its engine come back.
-    Restart(usize),
-    /// An agent reports.
+    /// Restarts an agent and its engine.
+    RestartAgent(usize),
+    /// Sends a report of an agent.
     Report(usize),
-    /// Time passes, in milliseconds.
-    Pass(u64),
-    /// A caller goes away.
-    Leave(usize),
-    /// The key-value service answers, with a fault or without.
-    Store(usize, u8),
-    /// A write that was on its way when its entry died takes effect.
-    LateSwap,
-    /// A caller with the idempotency key calls again through another entry.
-    Again,
-    /// An entry dies, with all that it does for a caller.
+    /// Advances the time, in milliseconds.
+    AdvanceTime(u64),
+    /// Disconnects a caller.
+    Disconnect(usize),
+    /// Answers a call to the key-value service, with the given fault.
+    AnswerStore(usize, u8),
+    /// Applies a write that was in flight when its entry crashed.
+    ApplyLateWrite,
+    /// Repeats the call with the idempotency key through another entry.
+    CallAgain,
+    /// Crashes the entry of a caller.
     KillEntry(usize),
-    /// A caller comes back through another entry, with its tokens or without.
-    Return(usize, bool),
+    /// Reconnects a caller through another entry; the flag says whether it sends its output back.
+    Reconnect(usize, bool),
 }
 
 #[derive(Debug)]
-enum Ask {
+enum Request {
     Dispatch(Box<Dispatch>),
     Attach(Attach),
 }
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 struct Link {
     agent: usize,
-    ask: Option<Ask>,
+    request: Option<Request>,
     reader: Option<Reader>,
     frames: VecDeque<Frame>,
     silent: bool,
@@ -118,50 +118,50 @@
     links: BTreeMap<LinkId, Link>,
     sent: BTreeMap<AttemptNo, (usize, Stamp)>,
     output: Vec<TokenId>,
-    /// The attempt that made the newest token, and its target.
-    last: Option<(AttemptNo, TargetId)>,
-    /// Whether the caller listens to another entry now.
-    left: bool,
-    /// Whether its entry is dead.
-    dead: bool,
-    /// The use of the idempotency key, if it has it.
-    key: Option<KeyUse>,
-    end: Option<Step>,
+    /// The attempt that generated the last delivered token, and its target.
+    last_delivery: Option<(AttemptNo, TargetId)>,
+    /// Whether the caller no longer listens to this entry.
+    disconnected: bool,
+    /// Whether the caller's entry has crashed.
+    entry_dead: bool,
+    /// The state of the idempotency key, if the caller has one.
+    key: Option<KeyState>,
+    end_step: Option<Step>,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct PendingCancel {
     agent: usize,
     cancel: Cancel,
-    /// The caller that waits for the proof.
-    prover: Option<usize>,
+    /// The caller that awaits the result.
+    requester: Option<usize>,
 }
 
-/// Entries, agents and engines with a network between them.
+/// A simulation of entries, agents, engines and the network between them.
 #[derive(Debug)]
 pub(crate) struct World {
     now: Time,
     agents: Vec<AgentSim>,
     callers: Vec<Caller>,
-    cancels: VecDeque<Asked>,
-    /// Every dispatch that was sent, and so may arrive once more. One whose connection was refused
-    /// was not.
-    dispatches: Vec<(usize, Dispatch)>,
-    turn: usize,
-    /// How many entries have taken over a generation.
-    entries: u32,
+    pending_cancels: VecDeque<PendingCancel>,
+    /// Every dispatch that was sent and may arrive again; this excludes one whose connection was
+    /// refused.
+    sent_dispatches: Vec<(usize, Dispatch)>,
+    last_choice: usize,
+    /// The number of calls through another entry, which number the attempts of that entry.
+    takeovers: u32,
     store: StoreSim,
 }
 
 impl World {
-    /// Returns a world with one caller for each plan.
+    /// Returns a simulation with one caller for each plan.
     pub(crate) fn new(plans: Vec<(GenerationPlan, GenerationLimits)>) -> Self {
         let now = Time(1_000_000);
         let agents = (0..TARGETS).map(|at| AgentSim::new(now, 1000 * at as u32));
         let callers = plans.into_iter().enumerate().map(|(at, (plan, limits))| {
             let mut plan = plan;
-            plan.max_tokens = Some(TokenCount(MOST));
-            plan.claimed = at == KEYED;
+            plan.max_tokens = Some(TokenCount(MAX_TOKENS));
+            plan.claimed = at == KEYED_CALLER;
             Caller {
                 id: GenerationId(at as u128 + 1),
                 machine: Generation::new(plan.clone(), limits),
@@ -169,21 +169,21 @@
                 links: BTreeMap::new(),
                 sent: BTreeMap::new(),
                 output: Vec::new(),
-                last: None,
-                left: false,
-                dead: false,
-                key: (at == KEYED).then(KeyUse::default),
-                end: None,
+                last_delivery: None,
+                disconnected: false,
+                entry_dead: false,
+                key: (at == KEYED_CALLER).then(KeyState::default),
+                end_step: None,
             }
         });
         let mut world = Self {
             now,
             agents: agents.collect(),
             callers: callers.collect(),
-            cancels: VecDeque::new(),
-            dispatches: Vec::new(),
-            turn: 0,
-            entries: 0,
+            pending_cancels: VecDeque::new(),
+            sent_dispatches: Vec::new(),
+            last_choice: 0,
+            takeovers: 0,
             store: StoreSim::default(),
         };
         for caller in 0..world.callers.len() {
@@ -192,100 +192,106 @@
         world
     }
 
-    /// Lets one thing happen.
+    /// Applies one operation.
     pub(crate) fn apply(&mut self, op: Op) {
         let now = self.now;
         match op {
-            Op::Deliver(at) => self.on_link(at, Self::deliver),
-            Op::Break(at) => self.on_link(at, Self::break_link),
-            Op::Silence(at) => self.on_link(at, |world, caller, link| {
+            Op::Deliver(at) => self.with_link(at, Self::deliver_next),
+            Op::BreakLink(at) => self.with_link(at, Self::break_link),
+            Op::SilenceLink(at) => self.with_link(at, |world, caller, link| {
                 world.link(caller, link).silent = true;
             }),
-            Op::Repeat(at) => self.on_link(at, |world, caller, link| {
+            Op::RepeatFrame(at) => self.with_link(at, |world, caller, link| {
                 let frames = &mut world.link(caller, link).frames;
                 if let Some(frame) = frames.front().cloned() {
                     frames.push_front(frame);
                 }
             }),
-            Op::Swap(at) => self.on_link(at, |world, caller, link| {
+            Op::SwapFrames(at) => self.with_link(at, |world, caller, link| {
                 let frames = &mut world.link(caller, link).frames;
                 if frames.len() > 1 {
                     frames.swap(0, 1);
                 }
             }),
-            Op::Late(at) => self.late(at),
-            Op::Cancel(at) => self.cancel(at, false),
-            Op::LoseCancel(at) => self.cancel(at, true),
-            Op::Engine(at) => self.agents[at % TARGETS].step(now),
+            Op::RepeatDispatch(at) => self.repeat_dispatch(at),
+            Op::DeliverCancel(at) => self.deliver_cancel(at, false),
+            Op::LoseCancel(at) => self.deliver_cancel(at, true),
+            Op::StepEngine(at) => self.agents[at % TARGETS].step_engine(now),
             Op::KillEngine(at) => self.agents[at % TARGETS].kill_engine(now),
-            Op::Pause(at) => {
+            Op::TogglePause(at) => {
                 let agent = &mut self.agents[at % TARGETS];
-                agent.paused = !agent.paused;
+                agent.engine_paused = !agent.engine_paused;
             }
             Op::KillAgent(at) => self.kill_agent(at % TARGETS),
-            Op::Restart(at) => self.restart(at % TARGETS),
+            Op::RestartAgent(at) => self.restart_agent(at % TARGETS),
             Op::Report(at) => self.agents[at % TARGETS].report(now),
-            Op::Pass(millis) => self.pass(Duration::from_millis(millis)),
-            Op::Leave(at) => {
+            Op::AdvanceTime(millis) => self.advance_time(Duration::from_millis(millis)),
+            Op::Disconnect(at) => {
                 let caller = at % self.callers.len();
-                self.callers[caller].left = true;
+                self.callers[caller].disconnected = true;
                 self.feed(caller, Event::CallerGone);
             }
-            Op::Store(at, fault) => self.answer_store(at, fault),
-            Op::LateSwap => self.store.late_swap(),
-            Op::Again => self.call_again(),
+            Op::AnswerStore(at, fault) => self.answer_store(at, fault),
+            Op::ApplyLateWrite => self.store.apply_late_write(),
+            Op::CallAgain => self.call_again(),
             Op::KillEntry(at) => self.kill_entry(at % self.callers.len()),
-            Op::Return(at, held) => self.come_back(at % self.callers.len(), held),
+            Op::Reconnect(at, with_output) => self.reconnect(at % self.callers.len(), with_output),
         }
         self.read_ahead();
     }
 
-    /// Mends everything, and lets the rest happen in order until nothing is left to happen.
+    /// Repairs all faults and runs the simulation in order, for long enough that all work ends.
     pub(crate) fn settle(&mut self) {
         for round in 0..600 {
             for at in 0..TARGETS {
-                self.agents[at].paused = false;
+                self.agents[at].engine_paused = false;
                 if round == 0 {
-                    self.restart(at);
+                    self.restart_agent(at);
                 }
                 self.agents[at].report(self.now);
-                self.agents[at].step(self.now);
+                self.agents[at].step_engine(self.now);
             }
-            for at in 0..self.claiming().len() {
+            for at in 0..self.claiming_callers().len() {
                 self.answer_store(at, 0);
             }
-            while !self.cancels.is_empty() {
-                self.cancel(0, false);
+            while !self.pending_cancels.is_empty() {
+                self.deliver_cancel(0, false);
             }
             for at in 0..self.links().len() {
                 for _ in 0..2 {
                     self.apply(Op::Deliver(at));
                 }
             }
-            self.pass(Duration::from_millis(200));
+            self.advance_time(Duration::from_millis(200));
             self.read_ahead();
         }
     }
 
     // ---- Invariants ----
 
-    /// Checks what must hold at any moment.
+    /// Checks the invariants that hold at any time.
     pub(crate) fn check(&self) -> Result<(), String> {
-        for caller in self.callers.iter().filter(|caller| !caller.left) {
+        for caller in self.callers.iter().filter(|caller| !caller.disconnected) {
             let starts = self.starts(|id| id.generation == caller.id);
             let own = self.starts(|id| self.is_sent(caller, id));
-            if !is_whole_chain(&caller.output) {
+            if !is_consistent(&caller.output) {
                 return Err(format!("mixed output: {:?}", caller.output));
             }
             if !caller.plan.idempotent && starts > 1 {
-                return Err(format!("run {starts} times: {}", caller.id));
+                return Err(format!(
+                    "non-idempotent work ran {starts} times: {}",
+                    caller.id
+                ));
             }
-            match &caller.end {
-                Some(Step::Finish(_)) if caller.output.len() as u64 != MOST => {
-                    return Err(format!("{} tokens are whole", caller.output.len()));
+            match &caller.end_step {
+                Some(Step::Finish(_)) if caller.output.len() as u64 != MAX_TOKENS => {
+                    return Err(format!("finished after {} tokens", caller.output.len()));
                 }
                 Some(Step::Fail { ran: Ran::No, .. }) if own > 0 => {
-                    return Err(format!("run {own} times after all: {}", caller.id));
+                    return Err(format!(
+                        "reported as not run, but ran {own} times: {}",
+                        caller.id
+                    ));
                 }
                 _ => {}
             }
@@ -297,31 +303,38 @@
         };
         match self.starts(keyed) {
             0 | 1 => Ok(()),
-            starts => Err(format!("the key was run {starts} times")),
+            starts => Err(format!("the work of the key ran {starts} times")),
         }
     }
 
-    /// Checks what must hold when everything has settled.
+    /// Checks the invariants that hold after [`World::settle`].
     pub(crate) fn check_settled(&self) -> Result<(), String> {
         self.check()?;
-        if let Some(caller) = self.callers.iter().find(|c| c.end.is_none() && !c.dead) {
-            return Err(format!("no end: {:?}", caller.machine));
+        if let Some(caller) = self
+            .callers
+            .iter()
+            .find(|c| c.end_step.is_none() && !c.entry_dead)
+        {
+            return Err(format!(
+                "the generation has not ended: {:?}",
+                caller.machine
+            ));
         }
-        let left = self.agents.iter().map(AgentSim::running).sum::<usize>();
-        match left {
+        let running = self.agents.iter().map(AgentSim::running).sum::<usize>();
+        match running {
             0 => Ok(()),
-            left => Err(format!("{left} attempts still run")),
+            running => Err(format!("{running} attempts still run")),
         }
     }
 
-    /// Returns how many callers got their whole output.
-    pub(crate) fn whole(&self) -> usize {
-        let whole = |caller: &&Caller| matches!(caller.end, Some(Step::Finish(_)));
-        self.callers.iter().filter(whole).count()
+    /// Returns the number of callers that received their complete output.
+    pub(crate) fn complete_count(&self) -> usize {
+        let complete = |caller: &&Caller| matches!(caller.end_step, Some(Step::Finish(_)));
+        self.callers.iter().filter(complete).count()
     }
 
     fn starts(&self, counts: impl Fn(&AttemptId) -> bool) -> u32 {
-        let starts = self.agents.iter().flat_map(|agent| &agent.starts);
+        let starts = self.agents.iter().flat_map(|agent| &agent.start_counts);
         let counted = starts.filter(|(id, _)| counts(id));
         counted.map(|(_, count)| count).sum()
     }
@@ -331,14 +344,14 @@
     }
 }
 
-fn name<T: TryFrom<String>>(text: &str) -> T {
-    T::try_from(text.to_owned()).ok().expect("a name")
+fn parse_name<T: TryFrom<String>>(text: &str) -> T {
+    T::try_from(text.to_owned()).ok().expect("a valid name")
 }
 
-fn target(at: usize) -> TargetId {
-    name(&format!("t{at}"))
+fn target_id(index: usize) -> TargetId {
+    parse_name(&format!("t{index}"))
 }
 
-fn index(target: &TargetId) -> usize {
+fn target_index(target: &TargetId) -> usize {
     target.as_str()[1..].parse().expect("the target's number")
 }
--- a/crates/cw_policy/tests/generation_world/network.rs
+++ b/crates/cw_policy/tests/generation_world/network.rs
@@ -1,4 +1,4 @@
-//! Links between entries and agents.
+//! The links between entries and agents.
 
 use cw_policy::AttemptAnswer;
 use cw_policy::Effect;
@@ -6,9 +6,9 @@
 use cw_policy::LinkId;
 use cw_policy::ReadStep;
 
-use super::AHEAD;
-use super::Ask;
 use super::Link;
+use super::READ_AHEAD;
+use super::Request;
 use super::World;
 
 impl World {
@@ -19,7 +19,7 @@
             .collect()
     }
 
-    pub(super) fn on_link(&mut self, at: usize, act: impl Fn(&mut Self, usize, LinkId)) {
+    pub(super) fn with_link(&mut self, at: usize, act: impl Fn(&mut Self, usize, LinkId)) {
         let links = self.links();
         if !links.is_empty() {
             let (caller, link) = links[at % links.len()];
@@ -32,43 +32,43 @@
         links.get_mut(&link).expect("the link is open")
     }
 
-    pub(super) fn deliver(&mut self, caller: usize, id: LinkId) {
+    pub(super) fn deliver_next(&mut self, caller: usize, id: LinkId) {
         let link = self.link(caller, id);
         if link.silent {
             return;
         }
-        if let Some(ask) = link.ask.take() {
-            return self.ask(caller, id, ask);
+        if let Some(request) = link.request.take() {
+            return self.deliver_request(caller, id, request);
         }
         let frame = link.frames.pop_front();
-        let over = frame.is_none() && link.ended;
+        let is_closed = frame.is_none() && link.ended;
         if let Some(frame) = frame {
             self.feed(caller, Event::Frame { link: id, frame });
-        } else if over {
-            self.close(caller, id);
+        } else if is_closed {
+            self.close_link(caller, id);
             let effect = Effect::Possible;
             self.feed(caller, Event::Closed { link: id, effect });
         }
     }
 
-    /// A request reaches its agent.
-    pub(super) fn ask(&mut self, caller: usize, id: LinkId, ask: Ask) {
+    /// Delivers a request to its agent.
+    pub(super) fn deliver_request(&mut self, caller: usize, id: LinkId, request: Request) {
         let at = self.link(caller, id).agent;
         let agent = &mut self.agents[at];
         if !agent.alive {
-            self.close(caller, id);
+            self.close_link(caller, id);
             let effect = Effect::None;
             return self.feed(caller, Event::Closed { link: id, effect });
         }
         let clock = agent.clock(self.now);
-        let answer = match ask {
-            Ask::Dispatch(dispatch) => {
-                self.dispatches.push((at, (*dispatch).clone()));
+        let answer = match request {
+            Request::Dispatch(dispatch) => {
+                self.sent_dispatches.push((at, (*dispatch).clone()));
                 let (answer, steps) = agent.table.on_dispatch(clock, *dispatch);
-                agent.take(clock, steps);
+                agent.carry_out(clock, steps);
                 answer
             }
-            Ask::Attach(attach) => agent.table.on_attach(clock, &attach),
+            Request::Attach(attach) => agent.table.on_attach(clock, &attach),
         };
         let link = self.link(caller, id);
         match answer {
@@ -80,19 +80,22 @@
         }
     }
 
-    /// Agents write what their readers have not got yet.
+    /// Fills the buffers of the links with frames from the agents.
     pub(super) fn read_ahead(&mut self) {
         for (caller, id) in self.links() {
             let now = self.now;
-            let link = self.callers[caller].links.get_mut(&id).expect("it is open");
+            let link = self.callers[caller]
+                .links
+                .get_mut(&id)
+                .expect("the link is open");
             let agent = &mut self.agents[link.agent];
             let clock = agent.clock(now);
-            while link.frames.len() < AHEAD && !link.ended {
+            while link.frames.len() < READ_AHEAD && !link.ended {
                 let Some(reader) = &mut link.reader else {
                     break;
                 };
                 let (step, steps) = agent.table.read(clock, reader);
-                agent.take(clock, steps);
+                agent.carry_out(clock, steps);
                 match step {
                     ReadStep::Frame(frame) => link.frames.push_back(frame),
                     ReadStep::Wait => break,
@@ -103,17 +106,17 @@
     }
 
     pub(super) fn break_link(&mut self, caller: usize, id: LinkId) {
-        self.close(caller, id);
+        self.close_link(caller, id);
         let effect = Effect::Possible;
         self.feed(caller, Event::Closed { link: id, effect });
     }
 
-    pub(super) fn close(&mut self, caller: usize, id: LinkId) {
+    pub(super) fn close_link(&mut self, caller: usize, id: LinkId) {
         let Some(link) = self.callers[caller].links.remove(&id) else {
             return;
         };
-        if let Some(Ask::Dispatch(dispatch)) = link.ask {
-            self.dispatches.push((link.agent, *dispatch));
+        if let Some(Request::Dispatch(dispatch)) = link.request {
+            self.sent_dispatches.push((link.agent, *dispatch));
         }
         let agent = &mut self.agents[link.agent];
         if let Some(reader) = link.reader {
