--- a/crates/cw_policy/src/generation/generation_limits.rs
+++ b/crates/cw_policy/src/generation/generation_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cw_macro::data;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 /// The timeouts and retry limits of a generation.
@@ -11,32 +11,32 @@
 #[data(Eq)]
 pub struct GenerationLimits {
     /// The longest time without a frame on a link.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "silence")]
     pub link_timeout: Duration,
     /// The longest time without output from an engine after the attempt's first output.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "stall")]
     pub stall_timeout: Duration,
     /// The longest time until the first output of a resumed attempt.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "first")]
     pub resume_timeout: Duration,
     /// The longest time until the first frame of a dispatched attempt.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "head")]
     pub dispatch_timeout: Duration,
     /// The longest time until the first frame after a reattachment.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "reattach")]
     pub attach_timeout: Duration,
     /// The delay before a lost attempt is offered again to targets that were all busy.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "backoff")]
     pub busy_backoff: Duration,
     /// The delay before the second reattachment to non-idempotent work; it grows linearly with the
     /// number of reattachments.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "pause")]
     pub attach_backoff: Duration,
     /// The maximum number of attempts.
@@ -56,7 +56,7 @@
     #[serde(rename = "crashes")]
     pub max_crashes: u32,
     /// The time after which the generation of a disconnected caller is cancelled.
-    #[serde_as(as = "Span")]
+    #[serde_as(as = "DurationText")]
     #[serde(rename = "absence")]
     pub caller_timeout: Duration,
     /// The number of delivered tokens that the agent retains.
--- a/crates/cw_policy/src/generation/recover.rs
+++ b/crates/cw_policy/src/generation/recover.rs
@@ -8,7 +8,7 @@
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_types::TokenIndex;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 
 use super::DropReason;
 use super::Generation;
@@ -298,7 +298,7 @@
         }
         let end_index = self.plan.max_tokens.map(|limit| TokenIndex(limit.0));
         if end_index.is_some_and(|end| self.next_index() >= end) {
-            steps.push(Step::Finish(Finish::Length));
+            steps.push(Step::Finish(FinishReason::Length));
             return self.end();
         }
         let prefix_missing = self.base_index.0 > 0 || self.next_index() < self.plan.resume_index;
--- a/crates/cw_policy/src/generation/refuse.rs
+++ b/crates/cw_policy/src/generation/refuse.rs
@@ -6,7 +6,7 @@
 use cw_types::ErrorKind;
 use cw_types::Ran;
 use cw_types::Time;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 
 use super::Generation;
 use super::Step;
@@ -19,7 +19,7 @@
         &mut self,
         now: Time,
         attempt: AttemptNo,
-        reason: Reason,
+        reason: NotRunReason,
         retry: Duration,
         steps: &mut Vec<Step>,
     ) {
@@ -27,7 +27,7 @@
             return;
         };
         // The agent may have restarted and lost the record of an attempt that it ran.
-        if reason == Reason::Unknown && tracked.reattach_count > 0 {
+        if reason == NotRunReason::Unknown && tracked.reattach_count > 0 {
             return self.on_unknown_attempt(now, attempt, steps);
         }
         let Some(target) = self.remove_attempt(attempt) else {
@@ -37,10 +37,10 @@
         self.refusal_count += 1;
         self.retry_after = Some(self.retry_after.map_or(retry, |known| known.min(retry)));
         match reason {
-            Reason::Busy | Reason::Expired => self.busy_targets.insert(target),
+            NotRunReason::Busy | NotRunReason::Expired => self.busy_targets.insert(target),
             _ => self.lost_targets.insert(target),
         };
-        if reason == Reason::Expired && self.dispatch_count == 0 {
+        if reason == NotRunReason::Expired && self.dispatch_count == 0 {
             return self.fail(ErrorKind::Expired, Ran::No, retry, steps);
         }
         self.try_next_target(now, steps);
--- a/crates/cw_policy/src/generation/step.rs
+++ b/crates/cw_policy/src/generation/step.rs
@@ -13,7 +13,7 @@
 use cw_types::TargetId;
 use cw_types::TokenId;
 use cw_types::TokenIndex;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Token;
 
 use super::LinkId;
@@ -144,7 +144,7 @@
         body: Bytes,
     },
     /// Report that the output is complete; the generation has ended.
-    Finish(Finish),
+    Finish(FinishReason),
     /// Report an error to the caller; the generation has ended with an incomplete response.
     Fail {
         /// The cause.
--- a/crates/cw_policy/src/order_guard.rs
+++ b/crates/cw_policy/src/order_guard.rs
@@ -4,7 +4,7 @@
 
 use cw_types::FencingNumber;
 use cw_wire::Order;
-use cw_wire::OrderAnswer;
+use cw_wire::OrderResponse;
 
 /// The maximum number of orders of one fencing number whose answers are retained.
 const MAX_ANSWERS: usize = 256;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
     /// Reply without forwarding the order to the engine.
-    Answer(OrderAnswer),
+    Answer(OrderResponse),
     /// Forward the order to the engine.
     Forward,
 }
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct OrderGuard {
     highest: FencingNumber,
-    answers: BTreeMap<u64, OrderAnswer>,
+    answers: BTreeMap<u64, OrderResponse>,
     /// The highest sequence number whose answer has been evicted.
     last_evicted: u64,
 }
@@ -46,24 +46,24 @@
         }
         if order.sequence <= self.last_evicted {
             let message = "the order is older than those remembered".to_owned();
-            return OrderStep::Answer(OrderAnswer::Failed { message });
+            return OrderStep::Answer(OrderResponse::Failed { message });
         }
         if pinned > 0 {
             let generations = pinned;
-            return OrderStep::Answer(OrderAnswer::Pinned { generations });
+            return OrderStep::Answer(OrderResponse::Pinned { generations });
         }
-        self.retain(order.sequence, OrderAnswer::Begun);
+        self.retain(order.sequence, OrderResponse::Begun);
         OrderStep::Forward
     }
 
     /// Records the engine's answer to a forwarded order.
-    pub fn on_answer(&mut self, order: &Order, answer: &OrderAnswer) {
+    pub fn on_answer(&mut self, order: &Order, answer: &OrderResponse) {
         if order.fencing != self.highest {
             return;
         }
         match answer {
             // The order is not known to have been carried out, so a repeat is forwarded again.
-            OrderAnswer::Failed { .. } => {
+            OrderResponse::Failed { .. } => {
                 self.answers.remove(&order.sequence);
             }
             answer => self.retain(order.sequence, answer.clone()),
@@ -81,10 +81,10 @@
 
     fn refuse_fenced(&self) -> OrderStep {
         let highest = self.highest;
-        OrderStep::Answer(OrderAnswer::Fenced { highest })
+        OrderStep::Answer(OrderResponse::Fenced { highest })
     }
 
-    fn retain(&mut self, sequence: u64, answer: OrderAnswer) {
+    fn retain(&mut self, sequence: u64, answer: OrderResponse) {
         self.answers.insert(sequence, answer);
         while self.answers.len() > MAX_ANSWERS {
             let oldest = self.answers.pop_first();
--- a/crates/cw_policy/src/trace/outcome.rs
+++ b/crates/cw_policy/src/trace/outcome.rs
@@ -5,7 +5,7 @@
 use cw_macro::data;
 use cw_types::ErrorKind;
 use cw_types::Ran;
-use cw_types::units::Span;
+use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use crate::Step;
@@ -49,7 +49,7 @@
     #[serde(default)]
     pub attachments: u32,
     /// The longest interruption of the output after a loss.
-    #[serde_as(as = "Option<Span>")]
+    #[serde_as(as = "Option<DurationText>")]
     #[serde(rename = "slowest", default)]
     pub longest_gap: Option<Duration>,
 }
--- a/crates/cw_policy/tests/fencing.rs
+++ b/crates/cw_policy/tests/fencing.rs
@@ -4,8 +4,8 @@
 use cw_policy::OrderStep;
 use cw_types::FencingNumber;
 use cw_wire::Order;
-use cw_wire::OrderAnswer;
 use cw_wire::OrderKind;
+use cw_wire::OrderResponse;
 use rstest::rstest;
 
 fn order(fencing: u64, sequence: u64) -> Order {
@@ -18,8 +18,8 @@
     }
 }
 
-fn failed() -> OrderAnswer {
-    OrderAnswer::Failed {
+fn failed() -> OrderResponse {
+    OrderResponse::Failed {
         message: "down".to_owned(),
     }
 }
@@ -32,7 +32,7 @@
     let step = guard.on_order(&order(4, 2), 0);
 
     let highest = FencingNumber(5);
-    assert_eq!(step, OrderStep::Answer(OrderAnswer::Fenced { highest }));
+    assert_eq!(step, OrderStep::Answer(OrderResponse::Fenced { highest }));
 }
 
 #[rstest]
@@ -40,13 +40,13 @@
     let mut guard = OrderGuard::default();
     let first = guard.on_order(&order(5, 1), 0);
     let meanwhile = guard.on_order(&order(5, 1), 0);
-    guard.on_answer(&order(5, 1), &OrderAnswer::Done);
+    guard.on_answer(&order(5, 1), &OrderResponse::Done);
 
     let later = guard.on_order(&order(5, 1), 0);
 
     assert_eq!(first, OrderStep::Forward);
-    assert_eq!(meanwhile, OrderStep::Answer(OrderAnswer::Begun));
-    assert_eq!(later, OrderStep::Answer(OrderAnswer::Done));
+    assert_eq!(meanwhile, OrderStep::Answer(OrderResponse::Begun));
+    assert_eq!(later, OrderStep::Answer(OrderResponse::Done));
 }
 
 #[rstest]
@@ -69,7 +69,7 @@
     guard.on_answer(&order(5, 1), &failed());
     let step = guard.on_order(&order(6, 1), 0);
 
-    assert_eq!(step, OrderStep::Answer(OrderAnswer::Begun));
+    assert_eq!(step, OrderStep::Answer(OrderResponse::Begun));
 }
 
 #[rstest]
@@ -82,7 +82,7 @@
     let generations = 2;
     assert_eq!(
         pinned,
-        OrderStep::Answer(OrderAnswer::Pinned { generations })
+        OrderStep::Answer(OrderResponse::Pinned { generations })
     );
     assert_eq!(later, OrderStep::Forward);
 }
@@ -95,7 +95,7 @@
     let step = guard.on_order(&order(8, 1), 0);
 
     let highest = FencingNumber(9);
-    assert_eq!(step, OrderStep::Answer(OrderAnswer::Fenced { highest }));
+    assert_eq!(step, OrderStep::Answer(OrderResponse::Fenced { highest }));
 }
 
 #[rstest]
@@ -103,13 +103,13 @@
     let mut guard = OrderGuard::default();
     for sequence in 1..=300 {
         guard.on_order(&order(5, sequence), 0);
-        guard.on_answer(&order(5, sequence), &OrderAnswer::Done);
+        guard.on_answer(&order(5, sequence), &OrderResponse::Done);
     }
     guard.on_order(&order(5, 301), 0);
     guard.on_answer(&order(5, 301), &failed());
 
     let step = guard.on_order(&order(5, 1), 0);
 
-    let failed = matches!(step, OrderStep::Answer(OrderAnswer::Failed { .. }));
+    let failed = matches!(step, OrderStep::Answer(OrderResponse::Failed { .. }));
     assert!(failed, "{step:?}");
 }
--- a/crates/cw_policy/tests/generation.rs
+++ b/crates/cw_policy/tests/generation.rs
@@ -18,10 +18,10 @@
 use cw_types::TokenId;
 use cw_types::TokenIndex;
 use cw_wire::Failure;
-use cw_wire::Finish;
+use cw_wire::FinishReason;
 use cw_wire::Frame;
 use cw_wire::Load;
-use cw_wire::Reason;
+use cw_wire::NotRunReason;
 use cw_wire::Token;
 use rstest::rstest;
 
@@ -97,7 +97,7 @@
 
     fn refuse_busy(&mut self, link: u32) {
         let refusal = Frame::NotRun {
-            reason: Reason::Busy,
+            reason: NotRunReason::Busy,
             retry: Duration::from_secs(3),
             load: Load::default(),
         };
@@ -354,7 +354,7 @@
 
     harness.fail(0, Failure::TargetLost);
 
-    let complete = |step: &Step| matches!(step, Step::Finish(Finish::Length));
+    let complete = |step: &Step| matches!(step, Step::Finish(FinishReason::Length));
     assert_eq!((harness.count(complete), harness.dispatches()), (1, 1));
 }
 
@@ -381,7 +381,7 @@
     plan.running_attempt = AttemptNo(1);
     let mut harness = Harness::new(plan, GenerationLimits::default());
 
-    let (reason, retry) = (Reason::Unknown, Duration::ZERO);
+    let (reason, retry) = (NotRunReason::Unknown, Duration::ZERO);
     let load = Load::default();
     harness.frame(
         0,
