--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -242,8 +242,8 @@
             liveness,
             incarnation: member.report.incarnation,
             load: member.report.load,
-            reported: member.made_at,
-            returned: member.returned,
+            reported_at: member.made_at,
+            alive_since: member.returned,
             versions: member.report.versions.clone(),
             crashes: member.report.crashes.clone(),
         }
@@ -266,8 +266,8 @@
         },
         incarnation: Default::default(),
         load: Default::default(),
-        reported: Time::default(),
-        returned: Time::default(),
+        reported_at: Time::default(),
+        alive_since: Time::default(),
         versions: BTreeMap::new(),
         crashes: Vec::new(),
     }
