--- a/crates/cyclamenwharf/src/control/peer_sender.rs
+++ b/crates/cyclamenwharf/src/control/peer_sender.rs
@@ -46,7 +46,7 @@
             let batch = batch.clone();
             async move {
                 client
-                    .call::<ReportBatch, ()>(peer.peers, path::BATCHES, &batch, CALL_TIMEOUT)
+                    .call::<ReportBatch, ()>(peer.peer_address, path::BATCHES, &batch, CALL_TIMEOUT)
                     .await
             }
         };
@@ -71,7 +71,7 @@
             let call = this
                 .client
                 .fresh()
-                .call::<_, ConfigResponse>(peer.peers, path::CONFIG, &request, STATE_TIMEOUT)
+                .call::<_, ConfigResponse>(peer.peer_address, path::CONFIG, &request, STATE_TIMEOUT)
                 .await;
             match call {
                 Ok(response) => {
@@ -90,7 +90,7 @@
         tokio::spawn(async move {
             let call = this
                 .client
-                .call::<_, ReportBatch>(peer.peers, path::STATE, &(), STATE_TIMEOUT)
+                .call::<_, ReportBatch>(peer.peer_address, path::STATE, &(), STATE_TIMEOUT)
                 .await;
             match call {
                 Ok(batch) => {
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -167,7 +167,7 @@
         host: settings.host.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        peers: addresses.peers,
+        peer_address: addresses.peers,
     };
     supervise_planner(parts, &services, &sender, &shared.view);
     supervise_core(parts, receiver, move |last_config, health| CoreParts {
