--- a/crates/cyclamenwharf/tests/control/control_state.rs
+++ b/crates/cyclamenwharf/tests/control/control_state.rs
@@ -51,12 +51,12 @@
     let response: ReportResponse = client()
         .call(a.control.peer_address, path::REPORTS, &up, CALL_TIMEOUT)
         .await
-        .expect("an answer");
+        .expect("a response");
 
     let sees = || {
         let view = b.control.view.load();
-        let seen = view.targets.get(&target_id());
-        seen.is_some_and(|seen| seen.liveness == Liveness::Alive)
+        let target_view = view.targets.get(&target_id());
+        target_view.is_some_and(|view| view.liveness == Liveness::Alive)
     };
     wait_until("b sees the target", sees).await;
     assert_eq!(response.revision, Revision(1));
