--- a/crates/cyclamenwharf/src/forward/forward_settings.rs
+++ b/crates/cyclamenwharf/src/forward/forward_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a forwarding entry.
+//! The settings of a forwarding entry.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,55 +14,56 @@
 use crate::SettingsError;
 use crate::settings::read;
 
-/// Settings of a forwarding entry.
+/// The settings of a forwarding entry.
 #[serde_as]
 #[data]
 #[serde(deny_unknown_fields)]
 pub struct ForwardSettings {
-    /// The host it runs on.
+    /// The host that the entry runs on.
     pub host: HostId,
-    /// The host's availability zone.
+    /// The availability zone of the host.
     pub zone: ZoneId,
-    /// Where it listens.
+    /// The addresses that the entry listens on.
     pub listen: ForwardListen,
-    /// The key-value service.
+    /// The address of the key-value service.
     pub store: SocketAddr,
-    /// How long the directory names a target that has stopped.
+    /// How long the directory still lists a target that has stopped.
     #[serde_as(as = "DurationText")]
     pub lapse: Duration,
-    /// How long a graceful shutdown may take.
+    /// The maximum duration of a graceful shutdown.
     #[serde_as(as = "DurationText")]
     pub grace: Duration,
-    /// What may be sent more than once.
+    /// The budget for repeated sends.
     pub budget: BudgetSettings,
-    /// Logging.
+    /// The log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Where a forwarding entry listens.
+/// The addresses that a forwarding entry listens on.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct ForwardListen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether it is ready, and for metrics.
+    /// The address for readiness checks of the load balancer, and for metrics.
     pub health: SocketAddr,
-    /// For the other entries: over UDP what changes, over TCP what they ask for.
+    /// The address for the other entries: UDP for updates, TCP for queries.
     pub peers: SocketAddr,
-    /// For metrics, where they are asked for elsewhere too.
+    /// An additional address for metrics.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// What may be sent to a service beyond the first send of each request, over all entries.
+/// The sends to a service that are allowed beyond the first send of each request, in total over all
+/// entries.
 #[serde_as]
 #[data(Copy)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetSettings {
-    /// Further sends as a part of the requests.
+    /// The additional sends as a fraction of the requests.
     pub ratio: f64,
-    /// Further sends beside those, in any window.
+    /// The number of additional sends in any window that are allowed besides the fraction.
     pub slack: f64,
     /// The length of the window.
     #[serde_as(as = "DurationText")]
@@ -70,11 +71,12 @@
 }
 
 impl ForwardSettings {
-    /// Reads and checks settings.
+    /// Reads and validates the settings.
     ///
     /// # Errors
     ///
-    /// Names the file, the key and what is expected.
+    /// Fails if the file cannot be read or a value is invalid. The error names the file, the key
+    /// and the expected value.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         let settings: Self = read(file)?;
         let value = |key, expected| SettingsError::Value {
