--- a/crates/cyclamenwharf/src/forward/front.rs
+++ b/crates/cyclamenwharf/src/forward/caller_api.rs
@@ -1,4 +1,4 @@
-//! Takes requests in.
+//! Accepts requests from callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,47 +26,48 @@
 
 use crate::stream_server::Handler;
 
-use super::answer::close_after;
-use super::courier::Courier;
-use super::courier::Parcel;
+use super::exchange_driver::AcceptedRequest;
+use super::exchange_driver::ExchangeDriver;
+use super::response::set_connection_close;
 use super::shared::Shared;
 
-/// How long a caller waits that does not say so; the route's own limit is shorter as a rule.
-const PATIENCE_DEFAULT: Duration = Duration::from_secs(30);
+/// The timeout of a request whose caller states none. The limit of the route is usually shorter.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The parts of the caller's time between which it is told to come again: callers follow it up to
-/// a third of their time, and spreading them avoids that all come at once.
-const AGAIN_SHARE: std::ops::Range<f64> = 0.1..0.33;
+/// The range of the retry delay in a refusal, as a share of the caller's timeout. Callers follow a
+/// delay of up to a third of their timeout, and a random delay keeps them from returning all at
+/// once.
+const RETRY_AFTER_SHARE: std::ops::Range<f64> = 0.1..0.33;
 
-/// Takes requests in.
-pub(super) struct Front {
+/// Serves the callers of a forwarding entry.
+pub(super) struct CallerApi {
     pub(super) shared: Arc<Shared>,
 }
 
-/// A request that is not carried any further.
+/// A request that was refused on arrival.
 struct Refusal {
     kind: ErrorKind,
-    /// What was wrong with it, where the kind does not say it all.
+    /// The cause, in cases where the kind does not tell it.
     reason: String,
     id: Option<String>,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 }
 
-/// Why a request is not carried any further.
-struct Fault {
+/// The reason to refuse a request.
+struct RefusalReason {
     kind: ErrorKind,
-    reason: String,
+    text: String,
 }
 
-impl Handler for Front {
+impl Handler for CallerApi {
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>> {
         async move {
             let mut response = match self.accept(request).await {
-                Ok(courier) => courier.carry().await,
+                Ok(driver) => driver.run().await,
                 Err(refusal) => self.refuse(&refusal),
             };
             if self.shared.health.is_draining() {
-                close_after(&mut response);
+                set_connection_close(&mut response);
             }
             response
         }
@@ -74,36 +75,36 @@
     }
 }
 
-impl Front {
-    /// Reads a request, and finds out where it may go.
-    async fn accept(&self, request: Request<Body>) -> Result<Courier, Refusal> {
+impl CallerApi {
+    /// Reads a request, and selects its route and service.
+    async fn accept(&self, request: Request<Body>) -> Result<ExchangeDriver, Refusal> {
         let arrived = self.shared.now();
         let (parts, body) = request.into_parts();
         let head = self.shared.dialect.read_request(&parts);
-        let head = head.map_err(Refusal::unread)?;
-        let refuse = |fault| Refusal::new(fault, &head);
+        let head = head.map_err(Refusal::from_head_error)?;
+        let refuse = |reason| Refusal::new(reason, &head);
         let (config, admitted, service) = self
             .admit(&parts, &head)
             .map_err(|kind| refuse(kind.into()))?;
         let route = &admitted.route;
-        let patience = head.patience.unwrap_or(PATIENCE_DEFAULT);
-        let patience = patience.min(route.timeout);
-        let body = self.read(body, config.limits().body, patience).await;
+        let timeout = head.patience.unwrap_or(DEFAULT_TIMEOUT);
+        let timeout = timeout.min(route.timeout);
+        let body = self.read_body(body, config.limits().body, timeout).await;
         let body = body.map_err(refuse)?;
         let plan = ExchangePlan {
             repeat: route.repeat,
             streaming: route.streaming,
             attempts: route.attempts,
             arrived,
-            deadline: arrived + patience,
+            deadline: arrived + timeout,
             objective: route.objective,
             pause: route.pause,
         };
-        let known = config.service(&service);
-        let parcel = Parcel {
-            memory: known.and_then(|service| service.memory),
-            copies: known.is_some_and(|service| service.copies),
-            copy_life: known.map_or(Duration::ZERO, |service| service.copy_life),
+        let service_config = config.service(&service);
+        let accepted = AcceptedRequest {
+            memory: service_config.and_then(|service| service.memory),
+            copies: service_config.is_some_and(|service| service.copies),
+            copy_lifetime: service_config.map_or(Duration::ZERO, |service| service.copy_life),
             events: EventStream::after(head.after),
             parts,
             body,
@@ -112,10 +113,10 @@
             service,
         };
         let shared = Arc::clone(&self.shared);
-        Ok(Courier::new(shared, parcel, Exchange::new(plan)))
+        Ok(ExchangeDriver::new(shared, accepted, Exchange::new(plan)))
     }
 
-    /// Finds out by which route a request may go, and to which service.
+    /// Selects the route and the service of a request.
     fn admit(
         &self,
         parts: &request::Parts,
@@ -123,21 +124,26 @@
     ) -> Result<(Arc<ForwardConfig>, Admitted, ServiceName), ErrorKind> {
         let config = self.shared.config().ok_or(ErrorKind::NotReady)?;
         let admitted = config.admit(&head.host, parts.uri.path(), head.key.as_deref())?;
-        let draw = self.shared.beliefs().rng.random();
+        let draw = self.shared.state().rng.random();
         let service = admitted.route.service(draw).cloned();
         let service = service.ok_or(ErrorKind::NoTarget)?;
         Ok((config, admitted, service))
     }
 
-    async fn read(&self, body: Body, most: usize, time: Duration) -> Result<Bytes, Fault> {
-        let body = Limited::new(body, most).collect();
-        let kind = match tokio::time::timeout(time, body).await {
+    async fn read_body(
+        &self,
+        body: Body,
+        max_bytes: usize,
+        timeout: Duration,
+    ) -> Result<Bytes, RefusalReason> {
+        let body = Limited::new(body, max_bytes).collect();
+        let kind = match tokio::time::timeout(timeout, body).await {
             Ok(Ok(body)) => return Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => ErrorKind::TooLarge,
             Ok(Err(error)) => {
-                return Err(Fault {
+                return Err(RefusalReason {
                     kind: ErrorKind::BadRequest,
-                    reason: format!("the body broke off: {error}"),
+                    text: format!("failed to read the request body: {error}"),
                 });
             }
             Err(_) => ErrorKind::Expired,
@@ -151,13 +157,15 @@
             outcome = refusal.kind.code(),
             reason = refusal.reason.as_str(),
             version = self.shared.metrics.version.get();
-            "a request was refused on arrival"
+            "request refused on arrival"
         );
-        self.shared.metrics.ended(None, refusal.kind.code());
+        self.shared
+            .metrics
+            .record_request(None, refusal.kind.code());
         refusal_response(
             &self.shared,
             refusal.kind,
-            refusal.patience,
+            refusal.timeout,
             None,
             refusal.id.as_deref(),
         )
@@ -165,52 +173,52 @@
 }
 
 impl Refusal {
-    fn new(fault: Fault, head: &RequestHead) -> Self {
+    fn new(reason: RefusalReason, head: &RequestHead) -> Self {
         Self {
-            kind: fault.kind,
-            reason: fault.reason,
+            kind: reason.kind,
+            reason: reason.text,
             id: Some(head.id.clone()),
-            patience: head.patience,
+            timeout: head.patience,
         }
     }
 
-    /// Refuses a request whose head cannot be read.
-    fn unread(reason: String) -> Self {
+    /// Refuses a request whose head cannot be parsed.
+    fn from_head_error(reason: String) -> Self {
         Self {
             kind: ErrorKind::BadRequest,
             reason,
             id: None,
-            patience: None,
+            timeout: None,
         }
     }
 }
 
-impl From<ErrorKind> for Fault {
+impl From<ErrorKind> for RefusalReason {
     fn from(kind: ErrorKind) -> Self {
         Self {
             kind,
-            reason: kind.to_string(),
+            text: kind.to_string(),
         }
     }
 }
 
-/// Returns an answer of the entry's own. `left` is the time that the caller has; `soonest` is when
-/// it could be served, if that is known.
+/// Returns an error response of the entry itself. `time_left` is the time until the caller's
+/// timeout, and `soonest` the shortest delay after which the request could be served, if known.
 pub(super) fn refusal_response(
     shared: &Shared,
     kind: ErrorKind,
-    left: Option<Duration>,
+    time_left: Option<Duration>,
     soonest: Option<Duration>,
     id: Option<&str>,
 ) -> Response<Body> {
-    let share = shared.beliefs().rng.random_range(AGAIN_SHARE);
-    let latest = AGAIN_SHARE.end;
-    let again = left.filter(|_| kind.is_retryable()).map(|left| {
-        let soonest = soonest.unwrap_or_default().max(left.mul_f64(share));
-        soonest.min(left.mul_f64(latest))
+    let share = shared.state().rng.random_range(RETRY_AFTER_SHARE);
+    let max_share = RETRY_AFTER_SHARE.end;
+    let retry_after = time_left.filter(|_| kind.is_retryable()).map(|time_left| {
+        let soonest = soonest.unwrap_or_default().max(time_left.mul_f64(share));
+        soonest.min(time_left.mul_f64(max_share))
     });
     shared
         .dialect
-        .refusal(kind, again, id)
+        .refusal(kind, retry_after, id)
         .map(|()| Body::empty())
 }
--- /dev/null
+++ b/crates/cyclamenwharf/src/forward/connection_pool.rs
@@ -0,0 +1,117 @@
+//! A pool of idle connections to targets.
+
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::sync::Mutex;
+use std::sync::PoisonError;
+use std::time::Duration;
+
+use cw_types::TargetId;
+use cw_types::Time;
+
+use super::target_connection::ConnectError;
+use super::target_connection::TargetConnection;
+
+/// How long an idle connection is kept if the target states no limit. It is well below the usual
+/// default of servers, which is five seconds or more.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The share of the target's own limit for which a connection is kept. The target must not close it
+/// while a request is in transit.
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
+
+/// How long a connection stays idle before it is reused. A second answer to the previous request
+/// would arrive within milliseconds.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
+
+/// An idle connection.
+#[derive(Debug)]
+struct IdleConnection {
+    connection: TargetConnection,
+    since: Time,
+    until: Time,
+}
+
+/// The idle connections by target.
+#[derive(Debug, Default)]
+pub(super) struct ConnectionPool {
+    idle: Mutex<BTreeMap<TargetId, VecDeque<IdleConnection>>>,
+}
+
+/// A connection, and whether it has carried a request before.
+#[derive(Debug)]
+pub(super) struct PooledConnection {
+    pub(super) connection: TargetConnection,
+    pub(super) reused: bool,
+}
+
+impl ConnectionPool {
+    /// Returns the connection to a target that has been idle the longest, or a new one.
+    pub(super) async fn take(
+        &self,
+        now: Time,
+        id: &TargetId,
+        address: SocketAddr,
+    ) -> Result<PooledConnection, ConnectError> {
+        if let Some(connection) = self.take_idle(now, id) {
+            return Ok(PooledConnection {
+                connection,
+                reused: true,
+            });
+        }
+        let connection = TargetConnection::connect(address).await?;
+        Ok(PooledConnection {
+            connection,
+            reused: false,
+        })
+    }
+
+    /// Adds a connection to the pool. `idle` is the time for which the target keeps it open.
+    pub(super) fn put(
+        &self,
+        now: Time,
+        id: &TargetId,
+        connection: TargetConnection,
+        idle: Option<Duration>,
+    ) {
+        let keep = idle.map_or(DEFAULT_IDLE_TIMEOUT, |idle| {
+            idle.mul_f64(IDLE_TIMEOUT_SHARE)
+        });
+        let idle = IdleConnection {
+            connection,
+            since: now,
+            until: now + keep,
+        };
+        self.lock().entry(id.clone()).or_default().push_back(idle);
+    }
+
+    /// Closes expired connections, and those to targets that no longer exist.
+    pub(super) fn close_expired(&self, now: Time, keep: impl Fn(&TargetId) -> bool) {
+        let mut idle = self.lock();
+        for connections in idle.values_mut() {
+            connections.retain(|idle| now < idle.until && idle.connection.is_ready());
+        }
+        idle.retain(|id, connections| keep(id) && !connections.is_empty());
+    }
+
+    /// Closes the idle connections to a target.
+    pub(super) fn close(&self, id: &TargetId) {
+        self.lock().remove(id);
+    }
+
+    fn take_idle(&self, now: Time, id: &TargetId) -> Option<TargetConnection> {
+        let mut idle = self.lock();
+        let connections = idle.get_mut(id)?;
+        connections.retain(|idle| now < idle.until && idle.connection.is_ready());
+        let is_too_recent = connections.front()?.since + REUSE_DELAY > now;
+        match is_too_recent {
+            true => None,
+            false => connections.pop_front().map(|idle| idle.connection),
+        }
+    }
+
+    fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<TargetId, VecDeque<IdleConnection>>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- /dev/null
+++ b/crates/cyclamenwharf/src/forward/directory_sync.rs
@@ -0,0 +1,431 @@
+//! Keeps the configuration and the targets in sync with the key-value service.
+
+use std::collections::BTreeSet;
+use std::convert::Infallible;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use cw_policy::budget::Backoff;
+use cw_store::HttpClient;
+use cw_store::KeyValue;
+use cw_store::ModRevision;
+use cw_store::StoreError;
+use cw_store::Versioned;
+use cw_store::WatchEvent;
+use cw_types::TargetId;
+use cw_types::Time;
+use cw_wire::DirectoryChange;
+use cw_wire::DirectorySnapshot;
+use futures::StreamExt;
+use http::Method;
+use http::StatusCode;
+use log::info;
+use log::warn;
+
+use super::peer_api::CONFIG_PATH;
+use super::peer_api::TARGETS_PATH;
+use super::shared::ForwardState;
+use super::shared::Shared;
+
+/// The delay after failed calls. The service charges for failed calls too, and its data must be
+/// applied within seconds of its recovery.
+const BACKOFF: Backoff = Backoff {
+    base: Duration::from_millis(100),
+    max: Duration::from_millis(800),
+};
+
+/// How often an entry that does not watch the service checks whether it should.
+const ROLE_CHECK_PERIOD: Duration = Duration::from_millis(150);
+
+/// How often an entry without any data queries the other entries. The service usually answers
+/// sooner.
+const PEER_QUERY_PERIOD: Duration = Duration::from_millis(250);
+
+/// The part of the key-value service that is kept in sync.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Topic {
+    /// The configuration.
+    Config,
+    /// The targets.
+    Targets,
+}
+
+/// Keeps one part of the key-value service in sync.
+pub(super) struct DirectorySync {
+    pub(super) shared: Arc<Shared>,
+    pub(super) store: Arc<dyn KeyValue>,
+    pub(super) topic: Topic,
+    /// The client for calls to the other entries.
+    pub(super) entries: HttpClient,
+}
+
+impl DirectorySync {
+    /// Runs until the future is dropped.
+    pub(super) async fn run(self) {
+        let mut failures = 0;
+        loop {
+            let result = tokio::select! {
+                result = self.read_and_watch(&mut failures) => result,
+                never = self.query_peers_until_known() => match never {},
+            };
+            let Err(error) = result else {
+                self.wait_until_needed().await;
+                continue;
+            };
+            self.record_failure(&error);
+            self.query_peers().await;
+            let pause = {
+                let mut state = self.shared.state();
+                BACKOFF.delay(failures, &mut state.rng)
+            };
+            failures += 1;
+            tokio::time::sleep(pause).await;
+        }
+    }
+
+    fn prefix(&self) -> &str {
+        match self.topic {
+            Topic::Config => self.shared.dialect.config_key(),
+            Topic::Targets => self.shared.dialect.targets_prefix(),
+        }
+    }
+
+    /// Waits until this entry has to call the service, either because it has become a watcher or
+    /// because another entry has newer data.
+    async fn wait_until_needed(&self) {
+        loop {
+            let behind = self.shared.directory_behind.notified();
+            // A timeout continues as well, since the role of this entry may have changed.
+            let _ = tokio::time::timeout(ROLE_CHECK_PERIOD, behind).await;
+            let now = self.shared.now();
+            let state = self.shared.state();
+            let is_behind = match self.topic {
+                Topic::Targets => state.directory_log.is_behind(),
+                Topic::Config => {
+                    state.config.is_none() || state.config_version() < state.peer_config_version
+                }
+            };
+            if is_behind || state.fleet.is_watcher(now) {
+                return;
+            }
+        }
+    }
+
+    /// Reads the data, and watches it while this entry is a watcher, until a call fails.
+    async fn read_and_watch(&self, failures: &mut u32) -> Result<(), StoreError> {
+        let (items, revision) = self.store.snapshot(self.prefix()).await?;
+        self.record_success();
+        self.apply_snapshot(&items, revision);
+        if !self.is_watcher() {
+            return Ok(());
+        }
+        let mut watch = self.store.watch(self.prefix(), revision).await?;
+        while let Some(event) = watch.next().await {
+            let event = event?;
+            *failures = 0;
+            self.record_success();
+            match event {
+                WatchEvent::Put(item) => self.apply_put(&item),
+                WatchEvent::Deleted { key, revision } => self.apply_delete(&key, revision),
+                WatchEvent::Progress(_) => {
+                    if !self.is_watcher() {
+                        return Ok(());
+                    }
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn is_watcher(&self) -> bool {
+        let now = self.shared.now();
+        self.shared.state().fleet.is_watcher(now)
+    }
+
+    // ---- State of the service ----
+
+    fn record_success(&self) {
+        self.shared.metrics.record_store_message("answered");
+        let now = self.shared.now();
+        if self.topic == Topic::Targets && self.shared.state().fleet.directory_answered(now) {
+            info!("the key-value service answers again");
+        }
+    }
+
+    fn record_failure(&self, error: &StoreError) {
+        self.shared.metrics.record_store_message("failed");
+        if *error == StoreError::Compacted {
+            info!(
+                topic:? = self.topic;
+                "the watched revision was compacted; reading all keys again"
+            );
+            return;
+        }
+        if self.topic == Topic::Targets && self.shared.state().fleet.directory_failed() {
+            warn!("the key-value service does not answer: {error}");
+        }
+    }
+
+    // ---- Data of the service ----
+
+    fn apply_snapshot(&self, items: &[Versioned], revision: ModRevision) {
+        if self.topic == Topic::Config {
+            items.iter().for_each(|item| self.apply_config(item));
+            return;
+        }
+        let names: BTreeSet<TargetId> = items
+            .iter()
+            .filter_map(|item| self.target_id(&item.key))
+            .collect();
+        let now = self.shared.now();
+        let mut state = self.shared.state();
+        for item in items {
+            if let Some(id) = self.target_id(&item.key) {
+                apply_listing(
+                    &self.shared,
+                    now,
+                    &mut state,
+                    &id,
+                    &item.value,
+                    item.modified.0,
+                );
+            }
+        }
+        state.fleet.retain_listed(now, &names);
+        state.directory_log.record_read(revision.0);
+        set_target_count(&self.shared, state.fleet.len());
+    }
+
+    fn apply_put(&self, item: &Versioned) {
+        match self.topic {
+            Topic::Config => self.apply_config(item),
+            Topic::Targets => self.apply_change(&item.key, Some(item.value.clone()), item.modified),
+        }
+    }
+
+    fn apply_config(&self, item: &Versioned) {
+        if item.key == self.shared.dialect.config_key() {
+            self.activate_config(&item.value, "the key-value service");
+        }
+    }
+
+    /// Activates a configuration if it can be parsed and is newer than the current one.
+    fn activate_config(&self, document: &Bytes, source: &str) {
+        let config = match self.shared.dialect.read_config(document) {
+            Ok(config) => config,
+            Err(error) => {
+                warn!(source = source; "failed to parse the configuration: {error}");
+                return;
+            }
+        };
+        let mut state = self.shared.state();
+        let current = state.config.as_ref().map(|config| config.version());
+        if current.is_some_and(|current| current >= config.version()) {
+            return;
+        }
+        info!(version = config.version(), source = source; "activated a configuration");
+        let version = i64::try_from(config.version()).unwrap_or(i64::MAX);
+        self.shared.metrics.version.set(version);
+        let services: BTreeSet<_> = config.services().cloned().collect();
+        state.budgets.retain(|service| services.contains(service));
+        state.run_times.retain(|service| services.contains(service));
+        state
+            .standing_queues
+            .retain(|service| services.contains(service));
+        state.config = Some(Arc::new(config));
+        state.config_bytes = Some(document.clone());
+        self.shared.health.set_configured();
+        self.shared.peer_update.notify_one();
+    }
+
+    // ---- Data of the other entries ----
+
+    /// Queries the other entries while no data is known, so that startup does not wait for the
+    /// timeout of a call that the service never answers.
+    async fn query_peers_until_known(&self) -> Infallible {
+        loop {
+            tokio::time::sleep(PEER_QUERY_PERIOD).await;
+            let is_known = {
+                let state = self.shared.state();
+                match self.topic {
+                    Topic::Config => state.config.is_some(),
+                    Topic::Targets => !state.fleet.is_empty(),
+                }
+            };
+            if !is_known {
+                self.query_peers().await;
+            }
+        }
+    }
+
+    /// Queries the other entries, when the service does not answer, for data that they have
+    /// announced and this entry lacks.
+    async fn query_peers(&self) {
+        let path = match self.topic {
+            Topic::Config => CONFIG_PATH,
+            Topic::Targets => TARGETS_PATH,
+        };
+        for (entry, address) in self.shared.other_entries() {
+            if !self.is_missing_updates() {
+                return;
+            }
+            let call = self.entries.call(Method::GET, address, path, Bytes::new());
+            match call.await {
+                Ok(answer) if answer.status == StatusCode::OK => match self.topic {
+                    Topic::Config => self.activate_config(&answer.body, entry.as_str()),
+                    Topic::Targets => self.apply_peer_snapshot(entry.as_str(), &answer.body),
+                },
+                Ok(answer) => info!(
+                    entry = entry.as_str();
+                    "an entry answered a query with status {}", answer.status
+                ),
+                Err(error) => info!(entry = entry.as_str(); "failed to query an entry: {error}"),
+            }
+        }
+    }
+
+    /// Returns whether this entry lacks data that other entries have announced, or has no targets.
+    /// Without targets it would refuse requests that the other entries serve.
+    fn is_missing_updates(&self) -> bool {
+        let state = self.shared.state();
+        match self.topic {
+            Topic::Config => state.config_version() < state.peer_config_version,
+            Topic::Targets => state.fleet.is_empty() || state.directory_log.is_behind(),
+        }
+    }
+
+    /// Applies the targets that another entry knows. Later changes by the messages of that entry
+    /// build on them.
+    fn apply_peer_snapshot(&self, entry: &str, body: &[u8]) {
+        let snapshot: DirectorySnapshot = match cw_wire::decode(body) {
+            Ok(snapshot) => snapshot,
+            Err(error) => {
+                warn!(entry = entry; "failed to decode the targets of another entry: {error}");
+                return;
+            }
+        };
+        info!(
+            entry = entry,
+            targets = snapshot.targets.len(),
+            revision = snapshot.newest;
+            "applied the targets of another entry"
+        );
+        let now = self.shared.now();
+        let mut state = self.shared.state();
+        if state.fleet.is_empty() {
+            // The service has not answered yet, so the changes that other entries send apply from
+            // now on.
+            state.fleet.directory_failed();
+        }
+        for (id, value) in &snapshot.targets {
+            apply_listing(&self.shared, now, &mut state, id, value, snapshot.newest);
+        }
+        state.directory_log.record_read(snapshot.newest);
+        set_target_count(&self.shared, state.fleet.len());
+    }
+
+    fn apply_delete(&self, key: &str, revision: ModRevision) {
+        if self.topic == Topic::Targets {
+            self.apply_change(key, None, revision);
+        }
+    }
+
+    /// Applies a change of the targets that this entry's watch delivered, and announces it to the
+    /// other entries.
+    fn apply_change(&self, key: &str, value: Option<Bytes>, revision: ModRevision) {
+        let now = self.shared.now();
+        let mut state = self.shared.state();
+        state
+            .directory_log
+            .record_change(now, key, value.clone(), revision.0);
+        let change = DirectoryChange {
+            previous: 0,
+            revision: revision.0,
+            key: key.to_owned(),
+            value,
+        };
+        let trusted = state.fleet.is_trusted(now);
+        apply_directory_change(&self.shared, now, &mut state, &change, trusted);
+        self.shared.peer_update.notify_one();
+    }
+
+    fn target_id(&self, key: &str) -> Option<TargetId> {
+        target_id(&self.shared, key)
+    }
+}
+
+/// Applies a change of the targets, from the watch of any entry. `trusted` says whether a target
+/// without a record is gone.
+pub(super) fn apply_directory_change(
+    shared: &Shared,
+    now: Time,
+    state: &mut ForwardState,
+    change: &DirectoryChange,
+    trusted: bool,
+) {
+    let Some(id) = target_id(shared, &change.key) else {
+        return;
+    };
+    match &change.value {
+        Some(value) => apply_listing(shared, now, state, &id, value, change.revision),
+        None => {
+            if state.fleet.unlisted(now, &id, trusted) {
+                info!(
+                    target_id = id.as_str(),
+                    revision = change.revision,
+                    trusted = u64::from(trusted);
+                    "the record of a target was deleted"
+                );
+            }
+        }
+    }
+    set_target_count(shared, state.fleet.len());
+}
+
+fn apply_listing(
+    shared: &Shared,
+    now: Time,
+    state: &mut ForwardState,
+    id: &TargetId,
+    value: &[u8],
+    revision: i64,
+) {
+    match shared.dialect.read_listing(id.as_str(), value) {
+        Ok(listing) => {
+            if state.fleet.listed(now, listing.clone()) {
+                // An outdated record, which does not revert that a target is leaving, is not passed
+                // on either.
+                if state.fleet.listing(id) == Some(&listing) {
+                    let value = Bytes::copy_from_slice(value);
+                    state.listings.insert(id.clone(), value);
+                }
+                info!(
+                    target_id = id.as_str(),
+                    service = listing.service.as_str(),
+                    zone = listing.zone.as_str(),
+                    address = listing.address.to_string(),
+                    leaving = u64::from(listing.leaving),
+                    revision = revision;
+                    "the record of a target has changed"
+                );
+            }
+        }
+        Err(error) => {
+            warn!(target_id = id.as_str(); "failed to parse the record of a target: {error}");
+            state.fleet.removed(now, id);
+        }
+    }
+}
+
+fn target_id(shared: &Shared, key: &str) -> Option<TargetId> {
+    key.strip_prefix(shared.dialect.targets_prefix())?
+        .parse()
+        .ok()
+}
+
+/// Sets the gauge of the number of targets.
+pub(super) fn set_target_count(shared: &Shared, targets: usize) {
+    let targets = i64::try_from(targets).unwrap_or(i64::MAX);
+    shared.metrics.targets.set(targets);
+}
--- /dev/null
+++ b/crates/cyclamenwharf/src/forward/exchange_driver.rs
@@ -0,0 +1,217 @@
+//! Drives one request from its acceptance to its end.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use cw_policy::forward::Admitted;
+use cw_policy::forward::Backlog;
+use cw_policy::forward::EventStream;
+use cw_policy::forward::Exchange;
+use cw_policy::forward::ExchangeEvent;
+use cw_policy::forward::ExchangeStep;
+use cw_policy::forward::Fault;
+use cw_policy::forward::Resume;
+use cw_store::RequestHead;
+use cw_types::ErrorKind;
+use cw_types::ServiceName;
+use cw_types::Time;
+use cw_wire::PromptHash;
+use dropshot::Body;
+use http::Response;
+use http::request;
+use log::info;
+
+use super::caller_api::refusal_response;
+use super::response::BufferedResponse;
+use super::send_outcome::SendOutcome;
+use super::shared::Shared;
+
+/// An accepted request, with the settings that apply to it.
+pub(super) struct AcceptedRequest {
+    /// The caller's request without its body.
+    pub(super) parts: request::Parts,
+    pub(super) body: Bytes,
+    pub(super) head: RequestHead,
+    pub(super) admitted: Admitted,
+    pub(super) service: ServiceName,
+    /// The cache memory of one engine in tokens, `None` for a service without engines.
+    pub(super) memory: Option<u64>,
+    /// Whether engines keep copies of each other's runs.
+    pub(super) copies: bool,
+    /// How long an engine keeps a copy that was made on request.
+    pub(super) copy_lifetime: Duration,
+    /// The events that have been passed on to the caller.
+    pub(super) events: EventStream,
+}
+
+/// Drives one request by the decisions of its [`Exchange`].
+pub(super) struct ExchangeDriver {
+    pub(super) shared: Arc<Shared>,
+    pub(super) request: AcceptedRequest,
+    pub(super) exchange: Exchange,
+    /// The version of the weights that the answer began with.
+    pub(super) weights: Option<u64>,
+    error_response: Option<BufferedResponse>,
+    /// The hash that identifies the prompt.
+    pub(super) prompt_hash: Option<PromptHash>,
+    /// The time of the last send.
+    pub(super) sent_at: Time,
+    /// The backlog of the target at the last send.
+    pub(super) backlog: Backlog,
+    /// The delay after which a refused caller should retry, if known.
+    pub(super) retry_after: Option<Duration>,
+    /// The age of the request when its first event was passed on.
+    pub(super) first_event_age: Option<Duration>,
+    /// When the current target sent its first events.
+    pub(super) target_started_at: Option<Time>,
+    /// When the last events arrived.
+    pub(super) last_event_at: Option<Time>,
+    /// The longest pause between events.
+    pub(super) longest_pause: Duration,
+}
+
+impl ExchangeDriver {
+    pub(super) fn new(shared: Arc<Shared>, request: AcceptedRequest, exchange: Exchange) -> Self {
+        let now = exchange.plan().arrived;
+        shared.state().budgets.record_first(now, &request.service);
+        let prompt_hash = request.head.prompt.as_deref().map(PromptHash::of);
+        Self {
+            shared,
+            request,
+            exchange,
+            weights: None,
+            error_response: None,
+            prompt_hash,
+            sent_at: now,
+            backlog: Backlog::default(),
+            retry_after: None,
+            first_event_age: None,
+            target_started_at: None,
+            last_event_at: None,
+            longest_pause: Duration::ZERO,
+        }
+    }
+
+    /// Returns the response. The body of a stream is sent by a task of its own.
+    pub(super) async fn run(mut self) -> Response<Body> {
+        let mut step = ExchangeStep::Send(Resume::default());
+        loop {
+            step = match step {
+                ExchangeStep::Send(resume) => match self.send(&resume).await {
+                    SendOutcome::Response(response) | SendOutcome::StreamEnd(response) => {
+                        return self.respond(response);
+                    }
+                    SendOutcome::Stream(stream) => return self.start_stream(*stream),
+                    SendOutcome::ErrorResponse(response) => {
+                        self.error_response = Some(response);
+                        self.next_step(ExchangeEvent::Failed)
+                    }
+                    SendOutcome::Event(event) => self.next_step(event),
+                },
+                ExchangeStep::Wait(pause) => {
+                    tokio::time::sleep(pause).await;
+                    ExchangeStep::Send(Resume::default())
+                }
+                ExchangeStep::PassOn => match self.error_response.take() {
+                    Some(response) => return self.respond(response),
+                    None => ExchangeStep::Refuse(ErrorKind::TargetFailed),
+                },
+                ExchangeStep::Refuse(kind) | ExchangeStep::Break(kind) => {
+                    return self.refuse(kind);
+                }
+            };
+        }
+    }
+
+    /// Records an event, and returns the next step.
+    pub(super) fn next_step(&mut self, event: ExchangeEvent) -> ExchangeStep {
+        let now = self.shared.now();
+        let placed = self.exchange.placed().cloned();
+        let mut state = self.shared.state();
+        let state = &mut *state;
+        let fault = match event {
+            ExchangeEvent::NotRun(fault) | ExchangeEvent::Lost(fault) => Some(fault),
+            ExchangeEvent::Failed => Some(Fault::Failed),
+            _ => None,
+        };
+        if let (Some(placed), Some(fault)) = (&placed, fault) {
+            state.fleet.failed(now, &placed.target, fault);
+            self.shared
+                .metrics
+                .record_send(&self.request.service, fault_name(fault));
+            if fault == Fault::Unreachable || fault == Fault::Silent {
+                self.shared.pool.close(&placed.target);
+            }
+        }
+        let service = &self.request.service;
+        let step = self
+            .exchange
+            .on_event(now, event, || state.budgets.try_spend(now, service));
+        info!(
+            request = self.request.head.id.as_str(),
+            target_id = placed.as_ref().map_or("none", |at| at.target.as_str()),
+            sends = self.exchange.sends(),
+            age_ms = millis(now.since(self.exchange.plan().arrived)),
+            event:? = event,
+            step:? = step;
+            "a send or placement ended without an answer"
+        );
+        step
+    }
+
+    fn respond(self, response: BufferedResponse) -> Response<Body> {
+        let outcome = match response.status.is_success() {
+            true => "answered",
+            false => "failed",
+        };
+        self.record_end(outcome);
+        response.into_response()
+    }
+
+    fn refuse(self, kind: ErrorKind) -> Response<Body> {
+        self.record_end(kind.code());
+        let time_left = self.shared.now().until(self.exchange.plan().deadline);
+        let id = Some(self.request.head.id.as_str());
+        refusal_response(&self.shared, kind, Some(time_left), self.retry_after, id)
+    }
+
+    /// Records in metrics and the log how the request ended.
+    pub(super) fn record_end(&self, outcome: &str) {
+        let age = self.shared.now().since(self.exchange.plan().arrived);
+        let metrics = &self.shared.metrics;
+        metrics.record_request(Some(&self.request.service), outcome);
+        if !self.exchange.plan().streaming {
+            metrics.record_answer_time(&self.request.service, age);
+        }
+        let target = self.exchange.placed().map(|placed| placed.target.as_str());
+        info!(
+            request = self.request.head.id.as_str(),
+            route = self.request.admitted.route.name.as_str(),
+            target_id = target.unwrap_or("none"),
+            sends = self.exchange.sends(),
+            last_event = self.request.events.last().unwrap_or_default(),
+            begun_ms = millis(self.first_event_age.unwrap_or(age)),
+            pause_ms = millis(self.longest_pause),
+            age_ms = millis(age),
+            outcome = outcome;
+            "request finished"
+        );
+    }
+}
+
+/// Returns a duration in whole milliseconds, rounded down.
+pub(super) fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
+
+fn fault_name(fault: Fault) -> &'static str {
+    match fault {
+        Fault::Unreachable => "unreachable",
+        Fault::Broken => "broken",
+        Fault::Silent => "silent",
+        Fault::Failed => "failed",
+        Fault::Full => "full",
+        Fault::Replaced => "replaced",
+    }
+}
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a forwarding entry.
+//! Starts and stops a forwarding entry.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,47 +20,52 @@
 
 use super::ForwardListen;
 use super::ForwardSettings;
-use super::directory::Directory;
-use super::directory::Topic;
-use super::directory::count;
-use super::front::Front;
-use super::ledger::Ledger;
+use super::caller_api::CallerApi;
+use super::directory_sync::DirectorySync;
+use super::directory_sync::Topic;
+use super::directory_sync::set_target_count;
 use super::metrics::ForwardMetrics;
 use super::operator_api::OperatorApi;
 use super::peer_api::PeerApi;
 use super::peer_exchange::PeerExchange;
-use super::shared::Beliefs;
+use super::prompt_location_store::PromptLocationStore;
+use super::shared::ForwardState;
 use super::shared::Shared;
 
-/// The most connections of callers at once; a process has some four thousand descriptors.
-const CALLERS_MAX: usize = 3000;
+/// The maximum number of concurrent caller connections. A process has about four thousand file
+/// descriptors.
+const MAX_CALLER_CONNECTIONS: usize = 3000;
 
-/// The most connections of operators at once: a balancer, a collector of metrics and the other entries
-/// have one or two each.
-const OPERATORS_MAX: usize = 32;
+/// The maximum number of concurrent operator connections. A load balancer, a metrics collector and
+/// each of the other entries have one or two.
+const MAX_OPERATOR_CONNECTIONS: usize = 32;
 
-/// How long another entry may take to answer: they are milliseconds away, and there are others.
-const ENTRY_TIMEOUT: Duration = Duration::from_millis(500);
+/// The timeout of a query to another entry. Entries are milliseconds apart, and another one can be
+/// queried instead.
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a caller's connection may be idle, and a request's head take. Callers reuse connections for
-/// the time that the configuration states, which is far shorter, so this only ends what is forgotten.
-const CALLER_IDLE_MAX: Duration = Duration::from_secs(300);
+/// The maximum time that a caller's connection may be idle, and that the head of a request may
+/// take. Callers reuse connections for the time in the configuration, which is far shorter, so this
+/// only closes abandoned connections.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// The same for operators: a balancer asks every second.
-const OPERATOR_IDLE_MAX: Duration = Duration::from_secs(10);
+/// The same for operators. A load balancer checks every second.
+const OPERATOR_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often old connections are closed and old beliefs dropped; both live for seconds.
-const UPKEEP_PERIOD: Duration = Duration::from_millis(500);
+/// How often old connections are closed and outdated state is dropped, both of which live for
+/// seconds.
+const EXPIRY_PERIOD: Duration = Duration::from_millis(500);
 
-/// How long a balancer takes to see that an entry is not ready: two questions, a second apart.
-const BALANCER_LAG: Duration = Duration::from_millis(2500);
+/// How long a load balancer takes to notice that an entry is not ready: two checks, one second
+/// apart.
+const BALANCER_DELAY: Duration = Duration::from_millis(2500);
 
-/// What the end of the process takes of the grace period, with some to spare.
-const EXIT_TIME: Duration = Duration::from_millis(300);
+/// The part of the grace period that is reserved for the exit of the process, with a margin.
+const EXIT_RESERVE: Duration = Duration::from_millis(300);
 
-/// What a forwarding entry is built from.
+/// The external parts of a forwarding entry.
 pub struct ForwardParts {
-    /// What callers, targets and directory speak.
+    /// The message formats of callers, targets and the directory.
     pub dialect: Arc<dyn Dialect>,
     /// The key-value service.
     pub store: Arc<dyn KeyValue>,
@@ -70,24 +75,24 @@
 #[derive(Debug)]
 pub struct Forwarder;
 
-/// A running forwarding entry. Dropping it breaks off what is in progress.
+/// A running forwarding entry. Dropping it aborts all requests in progress.
 pub struct ForwarderHandle {
-    /// Where it listens for callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where it answers whether it is ready.
+    /// The address for readiness checks.
     pub health: SocketAddr,
     shared: Arc<Shared>,
     supervisor: Supervisor,
     server: StreamServer,
-    _operators: Vec<StreamServer>,
+    _operator_servers: Vec<StreamServer>,
 }
 
 impl Forwarder {
-    /// Starts a forwarding entry on the present runtime.
+    /// Starts a forwarding entry on the current Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails if metrics cannot be registered or an address cannot be bound.
     pub fn start(
         settings: ForwardSettings,
         parts: ForwardParts,
@@ -97,38 +102,40 @@
         let listen = settings.listen.clone();
         let shared = Arc::new(Shared::new(settings, parts.dialect, metrics));
         let supervisor = Supervisor::new("forward");
-        follow(&supervisor, &shared, &parts.store);
-        exchange(&supervisor, &shared, listen.peers)?;
+        start_directory_tasks(&supervisor, &shared, &parts.store);
+        start_peer_exchange(&supervisor, &shared, listen.peers)?;
         let callers = ServerLimits {
-            connections: CALLERS_MAX,
-            head: Some(CALLER_IDLE_MAX),
+            connections: MAX_CALLER_CONNECTIONS,
+            head: Some(CALLER_IDLE_TIMEOUT),
         };
-        let front = Arc::new(Front {
+        let caller_api = Arc::new(CallerApi {
             shared: Arc::clone(&shared),
         });
         let server =
-            StreamServer::start(listen.callers, callers, front).map_err(StartError::new)?;
-        let operators = operators(&shared, &listen, registry).map_err(StartError::new)?;
+            StreamServer::start(listen.callers, callers, caller_api).map_err(StartError::new)?;
+        let operator_servers =
+            start_operator_servers(&shared, &listen, registry).map_err(StartError::new)?;
         Ok(ForwarderHandle {
             callers: server.local_addr(),
-            health: operators[0].local_addr(),
+            health: operator_servers[0].local_addr(),
             shared,
             supervisor,
             server,
-            _operators: operators,
+            _operator_servers: operator_servers,
         })
     }
 }
 
-/// Starts the servers for the balancer, the operators and the other entries, in this order.
-fn operators(
+/// Starts the servers for the load balancer, for metrics if configured, and for the other entries,
+/// in this order.
+fn start_operator_servers(
     shared: &Arc<Shared>,
     listen: &ForwardListen,
     registry: Registry,
 ) -> io::Result<Vec<StreamServer>> {
     let limits = ServerLimits {
-        connections: OPERATORS_MAX,
-        head: Some(OPERATOR_IDLE_MAX),
+        connections: MAX_OPERATOR_CONNECTIONS,
+        head: Some(OPERATOR_IDLE_TIMEOUT),
     };
     let api = Arc::new(OperatorApi {
         shared: Arc::clone(shared),
@@ -149,63 +156,66 @@
     Ok(servers)
 }
 
-/// Starts what follows the key-value service, and the upkeep of beliefs.
-fn follow(supervisor: &Supervisor, shared: &Arc<Shared>, store: &Arc<dyn KeyValue>) {
+/// Starts the tasks that sync with the key-value service, and the task that drops outdated state.
+fn start_directory_tasks(supervisor: &Supervisor, shared: &Arc<Shared>, store: &Arc<dyn KeyValue>) {
     for (name, topic) in [("config", Topic::Config), ("targets", Topic::Targets)] {
         let (shared, store) = (Arc::clone(shared), Arc::clone(store));
         supervisor.keep(name, move || {
-            let directory = Directory {
+            let directory = DirectorySync {
                 shared: Arc::clone(&shared),
                 store: Arc::clone(&store),
                 topic,
-                entries: HttpClient::default().with_patience(ENTRY_TIMEOUT),
+                entries: HttpClient::default().with_patience(PEER_TIMEOUT),
             };
             directory.run()
         });
     }
-    let (known, held) = (Arc::clone(shared), Arc::clone(store));
+    let (task_shared, task_store) = (Arc::clone(shared), Arc::clone(store));
     supervisor.keep("registry", move || {
-        let registry = super::registry::Registry {
-            shared: Arc::clone(&known),
-            store: Arc::clone(&held),
+        let registry = super::entry_registry::EntryRegistry {
+            shared: Arc::clone(&task_shared),
+            store: Arc::clone(&task_store),
         };
         registry.run()
     });
-    let (known, held) = (Arc::clone(shared), Arc::clone(store));
+    let (task_shared, task_store) = (Arc::clone(shared), Arc::clone(store));
     supervisor.keep("ledger", move || {
-        let ledger = Ledger {
-            shared: Arc::clone(&known),
-            store: Arc::clone(&held),
+        let locations = PromptLocationStore {
+            shared: Arc::clone(&task_shared),
+            store: Arc::clone(&task_store),
         };
-        ledger.run()
+        locations.run()
+    });
+    let task_shared = Arc::clone(shared);
+    supervisor.keep("upkeep", move || {
+        expire_periodically(Arc::clone(&task_shared))
     });
-    let kept = Arc::clone(shared);
-    supervisor.keep("upkeep", move || upkeep(Arc::clone(&kept)));
 }
 
 impl ForwarderHandle {
-    /// Takes nothing new, and returns when all in progress has ended or the grace is over.
+    /// Reports the entry as not ready, stops accepting requests, and returns when all requests in
+    /// progress have ended or the grace period is over.
     pub async fn drain(self) {
-        let grace = self.shared.settings.grace.saturating_sub(EXIT_TIME);
+        let grace = self.shared.settings.grace.saturating_sub(EXIT_RESERVE);
         self.shared.health.set_draining();
         let work = async {
-            // Callers are still sent here until the balancer has noticed.
-            tokio::time::sleep(BALANCER_LAG.min(grace)).await;
+            // The load balancer still sends requests until it notices that this entry is not ready.
+            tokio::time::sleep(BALANCER_DELAY.min(grace)).await;
             self.server.close().await;
         };
         match tokio::time::timeout(grace, work).await {
-            Ok(()) => info!("everything in progress has ended"),
+            Ok(()) => info!("all requests in progress have ended"),
             Err(_) => info!(
                 streams = self.shared.metrics.streams.get();
-                "the grace is over; what is in progress breaks off"
+                "the grace period is over; aborting the requests in progress"
             ),
         }
         self.supervisor.stop();
     }
 }
 
-/// Starts to tell and hear the other entries.
-fn exchange(
+/// Starts to send and receive messages between entries.
+fn start_peer_exchange(
     supervisor: &Supervisor,
     shared: &Arc<Shared>,
     address: SocketAddr,
@@ -225,8 +235,8 @@
             };
             async move {
                 match name {
-                    "peers/tell" => exchange.tell().await,
-                    _ => exchange.hear().await,
+                    "peers/tell" => exchange.run_sender().await,
+                    _ => exchange.run_receiver().await,
                 }
             }
         });
@@ -234,24 +244,26 @@
     Ok(())
 }
 
-async fn upkeep(shared: Arc<Shared>) {
+async fn expire_periodically(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(UPKEEP_PERIOD).await;
+        tokio::time::sleep(EXPIRY_PERIOD).await;
         let now = shared.now();
-        let mut beliefs = shared.beliefs();
-        for id in beliefs.fleet.expire(now) {
-            info!(target_id = id.as_str(); "a target's entry did not come back");
+        let mut state = shared.state();
+        for id in state.fleet.expire(now) {
+            info!(target_id = id.as_str(); "a target did not register again in time; dropping it");
         }
-        for host in beliefs.fleet.expire_peers(now) {
-            info!(entry = host.as_str(); "another entry is no longer heard");
+        for host in state.fleet.expire_peers(now) {
+            info!(entry = host.as_str(); "no more messages from another entry");
         }
-        count(&shared, beliefs.fleet.len());
-        beliefs.own_prompts.expire(now);
-        beliefs.heard_prompts.expire(now);
-        let Beliefs {
+        set_target_count(&shared, state.fleet.len());
+        state.own_prompts.expire(now);
+        state.peer_prompts.expire(now);
+        let ForwardState {
             fleet, listings, ..
-        } = &mut *beliefs;
+        } = &mut *state;
         listings.retain(|id, _| fleet.listing(id).is_some());
-        shared.pool.sweep(now, |id| fleet.listing(id).is_some());
+        shared
+            .pool
+            .close_expired(now, |id| fleet.listing(id).is_some());
     }
 }
--- a/crates/cyclamenwharf/src/forward/guards.rs
+++ b/crates/cyclamenwharf/src/forward/guards.rs
@@ -1,4 +1,4 @@
-//! What a request takes up, given back however it ends.
+//! Guards for the resources of a request, which are released when the guard is dropped.
 
 use std::sync::Arc;
 
@@ -7,20 +7,20 @@
 
 use super::shared::Shared;
 
-/// A request's place at its target.
-pub(super) struct Place {
+/// Counts a request in the load of its target.
+pub(super) struct RequestGuard {
     shared: Arc<Shared>,
     target: TargetId,
     demand: Demand,
     began: bool,
 }
 
-impl Place {
-    pub(super) fn take(shared: &Arc<Shared>, target: &TargetId, demand: Demand) -> Self {
+impl RequestGuard {
+    pub(super) fn acquire(shared: &Arc<Shared>, target: &TargetId, demand: Demand) -> Self {
         let now = shared.now();
-        shared.beliefs().fleet.sent(now, target, demand);
+        shared.state().fleet.sent(now, target, demand);
         if demand.prompt > 0 {
-            shared.news.notify_one();
+            shared.peer_update.notify_one();
         }
         Self {
             shared: Arc::clone(shared),
@@ -30,36 +30,36 @@
         }
     }
 
-    /// The answer has begun.
-    pub(super) fn begin(&mut self) {
+    /// Records that the answer has begun.
+    pub(super) fn mark_begun(&mut self) {
         if !self.began {
             self.began = true;
             let now = self.shared.now();
-            let mut beliefs = self.shared.beliefs();
-            beliefs.fleet.began(now, &self.target, self.demand);
+            let mut state = self.shared.state();
+            state.fleet.began(now, &self.target, self.demand);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let mut beliefs = self.shared.beliefs();
-        let fleet = &mut beliefs.fleet;
+        let mut state = self.shared.state();
+        let fleet = &mut state.fleet;
         fleet.ended(now, &self.target, self.demand, self.began);
     }
 }
 
-/// The memory that a copy of a run takes.
-pub(super) struct CopyPlace {
+/// Counts the memory of a run's copy in the load of the target that keeps it.
+pub(super) struct CopyGuard {
     shared: Arc<Shared>,
     keeper: TargetId,
     demand: Demand,
 }
 
-impl CopyPlace {
-    pub(super) fn take(shared: &Arc<Shared>, keeper: &TargetId, demand: Demand) -> Self {
-        shared.beliefs().fleet.count_copy(keeper, demand, true);
+impl CopyGuard {
+    pub(super) fn acquire(shared: &Arc<Shared>, keeper: &TargetId, demand: Demand) -> Self {
+        shared.state().fleet.count_copy(keeper, demand, true);
         Self {
             shared: Arc::clone(shared),
             keeper: keeper.clone(),
@@ -68,16 +68,16 @@
     }
 }
 
-impl CopyPlace {
-    /// Returns whether it is at this target.
+impl CopyGuard {
+    /// Returns whether the copy is at this target.
     pub(super) fn is_at(&self, keeper: &TargetId) -> bool {
         self.keeper == *keeper
     }
 }
 
-impl Drop for CopyPlace {
+impl Drop for CopyGuard {
     fn drop(&mut self) {
-        let mut beliefs = self.shared.beliefs();
-        beliefs.fleet.count_copy(&self.keeper, self.demand, false);
+        let mut state = self.shared.state();
+        state.fleet.count_copy(&self.keeper, self.demand, false);
     }
 }
--- a/crates/cyclamenwharf/src/forward/mod.rs
+++ b/crates/cyclamenwharf/src/forward/mod.rs
@@ -1,35 +1,37 @@
-//! The forwarding entry: opaque requests, passed through to the targets of a service.
+//! The forwarding entry, which passes opaque requests to the targets of a service.
 //!
-//! - [`Forwarder`] starts it: a server for callers, one for health and metrics, and the upkeep of
-//!   what it believes.
-//! - `Front` takes each request in; a `Courier` carries it to its end, by the decisions of
+//! - [`Forwarder`] starts the servers for callers, for health and metrics and for the other
+//!   entries, and the background tasks.
+//! - `CallerApi` accepts requests, and an `ExchangeDriver` drives each one by the decisions of its
 //!   [`cw_policy::forward::Exchange`].
-//! - `TargetPool` keeps connections to targets.
-//! - `Registry` and `PeerExchange` find the other entries and tell them what is where.
-//! - `Ledger` keeps where prompts were read, for when all entries die together.
-//! - `Directory` follows the configuration and the targets in the key-value service.
+//! - `ConnectionPool` holds idle connections to targets.
+//! - `EntryRegistry` finds the other entries, and `PeerExchange` exchanges load and directory
+//!   changes with them.
+//! - `PromptLocationStore` persists the targets that have read recent prompts, in case all entries
+//!   fail together.
+//! - `DirectorySync` keeps the configuration and the targets in sync with the key-value service.
 
-mod answer;
-mod copying;
-mod courier;
-mod directory;
+mod caller_api;
+mod connection_pool;
+mod copy_renewal;
+mod directory_sync;
+mod entry_registry;
+mod exchange_driver;
 mod forward_settings;
 mod forwarder;
-mod front;
 mod guards;
-mod ledger;
-mod link;
 mod metrics;
 mod operator_api;
-mod outcome;
 mod peer_api;
 mod peer_exchange;
-mod placing;
-mod registry;
+mod placement_choice;
+mod prompt_location_store;
+mod response;
+mod send_outcome;
 mod sending;
 mod shared;
 mod streaming;
-mod target_pool;
+mod target_connection;
 
 pub use forward_settings::BudgetSettings;
 pub use forward_settings::ForwardListen;
--- a/crates/cyclamenwharf/src/forward/operator_api.rs
+++ b/crates/cyclamenwharf/src/forward/operator_api.rs
@@ -1,4 +1,4 @@
-//! What the balancer and the operators ask.
+//! The HTTP endpoints for the load balancer and for operators.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 
 use super::shared::Shared;
 
-/// Answers whether the entry is ready, and what it counts.
+/// Serves the readiness check and the metrics.
 pub(super) struct OperatorApi {
     pub(super) shared: Arc<Shared>,
     pub(super) registry: Registry,
@@ -26,7 +26,7 @@
 impl Handler for OperatorApi {
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>> {
         let response = match request.uri().path() {
-            "/readyz" => self.ready(),
+            "/readyz" => self.readiness(),
             "/metrics" => self.metrics(),
             _ => status(StatusCode::NOT_FOUND),
         };
@@ -35,7 +35,7 @@
 }
 
 impl OperatorApi {
-    fn ready(&self) -> Response<Body> {
+    fn readiness(&self) -> Response<Body> {
         status(match self.shared.health.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -47,7 +47,7 @@
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
             Ok(()) => Response::new(Body::from(text)),
             Err(error) => {
-                warn!("metrics cannot be written: {error}");
+                warn!("failed to encode the metrics: {error}");
                 status(StatusCode::INTERNAL_SERVER_ERROR)
             }
         }
--- a/crates/cyclamenwharf/src/forward/peer_api.rs
+++ b/crates/cyclamenwharf/src/forward/peer_api.rs
@@ -1,4 +1,4 @@
-//! What the other entries may read here.
+//! The HTTP endpoints for the other entries.
 
 use std::sync::Arc;
 
@@ -16,27 +16,27 @@
 
 use super::shared::Shared;
 
-/// Where the configuration is read.
+/// The path of the configuration.
 pub(super) const CONFIG_PATH: &str = "/config";
 
-/// Where all that is known of the targets is read.
+/// The path of the known targets.
 pub(super) const TARGETS_PATH: &str = "/targets";
 
-/// Answers the other entries.
+/// Serves the other entries.
 pub(super) struct PeerApi {
     pub(super) shared: Arc<Shared>,
 }
 
 impl Handler for PeerApi {
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>> {
-        let held = match request.uri().path() {
-            CONFIG_PATH => self.shared.beliefs().document.clone(),
+        let body = match request.uri().path() {
+            CONFIG_PATH => self.shared.state().config_bytes.clone(),
             TARGETS_PATH => self.targets(),
             _ => None,
         };
         let mut response = Response::new(Body::empty());
-        match held {
-            Some(held) => *response.body_mut() = Body::from(held.to_vec()),
+        match body {
+            Some(body) => *response.body_mut() = Body::from(body.to_vec()),
             None => *response.status_mut() = StatusCode::NOT_FOUND,
         }
         async move { response }.boxed()
@@ -44,26 +44,26 @@
 }
 
 impl PeerApi {
-    /// Returns what this entry knows of the targets, if it knows any.
+    /// Returns the known targets in encoded form, `None` if there are none.
     fn targets(&self) -> Option<Bytes> {
-        let copy = {
-            let beliefs = self.shared.beliefs();
-            let listings = beliefs.listings.iter();
-            let known = listings.filter(|(id, _)| beliefs.fleet.listing(id).is_some());
+        let snapshot = {
+            let state = self.shared.state();
+            let listings = state.listings.iter();
+            let known = listings.filter(|(id, _)| state.fleet.listing(id).is_some());
             DirectorySnapshot {
-                newest: beliefs.log.newest(),
+                newest: state.directory_log.newest(),
                 targets: known
                     .map(|(id, value)| (id.clone(), value.clone()))
                     .collect(),
             }
         };
-        if copy.targets.is_empty() {
+        if snapshot.targets.is_empty() {
             return None;
         }
-        match cw_wire::encode(&copy) {
+        match cw_wire::encode(&snapshot) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
-                warn!("what is known of the targets cannot be written: {error}");
+                warn!("failed to encode the known targets: {error}");
                 None
             }
         }
--- a/crates/cyclamenwharf/src/forward/peer_exchange.rs
+++ b/crates/cyclamenwharf/src/forward/peer_exchange.rs
@@ -1,6 +1,7 @@
-//! Tells the other entries what this one has at the targets, and hears what they have.
+//! Exchanges load and directory changes with the other entries.
 //!
-//! Datagrams suit it: each message replaces the last one, and a lost one is made up for by the next.
+//! Datagrams suffice: each message replaces the previous one, and the next message makes up for a
+//! lost one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,26 +18,27 @@
 use log::info;
 use tokio::net::UdpSocket;
 
-use super::directory::apply;
-use super::shared::Beliefs;
+use super::directory_sync::apply_directory_change;
+use super::shared::ForwardState;
 use super::shared::Shared;
 
-/// The longest time between two messages; a new prompt is told at once.
-const PERIOD: Duration = Duration::from_millis(200);
+/// The longest time between two messages. A new prompt triggers a message at once.
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How much longer the time is for each other entry, so that the work grows with their number only.
-const PERIOD_STEP: Duration = Duration::from_millis(10);
+/// The addition to the longest time for each other entry, so that the total work grows only
+/// linearly with the number of entries.
+const INTERVAL_PER_ENTRY: Duration = Duration::from_millis(10);
 
 /// The shortest time between two messages.
-const NEWS_PERIOD: Duration = Duration::from_millis(5);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The most targets that one message names: it must fit into one datagram.
-const SHARES_MAX: usize = 1000;
+/// The maximum number of targets in a message, which must fit into one datagram.
+const MAX_SHARES: usize = 1000;
 
-/// The longest datagram.
-const DATAGRAM_MAX: usize = 64 << 10;
+/// The maximum size of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Tells and hears.
+/// Sends messages to the other entries and receives theirs.
 pub(super) struct PeerExchange {
     pub(super) shared: Arc<Shared>,
     pub(super) socket: Arc<UdpSocket>,
@@ -44,126 +46,129 @@
 }
 
 impl PeerExchange {
-    /// Tells the other entries, until it is dropped.
-    pub(super) async fn tell(self) {
+    /// Sends messages to the other entries until the future is dropped.
+    pub(super) async fn run_sender(self) {
         let mut sequence = 0;
-        let mut told = Time::default();
+        let mut last_sent = Time::default();
         loop {
-            let entries = self.shared.entries();
+            let entries = self.shared.other_entries();
             let count = u32::try_from(entries.len()).unwrap_or(u32::MAX);
-            tokio::time::sleep(NEWS_PERIOD).await;
-            // Those that watch the directory must not be taken for dead, however many there are.
+            tokio::time::sleep(MIN_SEND_INTERVAL).await;
+            // Watchers keep the short interval for any number of entries, so that none of them is
+            // taken for failed.
             let now = self.shared.now();
-            let period = match self.shared.beliefs().fleet.is_watcher(now) {
-                true => PERIOD,
-                false => PERIOD + PERIOD_STEP.saturating_mul(count),
+            let interval = match self.shared.state().fleet.is_watcher(now) {
+                true => MAX_SEND_INTERVAL,
+                false => MAX_SEND_INTERVAL + INTERVAL_PER_ENTRY.saturating_mul(count),
             };
-            // Both ways on: there is news, or the others must hear that this entry lives.
-            let _ = tokio::time::timeout(period, self.shared.news.notified()).await;
+            // A timeout continues as well: the other entries must learn that this one is alive.
+            let _ = tokio::time::timeout(interval, self.shared.peer_update.notified()).await;
             if entries.is_empty() {
                 continue;
             }
             sequence += 1;
             let now = self.shared.now();
-            let message = self.message(now, sequence, told);
-            told = now;
+            let message = self.build_message(now, sequence, last_sent);
+            last_sent = now;
             match encode(&message) {
                 Ok(bytes) => self.send(&bytes, entries.into_values()).await,
-                Err(error) => info!("a message to the other entries cannot be written: {error}"),
+                Err(error) => info!("failed to encode a message to the other entries: {error}"),
             }
         }
     }
 
-    fn message(&self, now: Time, sequence: u64, told: Time) -> OutstandingWork {
-        let mut beliefs = self.shared.beliefs();
-        let beliefs = &mut *beliefs;
-        let config = beliefs.version();
-        let directory = match beliefs.fleet.is_watcher(now) {
-            true => Some(beliefs.log.news(now, &beliefs.fleet, config)),
+    fn build_message(&self, now: Time, sequence: u64, last_sent: Time) -> OutstandingWork {
+        let mut state = self.shared.state();
+        let state = &mut *state;
+        let config = state.config_version();
+        let directory = match state.fleet.is_watcher(now) {
+            true => Some(state.directory_log.news(now, &state.fleet, config)),
             false => None,
         };
-        let mut shares = beliefs.fleet.shares();
-        shares.truncate(SHARES_MAX);
+        let mut shares = state.fleet.shares();
+        shares.truncate(MAX_SHARES);
         OutstandingWork {
             host: self.shared.settings.host.clone(),
             incarnation: self.incarnation,
             sequence,
             shares,
             directory,
-            prompts: beliefs.own_prompts.recorded_since(told),
-            lost: beliefs.fleet.lost_since(told),
+            prompts: state.own_prompts.recorded_since(last_sent),
+            lost: state.fleet.lost_since(last_sent),
         }
     }
 
     async fn send(&self, bytes: &[u8], peers: impl Iterator<Item = SocketAddr>) {
         for peer in peers {
             if let Err(error) = self.socket.send_to(bytes, peer).await {
-                debug!(peer = peer.to_string(); "an entry cannot be told: {error}");
+                debug!(peer = peer.to_string(); "failed to send a message to an entry: {error}");
             }
         }
     }
 
-    /// Hears the other entries, until it is dropped.
-    pub(super) async fn hear(self) {
-        let mut buffer = vec![0; DATAGRAM_MAX];
+    /// Receives messages of the other entries until the future is dropped.
+    pub(super) async fn run_receiver(self) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let (length, from) = match self.socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
-                    // A peer without a listener makes the next read fail; that is no fault here.
-                    debug!("no message: {error}");
+                    // If a peer has no listener, the next read fails, which is no error of this
+                    // entry.
+                    debug!("failed to receive a message: {error}");
                     continue;
                 }
             };
             match decode::<OutstandingWork>(&buffer[..length]) {
-                Ok(message) => self.take(&message, from),
-                Err(error) => info!("a message of another entry cannot be read: {error}"),
+                Ok(message) => self.receive(&message, from),
+                Err(error) => info!("received an invalid message from another entry: {error}"),
             }
         }
     }
 
-    /// Takes in what an entry that watches the directory tells.
-    fn hear_news(&self, now: Time, beliefs: &mut Beliefs, news: &DirectoryUpdate) {
-        beliefs.told = beliefs.told.max(news.config);
-        let is_watcher = beliefs.fleet.is_watcher(now);
-        let is_up = beliefs.fleet.is_directory_up();
-        // An entry that the directory turns away knows nothing; one that watches it knows better.
-        if !news.up || (is_watcher && is_up) {
+    /// Applies the directory changes that a watcher sends.
+    fn receive_directory(&self, now: Time, state: &mut ForwardState, update: &DirectoryUpdate) {
+        state.peer_config_version = state.peer_config_version.max(update.config);
+        let is_watcher = state.fleet.is_watcher(now);
+        let is_up = state.fleet.is_directory_up();
+        // An entry that cannot reach the directory has no valid data, and a watcher that can reach
+        // it has newer data of its own.
+        if !update.up || (is_watcher && is_up) {
             return;
         }
         if !is_watcher {
-            beliefs.fleet.directory_answered(now);
+            state.fleet.directory_answered(now);
         }
-        match beliefs.log.receive(news) {
+        match state.directory_log.receive(update) {
             NewsStep::Nothing => {}
-            NewsStep::Reread => self.shared.heard.notify_waiters(),
+            NewsStep::Reread => self.shared.directory_behind.notify_waiters(),
             NewsStep::Apply(changes) => {
                 for change in &changes {
-                    apply(&self.shared, now, beliefs, change, news.trusted);
+                    apply_directory_change(&self.shared, now, state, change, update.trusted);
                 }
             }
         }
-        if news.config > beliefs.version() {
-            self.shared.heard.notify_waiters();
+        if update.config > state.config_version() {
+            self.shared.directory_behind.notify_waiters();
         }
     }
 
-    fn take(&self, message: &OutstandingWork, from: SocketAddr) {
+    fn receive(&self, message: &OutstandingWork, from: SocketAddr) {
         let now = self.shared.now();
-        let mut beliefs = self.shared.beliefs();
-        beliefs.roster.record_message(now, &message.host, from);
-        let before = beliefs.fleet.peers();
-        if beliefs.fleet.receive_peer(now, message) {
-            if let Some(news) = &message.directory {
-                self.hear_news(now, &mut beliefs, news);
+        let mut state = self.shared.state();
+        state.roster.record_message(now, &message.host, from);
+        let before = state.fleet.peers();
+        if state.fleet.receive_peer(now, message) {
+            if let Some(update) = &message.directory {
+                self.receive_directory(now, &mut state, update);
             }
             for prompt in &message.prompts {
-                beliefs.heard_prompts.record(now, *prompt);
+                state.peer_prompts.record(now, *prompt);
             }
         }
-        if beliefs.fleet.peers() > before {
-            self.shared.recount(now, &mut beliefs);
-            info!(entry = message.host.as_str(); "another entry is heard");
+        if state.fleet.peers() > before {
+            self.shared.update_entries(now, &mut state);
+            info!(entry = message.host.as_str(); "received the first message from another entry");
         }
     }
 }
--- /dev/null
+++ b/crates/cyclamenwharf/src/forward/placement_choice.rs
@@ -0,0 +1,155 @@
+//! Selects the next target of a request.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use cw_policy::forward::Need;
+use cw_policy::forward::Placement;
+use cw_policy::forward::Resume;
+use cw_policy::forward::RunCopy;
+use cw_policy::forward::StartEstimate;
+use cw_types::TargetId;
+use cw_types::Time;
+use cw_wire::TargetHash;
+use log::info;
+
+use super::exchange_driver::ExchangeDriver;
+use super::exchange_driver::millis;
+use super::shared::ForwardState;
+
+/// The result of the selection.
+pub(super) enum PlacementChoice {
+    /// Send to this target. The flag says whether it resumes from a copy there.
+    Send(Placement, bool),
+    /// No target is available.
+    NoTarget,
+    /// No target can start the request in time. One can after this delay.
+    Crowded(Duration),
+}
+
+impl ExchangeDriver {
+    /// Selects the target of the next send.
+    pub(super) fn place(&self, now: Time, resume: &Resume) -> PlacementChoice {
+        let shared = Arc::clone(&self.shared);
+        let mut state = shared.state();
+        let state = &mut *state;
+        let need = self.need(now, state);
+        if let Some(copy) = &resume.copy
+            && !state.fleet.may_have_copy(now, copy)
+        {
+            info!(
+                request = self.request.head.id.as_str(),
+                target_id = copy.keeper.as_str(),
+                usability:? = state.fleet.usability(now, &copy.keeper);
+                "the engine with the copy of a run is not usable"
+            );
+        }
+        let usable_copy = resume
+            .copy
+            .as_ref()
+            .filter(|copy| state.fleet.may_have_copy(now, copy));
+        if let Some(RunCopy { keeper: target, .. }) = usable_copy {
+            let copy = state.fleet.keeper(now, &need, target, &mut state.rng);
+            let target = target.clone();
+            return PlacementChoice::Send(Placement { target, copy }, true);
+        }
+        let Some(placement) = state.fleet.place(now, &need, &mut state.rng) else {
+            return PlacementChoice::NoTarget;
+        };
+        self.admit(now, &need, placement, state)
+    }
+
+    /// Returns the decision for a request at the selected `placement`, which may be too busy to
+    /// start it in time. A request that was sent before, or whose caller already has the beginning
+    /// of its answer, is always sent: it was accepted, and a late answer is better than none.
+    fn admit(
+        &self,
+        now: Time,
+        need: &Need<'_>,
+        placement: Placement,
+        state: &mut ForwardState,
+    ) -> PlacementChoice {
+        let plan = self.exchange.plan();
+        let is_accepted = self.exchange.sends() > 0 || self.request.events.last().is_some();
+        if need.demand.prompt == 0 || is_accepted {
+            return PlacementChoice::Send(placement, false);
+        }
+        let ForwardState {
+            fleet,
+            run_times,
+            standing_queues,
+            ..
+        } = state;
+        match fleet.estimate_start(now, need, run_times, standing_queues, plan.objective) {
+            StartEstimate::InTime => PlacementChoice::Send(placement, false),
+            StartEstimate::Late { after, limit } => {
+                info!(
+                    request = self.request.head.id.as_str(),
+                    route = self.request.admitted.route.name.as_str(),
+                    prompt = need.demand.prompt,
+                    after_ms = millis(after),
+                    limit_ms = millis(limit),
+                    there:? = fleet.backlog(now, &placement.target, need, run_times),
+                    peers = fleet.peers();
+                    "no target can start a request in time"
+                );
+                PlacementChoice::Crowded(after.saturating_sub(limit))
+            }
+        }
+    }
+
+    /// Returns the requirements of the request on its target.
+    pub(super) fn need(&self, now: Time, state: &ForwardState) -> Need<'_> {
+        Need {
+            service: &self.request.service,
+            memory: self.request.memory,
+            demand: self.request.head.demand,
+            zone: &self.shared.settings.zone,
+            excluded: self.exchange.excluded(),
+            copy: self.request.copies && self.exchange.wants_copy(),
+            read_at: self.read_at(now, state),
+            peers: state.fleet.peers() > 0,
+        }
+    }
+
+    /// Returns the target that has already read the prompt.
+    fn read_at(&self, now: Time, state: &ForwardState) -> Option<TargetHash> {
+        let prompt = self.prompt_hash?;
+        let own = state.own_prompts.find(now, prompt);
+        own.or_else(|| state.peer_prompts.find(now, prompt))
+    }
+
+    /// Records the backlog at the selected target, and logs the inputs of the decision.
+    pub(super) fn record_send(&mut self, now: Time, placement: &Placement, resumed: bool) {
+        let shared = Arc::clone(&self.shared);
+        let state = shared.state();
+        let load = state.fleet.load(now, &placement.target);
+        let need = self.need(now, &state);
+        let reader = need.read_at;
+        let is_reader = reader == Some(TargetHash::from(&placement.target));
+        let found = (state.fleet).backlog(now, &placement.target, &need, &state.run_times);
+        self.backlog = found;
+        info!(
+            request = self.request.head.id.as_str(),
+            route = self.request.admitted.route.name.as_str(),
+            version = self.shared.metrics.version.get(),
+            target_id = placement.target.as_str(),
+            copy_at = placement.copy.as_ref().map_or("none", TargetId::as_str),
+            resumed = u64::from(resumed),
+            read_before = u64::from(reader.is_some()),
+            read_there = u64::from(is_reader),
+            after = self.request.events.last().unwrap_or_default(),
+            load:? = load,
+            found:? = self.backlog,
+            peers = state.fleet.peers();
+            "sending a request"
+        );
+    }
+
+    /// Returns the address of a target.
+    pub(super) fn address(&self, id: &TargetId) -> Option<SocketAddr> {
+        let state = self.shared.state();
+        state.fleet.listing(id).map(|listing| listing.address)
+    }
+}
--- a/crates/cyclamenwharf/src/forward/answer.rs
+++ b/crates/cyclamenwharf/src/forward/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use std::io;
 use std::pin::Pin;
@@ -16,15 +16,15 @@
 use http_body_util::Full;
 use tokio::sync::mpsc;
 
-/// A target's whole answer.
+/// A complete response of a target.
 #[derive(Clone, Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct BufferedResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     pub(super) fn into_response(self) -> Response<Body> {
         let mut response = Response::new(Body::wrap(Full::new(self.body)));
         *response.status_mut() = self.status;
@@ -33,13 +33,13 @@
     }
 }
 
-/// Asks the caller to close its connection after this answer.
-pub(super) fn close_after(response: &mut Response<Body>) {
+/// Asks the caller to close its connection after this response.
+pub(super) fn set_connection_close(response: &mut Response<Body>) {
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// The body of a stream: whole events, or an error that breaks the connection off.
+/// The body of a stream, which consists of complete events. An error aborts the connection.
 pub(super) struct EventBody {
     events: mpsc::Receiver<Result<Bytes, io::Error>>,
 }
--- /dev/null
+++ b/crates/cyclamenwharf/src/forward/send_outcome.rs
@@ -0,0 +1,53 @@
+//! The outcome of one send of a request.
+
+use bytes::Bytes;
+use cw_policy::forward::ExchangeEvent;
+use hyper::body::Incoming;
+
+use super::guards::CopyGuard;
+use super::guards::RequestGuard;
+use super::response::BufferedResponse;
+use super::target_connection::TargetConnection;
+
+/// The outcome of one send of a request.
+pub(super) enum SendOutcome {
+    /// There is nothing to pass on.
+    Event(ExchangeEvent),
+    /// The complete error response of the target.
+    ErrorResponse(BufferedResponse),
+    /// The complete response.
+    Response(BufferedResponse),
+    /// The end of a stream of which the caller already has all events.
+    StreamEnd(BufferedResponse),
+    /// A stream that has begun.
+    Stream(Box<TargetStream>),
+}
+
+/// A stream from one target.
+pub(super) struct TargetStream {
+    /// The status and headers of the response. The body is in the other fields.
+    pub(super) head: BufferedResponse,
+    /// The first events.
+    pub(super) first: Bytes,
+    /// The remaining body.
+    pub(super) body: Incoming,
+    /// Whether the connection can be reused after the stream.
+    pub(super) reuse: Reuse,
+    pub(super) active: ActiveSend,
+}
+
+/// Whether a connection can carry another request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Reuse {
+    /// The target closes the connection.
+    No,
+    /// The target keeps an idle connection for this time, `None` if it states no time.
+    Idle(Option<std::time::Duration>),
+}
+
+/// The resources of a request at its target. Dropping them cancels the request.
+pub(super) struct ActiveSend {
+    pub(super) connection: TargetConnection,
+    pub(super) guard: RequestGuard,
+    pub(super) _copy_guard: Option<CopyGuard>,
+}
--- a/crates/cyclamenwharf/src/forward/sending.rs
+++ b/crates/cyclamenwharf/src/forward/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a request: to which target, and what came back.
+//! Performs one send of a request, from the choice of the target to the outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,196 +23,212 @@
 use hyper::body::Incoming;
 use log::info;
 
-use super::answer::WholeAnswer;
-use super::courier::Courier;
-use super::guards::CopyPlace;
-use super::guards::Place;
-use super::link::Link;
-use super::link::LinkError;
-use super::outcome::Flow;
-use super::outcome::Outcome;
-use super::outcome::Reuse;
-use super::outcome::Run;
-use super::placing::Choice;
-use super::target_pool::Taken;
+use super::connection_pool::PooledConnection;
+use super::exchange_driver::ExchangeDriver;
+use super::guards::CopyGuard;
+use super::guards::RequestGuard;
+use super::placement_choice::PlacementChoice;
+use super::response::BufferedResponse;
+use super::send_outcome::ActiveSend;
+use super::send_outcome::Reuse;
+use super::send_outcome::SendOutcome;
+use super::send_outcome::TargetStream;
+use super::target_connection::ConnectError;
+use super::target_connection::TargetConnection;
 
-/// How often a request that waits for its first event looks whether its target is doubted: a small
-/// part of a pause that is on time.
-const DOUBT_PERIOD: Duration = Duration::from_millis(100);
+/// How often a request that waits for its first event checks whether its target is suspected. It is
+/// a small part of a normal pause.
+const SUSPICION_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// How long a target that could be reached is trusted before it is tried again: each trial makes a
+/// The delay after a successful probe of a suspected target until the next one. Each probe opens a
 /// connection, which is charged.
-const DOUBT_REST: Duration = Duration::from_millis(1000);
+const PROBE_PERIOD: Duration = Duration::from_millis(1000);
 
-/// Where a request goes, and from what it goes on.
-struct Way {
+/// The target of a send, with the copy that it resumes from and the time limit.
+struct Destination {
     placement: Placement,
     address: SocketAddr,
-    /// The copy that the target goes on from.
-    from: Option<CopyName>,
-    /// When the target is given up if it does not answer.
-    until: Option<Time>,
+    /// The copy from which the target resumes.
+    resume_from: Option<CopyName>,
+    /// The time after which the send is given up without an answer.
+    give_up_at: Option<Time>,
 }
 
-/// What follows when a connection breaks before the answer.
+/// The action after a connection breaks before the answer.
 enum AfterBreak {
-    /// The request is sent again, to the same target on a new connection.
-    Fresh,
-    /// The send has come to this.
+    /// Send the request again to the same target on a new connection.
+    Reconnect,
+    /// End the send with this event.
     End(ExchangeEvent),
 }
 
-/// An answer whose body is still to come.
-struct Start {
-    head: WholeAnswer,
+/// A response whose body has not been read.
+struct ResponseStart {
+    head: BufferedResponse,
     body: Incoming,
     reuse: Reuse,
-    run: Run,
+    active: ActiveSend,
 }
 
-impl Courier {
+impl ExchangeDriver {
     /// Sends the request once.
-    pub(super) async fn send(&mut self, resume: &Resume) -> Outcome {
+    pub(super) async fn send(&mut self, resume: &Resume) -> SendOutcome {
         let now = self.shared.now();
         let deadline = self.exchange.plan().deadline;
         if now >= deadline {
-            return Outcome::Event(ExchangeEvent::Expired);
+            return SendOutcome::Event(ExchangeEvent::Expired);
         }
         let (placement, resumed) = match self.place(now, resume) {
-            Choice::Go(placement, resumed) => (placement, resumed),
-            Choice::NoTarget => return Outcome::Event(ExchangeEvent::NoTarget),
-            Choice::Crowded(after) => {
-                self.again = Some(after);
-                return Outcome::Event(ExchangeEvent::Crowded);
+            PlacementChoice::Send(placement, resumed) => (placement, resumed),
+            PlacementChoice::NoTarget => return SendOutcome::Event(ExchangeEvent::NoTarget),
+            PlacementChoice::Crowded(after) => {
+                self.retry_after = Some(after);
+                return SendOutcome::Event(ExchangeEvent::Crowded);
             }
         };
         let Some(address) = self.address(&placement.target) else {
-            return Outcome::Event(ExchangeEvent::NoTarget);
+            return SendOutcome::Event(ExchangeEvent::NoTarget);
         };
-        self.note_send(now, &placement, resumed);
-        if let Some(prompt) = self.prompt {
+        self.record_send(now, &placement, resumed);
+        if let Some(prompt) = self.prompt_hash {
             let target = TargetHash::from(&placement.target);
-            let mut beliefs = self.shared.beliefs();
-            beliefs
+            let mut state = self.shared.state();
+            state
                 .own_prompts
                 .record(now, CachedPrompt { prompt, target });
         }
         self.exchange.send(now, placement.clone());
-        self.sent = now;
-        let reading = {
-            let beliefs = self.shared.beliefs();
-            let prompt = self.parcel.head.demand.prompt;
-            beliefs.pace.max_prompt_time(&self.parcel.service, prompt)
+        self.sent_at = now;
+        let prompt_time = {
+            let state = self.shared.state();
+            let prompt = self.request.head.demand.prompt;
+            state
+                .run_times
+                .max_prompt_time(&self.request.service, prompt)
         };
-        let from = self.copy_name(resume, address).filter(|_| resumed);
-        let way = Way {
-            until: self.exchange.start_deadline(now, resumed, reading),
+        let resume_from = self.copy_name(resume, address).filter(|_| resumed);
+        let destination = Destination {
+            give_up_at: self.exchange.start_deadline(now, resumed, prompt_time),
             placement,
             address,
-            from,
+            resume_from,
         };
-        match self.transmit(now, &way).await {
-            Ok((run, response)) => self.receive(&way, run, response).await,
-            Err(event) => Outcome::Event(event),
+        match self.transmit(now, &destination).await {
+            Ok((active, response)) => self.receive(&destination, active, response).await,
+            Err(event) => SendOutcome::Event(event),
         }
     }
 
-    /// Returns how engines call the copy that the request goes on from.
+    /// Returns the name by which engines know the copy that the request resumes from.
     fn copy_name(&self, resume: &Resume, address: SocketAddr) -> Option<CopyName> {
         let copy = resume.copy.as_ref()?;
         Some(copy.name.clone().unwrap_or_else(|| CopyName {
             address,
-            name: self.parcel.head.id.clone(),
+            name: self.request.head.id.clone(),
         }))
     }
 
-    /// Sends the request, and returns the head of the answer.
+    /// Sends the request, and returns the head of the response.
     async fn transmit(
         &self,
         now: Time,
-        way: &Way,
-    ) -> Result<(Run, Response<Incoming>), ExchangeEvent> {
-        let id = &way.placement.target;
-        let demand = self.parcel.head.demand;
-        // Taken before anything is waited for: the next choice must know of this one.
-        let place = Place::take(&self.shared, id, demand);
-        let keeper = way.placement.copy.as_ref();
-        let copy = keeper.map(|keeper| CopyPlace::take(&self.shared, keeper, demand));
-        let taken = self.shared.pool.take(now, id, way.address).await;
-        let Taken { mut link, mut used } = taken.map_err(|error| self.unreachable(id, &error))?;
+        destination: &Destination,
+    ) -> Result<(ActiveSend, Response<Incoming>), ExchangeEvent> {
+        let id = &destination.placement.target;
+        let demand = self.request.head.demand;
+        // The guard is acquired before the first await, so that the next selection counts this
+        // request.
+        let guard = RequestGuard::acquire(&self.shared, id, demand);
+        let keeper = destination.placement.copy.as_ref();
+        let copy_guard = keeper.map(|keeper| CopyGuard::acquire(&self.shared, keeper, demand));
+        let pooled = self.shared.pool.take(now, id, destination.address).await;
+        let PooledConnection {
+            mut connection,
+            mut reused,
+        } = pooled.map_err(|error| self.on_unreachable(id, &error))?;
         loop {
-            let request = self.request(now, way);
-            let error = match self.in_time(way.until, link.send(request)).await? {
+            let request = self.build_request(now, destination);
+            let error = match self
+                .in_time(destination.give_up_at, connection.send(request))
+                .await?
+            {
                 Ok(response) => {
-                    let run = Run {
-                        link,
-                        place,
-                        _copy: copy,
+                    let active = ActiveSend {
+                        connection,
+                        guard,
+                        _copy_guard: copy_guard,
                     };
-                    return Ok((run, response));
+                    return Ok((active, response));
                 }
                 Err(error) => error,
             };
             self.log_break(&error);
-            match self.after_break(&error, used) {
-                AfterBreak::Fresh => {
+            match self.after_break(&error, reused) {
+                AfterBreak::Reconnect => {
                     self.shared.pool.close(id);
-                    let fresh = Link::connect(way.address).await;
-                    link = fresh.map_err(|error| self.unreachable(id, &error))?;
-                    used = false;
+                    let reconnected = TargetConnection::connect(destination.address).await;
+                    connection = reconnected.map_err(|error| self.on_unreachable(id, &error))?;
+                    reused = false;
                 }
                 AfterBreak::End(event) => return Err(event),
             }
         }
     }
 
-    fn unreachable(&self, id: &TargetId, error: &LinkError) -> ExchangeEvent {
+    fn on_unreachable(&self, id: &TargetId, error: &ConnectError) -> ExchangeEvent {
         info!(
-            request = self.parcel.head.id.as_str(),
+            request = self.request.head.id.as_str(),
             target_id = id.as_str();
-            "a target cannot be reached: {error}"
+            "failed to connect to a target: {error}"
         );
         ExchangeEvent::NotRun(Fault::Unreachable)
     }
 
-    /// Writes down why the connection to the present target broke.
+    /// Logs why the connection to the current target broke.
     pub(super) fn log_break(&self, error: &hyper::Error) {
         let target = self.exchange.placed().map(|placed| placed.target.as_str());
         info!(
-            request = self.parcel.head.id.as_str(),
+            request = self.request.head.id.as_str(),
             target_id = target.unwrap_or("none");
-            "a connection broke: {error:?}"
+            "the connection to a target failed: {error:?}"
         );
     }
 
-    /// Returns what follows when a connection breaks before the head of the answer; `used` says
-    /// that it had carried a request before.
-    fn after_break(&self, error: &hyper::Error, used: bool) -> AfterBreak {
+    /// Returns the action after a connection breaks before the head of the response. `reused` says
+    /// whether it had carried a request before.
+    fn after_break(&self, error: &hyper::Error, reused: bool) -> AfterBreak {
         let may_repeat = self.exchange.plan().repeat != Repeat::Never;
-        match (error.is_canceled(), used) {
-            // Nothing was sent: the connection had been closed meanwhile.
-            (true, true) => AfterBreak::Fresh,
+        match (error.is_canceled(), reused) {
+            // Nothing was sent, because the connection had been closed in the meantime.
+            (true, true) => AfterBreak::Reconnect,
             (true, false) => AfterBreak::End(ExchangeEvent::NotRun(Fault::Broken)),
-            // Targets drop idle connections without a sign, so the target may well be alive.
-            (false, true) if may_repeat => AfterBreak::Fresh,
+            // Targets drop idle connections without notice, so the target may well be alive.
+            (false, true) if may_repeat => AfterBreak::Reconnect,
             (false, _) => AfterBreak::End(ExchangeEvent::Lost(Fault::Broken)),
         }
     }
 
-    /// Reads an answer: the whole of it, or the first events of a stream.
-    async fn receive(&mut self, way: &Way, run: Run, response: Response<Incoming>) -> Outcome {
-        let resumed = way.from.is_some();
+    /// Reads a response: all of it, or the first events of a stream.
+    async fn receive(
+        &mut self,
+        destination: &Destination,
+        active: ActiveSend,
+        response: Response<Incoming>,
+    ) -> SendOutcome {
+        let resumed = destination.resume_from.is_some();
         let (parts, body) = response.into_parts();
         let answer = self.shared.dialect.read_answer(&parts);
-        if let Some(event) = self.misplaced(&answer, resumed) {
-            return Outcome::Event(event);
+        if let Some(event) = self.mismatch_event(&answer, resumed) {
+            return SendOutcome::Event(event);
         }
         if let Some(load) = answer.load {
             let now = self.shared.now();
-            let mut beliefs = self.shared.beliefs();
-            beliefs.fleet.reported(now, &way.placement.target, load);
+            let mut state = self.shared.state();
+            state
+                .fleet
+                .reported(now, &destination.placement.target, load);
         }
-        let head = WholeAnswer {
+        let head = BufferedResponse {
             status: parts.status,
             headers: self.shared.dialect.to_caller(&parts.headers),
             body: Bytes::new(),
@@ -221,44 +237,54 @@
             true => Reuse::No,
             false => Reuse::Idle(answer.idle),
         };
-        let start = Start {
+        let start = ResponseStart {
             head,
             body,
             reuse,
-            run,
+            active,
         };
         if parts.status.is_success() && self.exchange.plan().streaming {
             if self.weights.is_none() {
                 self.weights = answer.weights;
             }
-            return self.first_events(start, way.until, resumed).await;
+            return self
+                .read_first_events(start, destination.give_up_at, resumed)
+                .await;
         }
-        self.whole(start, way.until).await
+        self.read_whole(start, destination.give_up_at).await
     }
 
-    fn request(&self, now: Time, way: &Way) -> Request<Full<Bytes>> {
-        let parcel = &self.parcel;
-        let copy = way.placement.copy.as_ref().and_then(|id| self.address(id));
+    fn build_request(&self, now: Time, destination: &Destination) -> Request<Full<Bytes>> {
+        let accepted = &self.request;
+        let copy = destination
+            .placement
+            .copy
+            .as_ref()
+            .and_then(|id| self.address(id));
         let send = SendHead {
-            id: &parcel.head.id,
-            target: &way.placement.target,
-            workspace: parcel.admitted.workspace.as_ref(),
+            id: &accepted.head.id,
+            target: &destination.placement.target,
+            workspace: accepted.admitted.workspace.as_ref(),
             left: now.until(self.exchange.plan().deadline),
-            priority: parcel.memory.map(|_| parcel.admitted.priority),
-            after: parcel.events.last(),
+            priority: accepted.memory.map(|_| accepted.admitted.priority),
+            after: accepted.events.last(),
             weights: self.weights,
             copy,
-            resume: way.from.as_ref(),
+            resume: destination.resume_from.as_ref(),
         };
-        let mut request = Request::new(Full::new(parcel.body.clone()));
-        *request.method_mut() = parcel.parts.method.clone();
-        *request.uri_mut() = parcel.parts.uri.clone();
-        *request.headers_mut() = self.shared.dialect.to_target(&parcel.parts.headers, &send);
+        let mut request = Request::new(Full::new(accepted.body.clone()));
+        *request.method_mut() = accepted.parts.method.clone();
+        *request.uri_mut() = accepted.parts.uri.clone();
+        *request.headers_mut() = self
+            .shared
+            .dialect
+            .to_target(&accepted.parts.headers, &send);
         request
     }
 
-    /// Returns what follows when an answer is not one to this request.
-    fn misplaced(&self, answer: &AnswerHead, resumed: bool) -> Option<ExchangeEvent> {
+    /// Returns the event for a response that does not answer this request, `None` for one that
+    /// does.
+    fn mismatch_event(&self, answer: &AnswerHead, resumed: bool) -> Option<ExchangeEvent> {
         if answer.stranger {
             return Some(ExchangeEvent::NotRun(Fault::Replaced));
         }
@@ -268,118 +294,131 @@
         if answer.refused {
             return Some(ExchangeEvent::NotRun(Fault::Full));
         }
-        let matches = answer.id.as_deref() == Some(self.parcel.head.id.as_str());
-        let own = matches && answer.own;
-        (!own).then_some(ExchangeEvent::Lost(Fault::Broken))
+        let is_same_id = answer.id.as_deref() == Some(self.request.head.id.as_str());
+        let is_own = is_same_id && answer.own;
+        (!is_own).then_some(ExchangeEvent::Lost(Fault::Broken))
     }
 
-    async fn whole(&self, start: Start, until: Option<Time>) -> Outcome {
-        let Start {
+    async fn read_whole(&self, start: ResponseStart, give_up_at: Option<Time>) -> SendOutcome {
+        let ResponseStart {
             head,
             body,
             reuse,
-            mut run,
+            mut active,
         } = start;
-        let body = match self.in_time(until, body.collect()).await {
+        let body = match self.in_time(give_up_at, body.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
                 self.log_break(&error);
-                return Outcome::Event(ExchangeEvent::Lost(Fault::Broken));
+                return SendOutcome::Event(ExchangeEvent::Lost(Fault::Broken));
             }
-            Err(event) => return Outcome::Event(event),
+            Err(event) => return SendOutcome::Event(event),
         };
-        run.place.begin();
-        self.give_back(run, reuse);
-        let answer = WholeAnswer { body, ..head };
+        active.guard.mark_begun();
+        self.release_connection(active, reuse);
+        let answer = BufferedResponse { body, ..head };
         match answer.status.is_server_error() {
-            true => Outcome::Failure(answer),
-            false => Outcome::Answer(answer),
+            true => SendOutcome::ErrorResponse(answer),
+            false => SendOutcome::Response(answer),
         }
     }
 
-    /// Keeps the connection of a request that has ended.
-    pub(super) fn give_back(&self, run: Run, reuse: Reuse) {
+    /// Returns the connection of a completed request to the pool, if the target keeps it open.
+    pub(super) fn release_connection(&self, active: ActiveSend, reuse: Reuse) {
         let Reuse::Idle(idle) = reuse else {
             return;
         };
         if let Some(placed) = self.exchange.placed() {
             let now = self.shared.now();
-            self.shared.pool.put(now, &placed.target, run.link, idle);
+            self.shared
+                .pool
+                .put(now, &placed.target, active.connection, idle);
         }
     }
 
-    async fn first_events(&mut self, start: Start, until: Option<Time>, resumed: bool) -> Outcome {
-        let Start {
+    async fn read_first_events(
+        &mut self,
+        start: ResponseStart,
+        give_up_at: Option<Time>,
+        resumed: bool,
+    ) -> SendOutcome {
+        let ResponseStart {
             head,
             mut body,
             reuse,
-            mut run,
+            mut active,
         } = start;
-        self.parcel.events.restart();
+        self.request.events.restart();
         loop {
-            let frame = match self.in_time(until, body.frame()).await {
+            let frame = match self.in_time(give_up_at, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                // There is nothing after the last event that the caller has.
-                Ok(None) if self.parcel.events.may_end() => {
-                    run.place.begin();
-                    self.give_back(run, reuse);
-                    return Outcome::Finished(head);
+                // The caller already has the last event, and nothing follows it.
+                Ok(None) if self.request.events.may_end() => {
+                    active.guard.mark_begun();
+                    self.release_connection(active, reuse);
+                    return SendOutcome::StreamEnd(head);
                 }
                 Ok(Some(Err(error))) => {
                     self.log_break(&error);
-                    return Outcome::Event(ExchangeEvent::Lost(Fault::Broken));
+                    return SendOutcome::Event(ExchangeEvent::Lost(Fault::Broken));
                 }
                 Ok(None) => {
-                    info!(request = self.parcel.head.id.as_str(); "an answer ended before an event");
-                    return Outcome::Event(ExchangeEvent::Lost(Fault::Broken));
+                    info!(
+                        request = self.request.head.id.as_str();
+                        "the response ended before its first event"
+                    );
+                    return SendOutcome::Event(ExchangeEvent::Lost(Fault::Broken));
                 }
-                Err(event) => return Outcome::Event(event),
+                Err(event) => return SendOutcome::Event(event),
             };
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            match self.parcel.events.push(&data) {
+            match self.request.events.push(&data) {
                 Ok(first) if first.is_empty() => {}
                 Ok(first) => {
                     self.exchange.begin();
-                    run.place.begin();
-                    self.note_pace(resumed);
-                    return Outcome::Stream(Box::new(Flow {
+                    active.guard.mark_begun();
+                    self.record_prompt_time(resumed);
+                    return SendOutcome::Stream(Box::new(TargetStream {
                         head,
                         first,
                         body,
                         reuse,
-                        run,
+                        active,
                     }));
                 }
-                Err(fault) => {
-                    info!(request = self.parcel.head.id.as_str(); "a stream is broken: {fault}");
-                    return Outcome::Event(ExchangeEvent::Lost(Fault::Broken));
+                Err(error) => {
+                    info!(
+                        request = self.request.head.id.as_str();
+                        "the stream contains an invalid event: {error}"
+                    );
+                    return SendOutcome::Event(ExchangeEvent::Lost(Fault::Broken));
                 }
             }
         }
     }
 
-    /// Notes how long the target took to read the whole prompt.
-    fn note_pace(&self, resumed: bool) {
-        let prompt = self.parcel.head.demand.prompt;
+    /// Records how long the target took to read the whole prompt.
+    fn record_prompt_time(&self, resumed: bool) {
+        let prompt = self.request.head.demand.prompt;
         if !resumed {
-            let time = self.shared.now().since(self.sent);
-            let mut beliefs = self.shared.beliefs();
-            let ahead = (self.found.excess == 0).then_some(self.found.unread);
-            let service = &self.parcel.service;
-            beliefs.pace.record_prompt(service, prompt, ahead, time);
+            let time = self.shared.now().since(self.sent_at);
+            let mut state = self.shared.state();
+            let ahead = (self.backlog.excess == 0).then_some(self.backlog.unread);
+            let service = &self.request.service;
+            state.run_times.record_prompt(service, prompt, ahead, time);
         }
     }
 
-    /// Waits for something, until the target is given up or the deadline has passed.
+    /// Awaits `work` until the send is given up or the deadline has passed.
     async fn in_time<T>(
         &self,
-        until: Option<Time>,
+        give_up_at: Option<Time>,
         work: impl Future<Output = T>,
     ) -> Result<T, ExchangeEvent> {
         let deadline = self.exchange.plan().deadline;
-        let until = until.map_or(deadline, |until| until.min(deadline));
+        let until = give_up_at.map_or(deadline, |give_up_at| give_up_at.min(deadline));
         let instant = self.shared.clock.instant(until);
         tokio::select! {
             biased;
@@ -390,14 +429,14 @@
                     false => ExchangeEvent::Lost(Fault::Silent),
                 })
             }
-            () = self.stopped() => Err(ExchangeEvent::Lost(Fault::Silent)),
+            () = self.confirmed_down() => Err(ExchangeEvent::Lost(Fault::Silent)),
         }
     }
 
-    /// Returns when a target that was doubted cannot be reached any more.
+    /// Completes when the target is suspected and cannot be reached.
     ///
-    /// A target may be silent for long while it reads a prompt, so silence alone says nothing then.
-    async fn stopped(&self) {
+    /// Reading a prompt can take long, so silence alone does not show that the target has failed.
+    async fn confirmed_down(&self) {
         let Some(placed) = self.exchange.placed() else {
             return std::future::pending().await;
         };
@@ -406,26 +445,26 @@
         }
         let id = &placed.target;
         loop {
-            tokio::time::sleep(DOUBT_PERIOD).await;
+            tokio::time::sleep(SUSPICION_CHECK_PERIOD).await;
             let now = self.shared.now();
-            if !self.shared.beliefs().fleet.is_suspect(now, id) {
+            if !self.shared.state().fleet.is_suspect(now, id) {
                 continue;
             }
             let Some(address) = self.address(id) else {
                 continue;
             };
-            match Link::connect(address).await {
-                Ok(link) => {
+            match TargetConnection::connect(address).await {
+                Ok(connection) => {
                     let now = self.shared.now();
-                    self.shared.beliefs().fleet.responded(now, id);
-                    self.shared.pool.put(now, id, link, None);
-                    tokio::time::sleep(DOUBT_REST).await;
+                    self.shared.state().fleet.responded(now, id);
+                    self.shared.pool.put(now, id, connection, None);
+                    tokio::time::sleep(PROBE_PERIOD).await;
                 }
                 Err(error) => {
                     info!(
-                        request = self.parcel.head.id.as_str(),
+                        request = self.request.head.id.as_str(),
                         target_id = id.as_str();
-                        "a doubted target cannot be reached: {error}"
+                        "failed to connect to a suspected target: {error}"
                     );
                     return;
                 }
--- a/crates/cyclamenwharf/src/forward/shared.rs
+++ b/crates/cyclamenwharf/src/forward/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a forwarding entry share.
+//! The context that all parts of a forwarding entry share.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,64 +32,65 @@
 use crate::Health;
 
 use super::ForwardSettings;
+use super::connection_pool::ConnectionPool;
 use super::metrics::ForwardMetrics;
-use super::target_pool::TargetPool;
 
-/// How many entries share the budgets until one of them is registered or heard, which takes a second
-/// as a rule: between those of the deployments that are known, 4 and 23.
+/// The number of entries that share the budgets until the registry has been read or another entry
+/// has sent a message, which usually takes a second. It lies between the sizes of the known
+/// deployments, 4 and 23.
 const ENTRIES_ASSUMED: u32 = 8;
 
-/// What an entry believes.
+/// The mutable state of a forwarding entry.
 #[derive(Debug)]
-pub(super) struct Beliefs {
-    /// The configuration in force.
+pub(super) struct ForwardState {
+    /// The active configuration.
     pub(super) config: Option<Arc<ForwardConfig>>,
-    /// The configuration as it was read.
-    pub(super) document: Option<Bytes>,
-    /// The targets' entries as the key-value service holds them.
+    /// The active configuration in encoded form.
+    pub(super) config_bytes: Option<Bytes>,
+    /// The records of the targets, as stored in the key-value service.
     pub(super) listings: BTreeMap<TargetId, Bytes>,
     /// The targets.
     pub(super) fleet: Fleet,
-    /// What is known of the directory's changes.
-    pub(super) log: DirectoryLog,
-    /// The newest version of the configuration that another entry has told.
-    pub(super) told: u64,
-    /// Where this entry's prompts were read.
+    /// The directory changes that this entry knows of.
+    pub(super) directory_log: DirectoryLog,
+    /// The newest configuration version that another entry has announced.
+    pub(super) peer_config_version: u64,
+    /// The targets that have read the prompts of this entry.
     pub(super) own_prompts: PromptLocations,
-    /// Where other entries' prompts were read, and those of earlier lives.
-    pub(super) heard_prompts: PromptLocations,
-    /// How long prompts take.
-    pub(super) pace: RunTimes,
-    /// Whether requests have to wait for each other.
-    pub(super) crowd: StandingQueues,
-    /// What may be sent more than once.
+    /// The targets that have read the prompts of other entries, or those from before a restart.
+    pub(super) peer_prompts: PromptLocations,
+    /// The durations of prompts and runs.
+    pub(super) run_times: RunTimes,
+    /// The share of requests that have to wait for others.
+    pub(super) standing_queues: StandingQueues,
+    /// The budgets for repeated sends.
     pub(super) budgets: ServiceBudgets,
     /// The other entries.
     pub(super) roster: Roster,
-    /// The source of chance in decisions.
+    /// The random number generator for decisions.
     pub(super) rng: SmallRng,
 }
 
-impl Beliefs {
-    /// Returns the version of the configuration in force, 0 without one.
-    pub(super) fn version(&self) -> u64 {
+impl ForwardState {
+    /// Returns the version of the active configuration, 0 without one.
+    pub(super) fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version())
     }
 }
 
-/// What the parts of a forwarding entry share.
+/// The context that all parts of a forwarding entry share.
 pub(super) struct Shared {
     pub(super) settings: ForwardSettings,
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
     pub(super) health: Health,
     pub(super) metrics: ForwardMetrics,
-    pub(super) pool: TargetPool,
-    /// Tells that the other entries should hear at once what this one has where.
-    pub(super) news: Notify,
-    /// Tells that another entry knows more of the directory.
-    pub(super) heard: Notify,
-    beliefs: Mutex<Beliefs>,
+    pub(super) pool: ConnectionPool,
+    /// Triggers a message to the other entries.
+    pub(super) peer_update: Notify,
+    /// Signals that another entry has newer directory data.
+    pub(super) directory_behind: Notify,
+    state: Mutex<ForwardState>,
 }
 
 impl Shared {
@@ -103,20 +104,20 @@
             slack: settings.budget.slack,
             window: settings.budget.window,
         };
-        let beliefs = Beliefs {
+        let state = ForwardState {
             config: None,
-            document: None,
+            config_bytes: None,
             listings: BTreeMap::new(),
             fleet: Fleet::new(FleetLimits {
                 lapse: settings.lapse,
                 ..FleetLimits::default()
             }),
-            log: DirectoryLog::default(),
-            told: 0,
+            directory_log: DirectoryLog::default(),
+            peer_config_version: 0,
             own_prompts: PromptLocations::new(PromptLocationLimits::default()),
-            heard_prompts: PromptLocations::new(PromptLocationLimits::default()),
-            pace: RunTimes::default(),
-            crowd: StandingQueues::default(),
+            peer_prompts: PromptLocations::new(PromptLocationLimits::default()),
+            run_times: RunTimes::default(),
+            standing_queues: StandingQueues::default(),
             budgets: ServiceBudgets::new(budget, ENTRIES_ASSUMED),
             roster: Roster::default(),
             rng: SmallRng::seed_from_u64(rand::random()),
@@ -127,10 +128,10 @@
             dialect,
             health: Health::default(),
             metrics,
-            pool: TargetPool::default(),
-            news: Notify::new(),
-            heard: Notify::new(),
-            beliefs: Mutex::new(beliefs),
+            pool: ConnectionPool::default(),
+            peer_update: Notify::new(),
+            directory_behind: Notify::new(),
+            state: Mutex::new(state),
         }
     }
 
@@ -138,40 +139,40 @@
         self.clock.now()
     }
 
-    pub(super) fn beliefs(&self) -> MutexGuard<'_, Beliefs> {
-        self.beliefs.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn state(&self) -> MutexGuard<'_, ForwardState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in which other entries are registered.
-    pub(super) fn set_entries(&self, registered: BTreeMap<HostId, SocketAddr>) {
+    /// Updates the list of registered entries.
+    pub(super) fn set_registered(&self, registered: BTreeMap<HostId, SocketAddr>) {
         let now = self.now();
-        let mut beliefs = self.beliefs();
-        let before = beliefs.roster.others(now);
-        beliefs.roster.set_registered(registered);
-        let others = beliefs.roster.others(now);
+        let mut state = self.state();
+        let before = state.roster.others(now);
+        state.roster.set_registered(registered);
+        let others = state.roster.others(now);
         if before != others {
-            info!(others = others.len(); "the other entries have changed");
+            info!(others = others.len(); "the list of other entries has changed");
         }
-        self.recount(now, &mut beliefs);
+        self.update_entries(now, &mut state);
     }
 
-    /// Divides among the entries that are there now what all of them share.
-    pub(super) fn recount(&self, now: Time, beliefs: &mut Beliefs) {
-        let others = beliefs.roster.others(now);
+    /// Divides the shared budgets and the preferred targets among the current entries.
+    pub(super) fn update_entries(&self, now: Time, state: &mut ForwardState) {
+        let others = state.roster.others(now);
         let count = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
-        beliefs.budgets.set_entries(count);
+        state.budgets.set_entries(count);
         self.metrics.entries.set(i64::from(count));
         let hosts = others.into_keys();
-        beliefs.fleet.set_entries(&self.settings.host, hosts);
+        state.fleet.set_entries(&self.settings.host, hosts);
     }
 
-    /// Returns the other entries, and where they hear this one.
-    pub(super) fn entries(&self) -> BTreeMap<HostId, SocketAddr> {
+    /// Returns the other entries and their addresses for messages.
+    pub(super) fn other_entries(&self) -> BTreeMap<HostId, SocketAddr> {
         let now = self.now();
-        self.beliefs().roster.others(now)
+        self.state().roster.others(now)
     }
 
     pub(super) fn config(&self) -> Option<Arc<ForwardConfig>> {
-        self.beliefs().config.clone()
+        self.state().config.clone()
     }
 }
--- a/crates/cyclamenwharf/src/forward/streaming.rs
+++ b/crates/cyclamenwharf/src/forward/streaming.rs
@@ -1,4 +1,4 @@
-//! Passes the events of a stream on, from one target after the other.
+//! Passes the events of a stream on to the caller, from one target after another.
 
 use std::io;
 use std::time::Duration;
@@ -18,61 +18,66 @@
 use log::info;
 use tokio::sync::mpsc;
 
-use super::answer::EventBody;
-use super::answer::WholeAnswer;
-use super::copying::Copying;
-use super::courier::Courier;
-use super::outcome::Flow;
-use super::outcome::Outcome;
+use super::copy_renewal::CopyRenewal;
+use super::exchange_driver::ExchangeDriver;
+use super::response::BufferedResponse;
+use super::response::EventBody;
+use super::send_outcome::SendOutcome;
+use super::send_outcome::TargetStream;
 
-/// How many writes may wait for a caller that reads slowly: some kilobytes; then its target waits.
-const EVENTS_WAITING: usize = 16;
+/// The maximum number of writes that are pending for a slow caller, some kilobytes in total. When
+/// it is reached, reading from the target pauses.
+const MAX_PENDING_WRITES: usize = 16;
 
-/// How long after its first event a run surely has a copy: engines send memory on several times a
-/// second, and a target that is leaving runs on for longer than this.
-const COPY_TIME: Duration = Duration::from_millis(1000);
+/// The time after its first event from which a run is certain to have a copy. Engines send memory
+/// to the keeper several times a second, and a target that is leaving continues its runs for longer
+/// than this.
+const COPY_READY_DELAY: Duration = Duration::from_millis(1000);
 
-type Events = mpsc::Sender<Result<Bytes, io::Error>>;
+type EventSender = mpsc::Sender<Result<Bytes, io::Error>>;
 
-/// How the part of a stream that one target sends ends.
-enum End {
-    /// It is whole.
-    Whole,
-    /// The caller has gone away.
-    Gone,
-    /// Something else happened.
+/// The end of the part of a stream that one target sends.
+enum RelayEnd {
+    /// The stream is complete.
+    Complete,
+    /// The caller has disconnected.
+    CallerGone,
+    /// The exchange decides how to continue after this event.
     Event(ExchangeEvent),
 }
 
-impl Courier {
-    /// Answers with a stream, which then goes on by itself.
-    pub(super) fn open(mut self, flow: Flow) -> Response<Body> {
-        let (events, body) = mpsc::channel(EVENTS_WAITING);
-        let WholeAnswer {
+impl ExchangeDriver {
+    /// Responds with a stream, whose body is sent by a task of its own.
+    pub(super) fn start_stream(mut self, stream: TargetStream) -> Response<Body> {
+        let (events, body) = mpsc::channel(MAX_PENDING_WRITES);
+        let BufferedResponse {
             status, headers, ..
-        } = flow.head.clone();
+        } = stream.head.clone();
         let mut response = Response::new(Body::wrap(EventBody::new(body)));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
-        // The target's length says nothing about a stream that goes on elsewhere.
+        // The length that the target states does not apply to a stream that continues at another
+        // target.
         response.headers_mut().remove(CONTENT_LENGTH);
         let age = self.shared.now().since(self.exchange.plan().arrived);
-        self.begun = Some(age);
-        self.shared.metrics.answered(&self.parcel.service, age);
-        tokio::spawn(self.stream(flow, events));
+        self.first_event_age = Some(age);
+        self.shared
+            .metrics
+            .record_answer_time(&self.request.service, age);
+        tokio::spawn(self.run_stream(stream, events));
         response
     }
 
-    async fn stream(mut self, flow: Flow, events: Events) {
+    async fn run_stream(mut self, stream: TargetStream, events: EventSender) {
         self.shared.metrics.streams.inc();
-        let outcome = self.pass_on(flow, &events).await;
+        let outcome = self.pass_on(stream, &events).await;
         self.shared.metrics.streams.dec();
         match outcome {
-            Ok(outcome) => self.ended(outcome),
+            Ok(outcome) => self.record_end(outcome),
             Err(kind) => {
-                self.ended(kind.code());
-                // The error makes the connection end without the end of the body.
-                let broken = io::Error::other("the stream broke off");
+                self.record_end(kind.code());
+                // The error closes the connection without the regular end of the body.
+                let broken = io::Error::other("the stream was aborted");
                 let _ = events.send(Err(broken)).await;
             }
         }
@@ -80,50 +85,52 @@
 
     async fn pass_on(
         &mut self,
-        mut flow: Flow,
-        events: &Events,
+        mut stream: TargetStream,
+        events: &EventSender,
     ) -> Result<&'static str, ErrorKind> {
         loop {
-            let end = self.relay(&mut flow, events).await;
+            let end = self.relay(&mut stream, events).await;
             let event = match end {
-                End::Whole => {
-                    self.note_run();
+                RelayEnd::Complete => {
+                    self.record_run();
                     self.drop_copy();
-                    self.give_back(flow.run, flow.reuse);
+                    self.release_connection(stream.active, stream.reuse);
                     return Ok("answered");
                 }
-                End::Gone => {
+                RelayEnd::CallerGone => {
                     self.drop_copy();
                     return Ok("caller_gone");
                 }
-                End::Event(event) => event,
+                RelayEnd::Event(event) => event,
             };
-            // The old target must not work on it while another one does.
-            drop(flow);
-            let lost = self.shared.now();
-            let step = self.next(event);
-            let found = tokio::select! {
-                found = self.resume(step) => found?,
+            // The previous target must stop before another one resumes the run.
+            drop(stream);
+            let lost_at = self.shared.now();
+            let step = self.next_step(event);
+            let resumed = tokio::select! {
+                resumed = self.resume(step) => resumed?,
                 () = events.closed() => return Ok("caller_gone"),
             };
-            flow = match found {
-                Some(found) => found,
+            stream = match resumed {
+                Some(resumed) => resumed,
                 None => return Ok("answered"),
             };
             let now = self.shared.now();
-            self.shared.metrics.resumed(now.since(lost));
+            self.shared.metrics.record_resumption(now.since(lost_at));
         }
     }
 
-    /// Sends the request again until its stream goes on; `None` when it has ended.
-    async fn resume(&mut self, mut step: ExchangeStep) -> Result<Option<Flow>, ErrorKind> {
+    /// Sends the request again until its stream resumes. Returns `None` if the stream has ended.
+    async fn resume(&mut self, mut step: ExchangeStep) -> Result<Option<TargetStream>, ErrorKind> {
         loop {
             step = match step {
                 ExchangeStep::Send(resume) => match self.send(&resume).await {
-                    Outcome::Stream(flow) => return Ok(Some(*flow)),
-                    Outcome::Finished(_) => return Ok(None),
-                    Outcome::Event(event) => self.next(event),
-                    Outcome::Answer(_) | Outcome::Failure(_) => self.next(ExchangeEvent::Failed),
+                    SendOutcome::Stream(stream) => return Ok(Some(*stream)),
+                    SendOutcome::StreamEnd(_) => return Ok(None),
+                    SendOutcome::Event(event) => self.next_step(event),
+                    SendOutcome::Response(_) | SendOutcome::ErrorResponse(_) => {
+                        self.next_step(ExchangeEvent::Failed)
+                    }
                 },
                 ExchangeStep::Wait(pause) => {
                     tokio::time::sleep(pause).await;
@@ -135,125 +142,132 @@
         }
     }
 
-    /// Passes on what one target sends.
-    async fn relay(&mut self, flow: &mut Flow, events: &Events) -> End {
+    /// Passes on the events that one target sends.
+    async fn relay(&mut self, stream: &mut TargetStream, events: &EventSender) -> RelayEnd {
         let deadline = self.exchange.plan().deadline;
-        let mut heard = self.shared.now();
-        self.note_pause(heard);
-        self.here = Some(heard);
-        let first = std::mem::take(&mut flow.first);
-        if !self.give(first, events).await {
-            return End::Gone;
+        let mut last_received = self.shared.now();
+        self.record_pause(last_received);
+        self.target_started_at = Some(last_received);
+        let first = std::mem::take(&mut stream.first);
+        if !self.send_events(first, events).await {
+            return RelayEnd::CallerGone;
         }
         let timer = tokio::time::sleep(Duration::ZERO);
         tokio::pin!(timer);
-        let mut copying = Copying::default();
+        let mut renewal = CopyRenewal::default();
         loop {
-            if self.should_move(heard) {
-                return End::Event(ExchangeEvent::Leaving);
+            if self.should_move(last_received) {
+                return RelayEnd::Event(ExchangeEvent::Leaving);
             }
-            if self.is_settled(heard) {
-                self.tend_copy(heard, &mut copying);
+            if self.has_run_long_enough(last_received) {
+                self.maintain_copy(last_received, &mut renewal);
             }
-            let until = self.exchange.event_deadline(heard).unwrap_or(deadline);
+            let until = self
+                .exchange
+                .event_deadline(last_received)
+                .unwrap_or(deadline);
             timer
                 .as_mut()
                 .reset(self.shared.clock.instant(until.min(deadline)));
             let frame = tokio::select! {
                 biased;
-                frame = flow.body.frame() => frame,
-                () = events.closed() => return End::Gone,
-                () = timer.as_mut() => return self.overdue(deadline),
+                frame = stream.body.frame() => frame,
+                () = events.closed() => return RelayEnd::CallerGone,
+                () = timer.as_mut() => return self.timeout_end(deadline),
             };
-            let whole = match self.events_of(frame) {
-                Ok(whole) => whole,
+            let complete = match self.complete_events(frame) {
+                Ok(complete) => complete,
                 Err(end) => return end,
             };
-            if !whole.is_empty() {
-                self.note_pause(self.shared.now());
-                if !self.give(whole, events).await {
-                    return End::Gone;
+            if !complete.is_empty() {
+                self.record_pause(self.shared.now());
+                if !self.send_events(complete, events).await {
+                    return RelayEnd::CallerGone;
                 }
             }
-            heard = self.shared.now();
+            last_received = self.shared.now();
         }
     }
 
-    /// Returns the whole events that come with a frame, or how the target's part ends.
-    fn events_of(
+    /// Returns the complete events in a frame, or the end of the target's part.
+    fn complete_events(
         &mut self,
         frame: Option<Result<Frame<Bytes>, hyper::Error>>,
-    ) -> Result<Bytes, End> {
-        let broken = || End::Event(ExchangeEvent::Lost(Fault::Broken));
+    ) -> Result<Bytes, RelayEnd> {
+        let broken = || RelayEnd::Event(ExchangeEvent::Lost(Fault::Broken));
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => {
                 self.log_break(&error);
                 return Err(broken());
             }
-            None if self.parcel.events.ends_mid_event() => {
-                info!(request = self.parcel.head.id.as_str(); "a stream ended within an event");
+            None if self.request.events.ends_mid_event() => {
+                info!(request = self.request.head.id.as_str(); "the stream ended within an event");
                 return Err(broken());
             }
-            None => return Err(End::Whole),
+            None => return Err(RelayEnd::Complete),
         };
-        // Trailers are no events.
+        // Trailers contain no events.
         let data = frame.into_data().unwrap_or_default();
-        self.parcel.events.push(&data).map_err(|fault| {
-            info!(request = self.parcel.head.id.as_str(); "a stream is broken: {fault}");
+        self.request.events.push(&data).map_err(|error| {
+            info!(
+                request = self.request.head.id.as_str();
+                "the stream contains an invalid event: {error}"
+            );
             broken()
         })
     }
 
-    /// Returns whether a copy of the run is surely where it should be by now.
-    fn is_settled(&self, now: Time) -> bool {
-        self.here.is_some_and(|since| now.since(since) >= COPY_TIME)
+    /// Returns whether the run has been long enough at its target for a copy to exist.
+    fn has_run_long_enough(&self, now: Time) -> bool {
+        self.target_started_at
+            .is_some_and(|since| now.since(since) >= COPY_READY_DELAY)
     }
 
-    /// Notes how long a run took that one target ran from its first event to its last.
-    fn note_run(&self) {
-        if let (1, Some(first)) = (self.exchange.sends(), self.here) {
+    /// Records the duration of a run, from its first event to its last, if a single target ran it.
+    fn record_run(&self) {
+        if let (1, Some(first)) = (self.exchange.sends(), self.target_started_at) {
             let time = self.shared.now().since(first);
-            let mut beliefs = self.shared.beliefs();
-            beliefs.pace.record_run(&self.parcel.service, time);
+            let mut state = self.shared.state();
+            state.run_times.record_run(&self.request.service, time);
         }
     }
 
-    /// Notes that events come at this moment.
-    fn note_pause(&mut self, now: Time) {
-        if let Some(last) = self.last_event.replace(now) {
+    /// Records the pause before the events that have just arrived.
+    fn record_pause(&mut self, now: Time) {
+        if let Some(last) = self.last_event_at.replace(now) {
             let pause = now.since(last);
-            self.pause = self.pause.max(pause);
-            self.shared.metrics.paused(pause);
+            self.longest_pause = self.longest_pause.max(pause);
+            self.shared.metrics.record_pause(pause);
         }
     }
 
-    /// Passes events on to the caller. Returns whether it is still there.
-    async fn give(&self, whole: Bytes, events: &Events) -> bool {
+    /// Passes events on to the caller. Returns whether it is still connected.
+    async fn send_events(&self, complete: Bytes, events: &EventSender) -> bool {
         self.shared.metrics.events.inc();
-        events.send(Ok(whole)).await.is_ok()
+        events.send(Ok(complete)).await.is_ok()
     }
 
-    fn overdue(&self, deadline: Time) -> End {
-        End::Event(match self.shared.now() >= deadline {
+    fn timeout_end(&self, deadline: Time) -> RelayEnd {
+        RelayEnd::Event(match self.shared.now() >= deadline {
             true => ExchangeEvent::Expired,
             false => ExchangeEvent::Lost(Fault::Silent),
         })
     }
 
-    /// Returns whether the stream should go on at the target that has a copy of the run.
+    /// Returns whether the stream should move to the target that has a copy of the run.
     ///
-    /// `heard` is when something last came from its target.
-    fn should_move(&self, heard: Time) -> bool {
+    /// `last_received` is the time of the last data from the current target.
+    fn should_move(&self, last_received: Time) -> bool {
         let Some(placed) = self.exchange.placed() else {
             return false;
         };
         let now = self.shared.now();
-        let mut beliefs = self.shared.beliefs();
-        beliefs.fleet.responded(heard, &placed.target);
+        let mut state = self.shared.state();
+        state.fleet.responded(last_received, &placed.target);
         let copy = self.exchange.copy();
-        self.is_settled(now)
-            && beliefs.fleet.is_leaving(&placed.target)
-            && copy.is_some_and(|copy| beliefs.fleet.has_copy(now, copy))
+        self.has_run_long_enough(now)
+            && state.fleet.is_leaving(&placed.target)
+            && copy.is_some_and(|copy| state.fleet.has_copy(now, copy))
     }
 }
--- a/crates/cyclamenwharf/src/forward/link.rs
+++ b/crates/cyclamenwharf/src/forward/target_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target.
+//! A connection to a target.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,62 +19,67 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// How long a connection may take to be made. Targets are milliseconds away; the rest is for a
-/// lost packet, whose first repetition comes after a second, when another target is better.
+/// The timeout for connecting. Targets are milliseconds away. A lost packet is resent only after a
+/// second, when another target is the better choice.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a quiet connection is left alone before the system asks whether the peer lives, and
-/// between two such questions. A second is the least that the system takes.
+/// The idle time before the first keepalive probe, and the interval between probes. One second is
+/// the minimum of the operating system.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How many questions may go unanswered.
+/// The number of unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// How long sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(1500);
+/// The maximum time that sent bytes may remain unacknowledged.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A connection that could not be made.
+/// A failure to connect.
 #[derive(Debug, Snafu)]
-pub(super) enum LinkError {
-    /// The target does not listen, or cannot be reached.
+pub(super) enum ConnectError {
+    /// The target does not listen or cannot be reached.
     #[snafu(display("cannot connect: {source}"))]
     Connect {
         /// The cause.
         source: io::Error,
     },
-    /// Nothing came back.
-    #[snafu(display("no connection in {CONNECT_TIMEOUT:?}"))]
+    /// The target did not answer in time.
+    #[snafu(display("no connection within {CONNECT_TIMEOUT:?}"))]
     Timeout,
-    /// The connection could not be used.
-    #[snafu(display("cannot use the connection: {source}"))]
+    /// The HTTP handshake failed.
+    #[snafu(display("HTTP handshake failed: {source}"))]
     Handshake {
         /// The cause.
         source: hyper::Error,
     },
 }
 
-/// One connection, for one request at a time. Dropping it closes it, which cancels the request.
+/// A connection for one request at a time. Dropping it closes the connection, which cancels the
+/// request.
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct TargetConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
 }
 
-impl Link {
-    /// Makes a connection.
-    pub(super) async fn connect(address: SocketAddr) -> Result<Self, LinkError> {
+impl TargetConnection {
+    /// Connects to a target.
+    pub(super) async fn connect(address: SocketAddr) -> Result<Self, ConnectError> {
         let socket = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_| LinkError::Timeout)?
+            .map_err(|_| ConnectError::Timeout)?
             .context(ConnectSnafu)?;
-        tune(&socket).context(ConnectSnafu)?;
+        set_options(&socket).context(ConnectSnafu)?;
         let (sender, connection) = http1::handshake(TokioIo::new(socket))
             .await
             .context(HandshakeSnafu)?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                // Whoever waits for an answer on it gets an error too, and decides on that.
-                debug!(target_address = address.to_string(); "a connection broke: {error}");
+                // The request that waits for an answer on this connection fails as well, and is
+                // handled there.
+                debug!(
+                    target_address = address.to_string();
+                    "the connection to a target failed: {error}"
+                );
             }
         });
         Ok(Self {
@@ -92,7 +97,8 @@
     ///
     /// # Errors
     ///
-    /// [`hyper::Error::is_canceled`] tells that nothing of it was sent.
+    /// Fails if the connection breaks. [`hyper::Error::is_canceled`] tells that no part of the
+    /// request was sent.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -101,7 +107,7 @@
     }
 }
 
-fn tune(socket: &TcpStream) -> io::Result<()> {
+fn set_options(socket: &TcpStream) -> io::Result<()> {
     socket.set_nodelay(true)?;
     let socket = SockRef::from(socket);
     let keepalive = TcpKeepalive::new()
@@ -109,5 +115,5 @@
         .with_interval(KEEPALIVE_PERIOD)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
