--- a/crates/cw_policy/src/membership/mod.rs
+++ b/crates/cw_policy/src/membership/mod.rs
@@ -1,31 +1,32 @@
-//! Which targets and entries are there, and who passes on what is known of them.
+//! The liveness of targets and entries, and the relaying of their reports.
 //!
-//! - [`Members`] judges targets by reports, batches and the host list.
-//! - [`Grid`] says which entry passes a batch on to which others.
-//! - [`Outbox`] gathers what the next batch carries.
-//! - [`Processes`] keeps what entries tell of themselves.
+//! - [`Members`] derives the liveness of targets from reports, batches and the host list.
+//! - [`Relay`] forwards the reports of agents to other entries.
+//! - [`RelayGroups`] lists the entries to which an entry sends batches.
+//! - [`Outbox`] collects the contents of the next batch.
+//! - [`Processes`] stores the states that entries send of themselves.
 
 mod demands;
-mod grid;
-mod limits;
 mod member;
 mod members;
+mod membership_limits;
 mod outbox;
 mod processes;
 mod relay;
+mod relay_groups;
 mod relays;
 
-pub use grid::Grid;
-pub use limits::MembershipLimits;
-pub use members::HostMark;
+pub use members::HostStatus;
 pub use members::Members;
-pub use members::Outcome;
+pub use members::MergeOutcome;
+pub use membership_limits::MembershipLimits;
 pub use outbox::Outbox;
 pub use processes::Processes;
 pub use relay::Relay;
-pub use relay::Sendings;
+pub use relay::RelayBatches;
 pub use relay::Urgency;
-pub use relays::RELAYS;
+pub use relay_groups::RelayGroups;
+pub use relays::RELAYS_PER_TARGET;
 pub use relays::primary_relay;
 pub use relays::relays;
 
@@ -33,7 +34,7 @@
 
 use cw_types::Time;
 
-/// Returns the moment that lies `age` before `now`.
+/// Returns the time that lies `age` before `now`, or the clock's origin if that is later.
 pub fn ago(now: Time, age: Duration) -> Time {
     let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     Time(now.0.saturating_sub(micros))
--- a/crates/cw_policy/src/fencing.rs
+++ b/crates/cw_policy/src/order_guard.rs
@@ -1,4 +1,4 @@
-//! Which orders an agent passes on to its engine.
+//! The check of orders at an agent before they are forwarded to its engine.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +6,45 @@
 use cw_wire::Order;
 use cw_wire::OrderResponse;
 
-/// How many orders of one fencing number are remembered.
-const REMEMBERED: usize = 256;
+/// The maximum number of orders of one fencing number whose answers are retained.
+const MAX_ANSWERS: usize = 256;
 
-/// What to do with an order.
+/// The decision about an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStep {
-    /// Answer, without asking the engine.
+    /// Reply without forwarding the order to the engine.
     Answer(OrderResponse),
-    /// Pass it on to the engine.
-    Pass,
+    /// Forward the order to the engine.
+    Forward,
 }
 
-/// Guards an engine from orders of a deposed planner, also one that ignores fencing numbers.
+/// Protects an engine, including one that ignores fencing numbers, from orders of a planner whose
+/// lease has been lost.
 #[derive(Clone, Debug, Default)]
 pub struct OrderGuard {
     highest: FencingNumber,
     answers: BTreeMap<u64, OrderResponse>,
-    /// The highest sequence whose answer is no longer remembered.
-    forgotten: u64,
+    /// The highest sequence number whose answer has been evicted.
+    last_evicted: u64,
 }
 
 impl OrderGuard {
-    /// Returns the highest fencing number seen.
+    /// Returns the highest fencing number observed so far.
     pub fn highest(&self) -> FencingNumber {
         self.highest
     }
 
-    /// Decides about an order; `pinned` counts the live generations of a version to unload.
+    /// Decides about an order; `pinned` is the number of running generations that use a version to
+    /// be unloaded.
     pub fn on_order(&mut self, order: &Order, pinned: u32) -> OrderStep {
         if order.fencing < self.highest {
-            return self.fenced();
+            return self.refuse_fenced();
         }
-        self.on_highest(order.fencing);
+        self.observe_fencing(order.fencing);
         if let Some(answer) = self.answers.get(&order.sequence) {
             return OrderStep::Answer(answer.clone());
         }
-        if order.sequence <= self.forgotten {
+        if order.sequence <= self.last_evicted {
             let message = "the order is older than those remembered".to_owned();
             return OrderStep::Answer(OrderResponse::Failed { message });
         }
@@ -50,43 +52,43 @@
             let generations = pinned;
             return OrderStep::Answer(OrderResponse::Pinned { generations });
         }
-        self.remember(order.sequence, OrderResponse::Begun);
-        OrderStep::Pass
+        self.retain(order.sequence, OrderResponse::Begun);
+        OrderStep::Forward
     }
 
-    /// Takes in the engine's answer to an order that was passed on.
+    /// Records the engine's answer to a forwarded order.
     pub fn on_answer(&mut self, order: &Order, answer: &OrderResponse) {
         if order.fencing != self.highest {
             return;
         }
         match answer {
-            // Nothing is known to be done, so a repeat is passed on again.
+            // The order is not known to have been carried out, so a repeat is forwarded again.
             OrderResponse::Failed { .. } => {
                 self.answers.remove(&order.sequence);
             }
-            answer => self.remember(order.sequence, answer.clone()),
+            answer => self.retain(order.sequence, answer.clone()),
         }
     }
 
-    /// Takes in a number that the engine or the planner's lease shows.
-    pub fn on_highest(&mut self, highest: FencingNumber) {
+    /// Updates the highest fencing number from the engine or the planner's lease.
+    pub fn observe_fencing(&mut self, highest: FencingNumber) {
         if highest > self.highest {
             self.highest = highest;
             self.answers.clear();
-            self.forgotten = 0;
+            self.last_evicted = 0;
         }
     }
 
-    fn fenced(&self) -> OrderStep {
+    fn refuse_fenced(&self) -> OrderStep {
         let highest = self.highest;
         OrderStep::Answer(OrderResponse::Fenced { highest })
     }
 
-    fn remember(&mut self, sequence: u64, answer: OrderResponse) {
+    fn retain(&mut self, sequence: u64, answer: OrderResponse) {
         self.answers.insert(sequence, answer);
-        while self.answers.len() > REMEMBERED {
+        while self.answers.len() > MAX_ANSWERS {
             let oldest = self.answers.pop_first();
-            self.forgotten = oldest.map_or(self.forgotten, |(sequence, _)| sequence);
+            self.last_evicted = oldest.map_or(self.last_evicted, |(sequence, _)| sequence);
         }
     }
 }
--- a/crates/cw_policy/tests/configuration.rs
+++ b/crates/cw_policy/tests/configuration.rs
@@ -1,17 +1,17 @@
-//! Acceptance of changes, and what comes into force.
+//! Acceptance of changes, and application of snapshots.
 
+use cw_policy::configuration::AcceptDecision;
 use cw_policy::configuration::Acceptance;
+use cw_policy::configuration::ActiveConfig;
 use cw_policy::configuration::Alarm;
+use cw_policy::configuration::ApplyOutcome;
 use cw_policy::configuration::Breakage;
 use cw_policy::configuration::Edit;
-use cw_policy::configuration::InForce;
 use cw_policy::configuration::Proposal;
 use cw_policy::configuration::ProposalState;
-use cw_policy::configuration::Readers;
 use cw_policy::configuration::Refusal;
+use cw_policy::configuration::SchemaSupport;
 use cw_policy::configuration::Source;
-use cw_policy::configuration::Taking;
-use cw_policy::configuration::Verdict;
 use cw_policy::configuration::accept;
 use cw_policy::configuration::apply_delta;
 use cw_policy::configuration::is_watcher;
@@ -31,11 +31,11 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Live processes that read schema versions up to this one.
-struct Reads(u32);
+/// Live processes that can read schema versions up to this one.
+struct ReadsUpTo(u32);
 
-impl Readers for Reads {
-    fn unable(&self, _kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
+impl SchemaSupport for ReadsUpTo {
+    fn unsupported_hosts(&self, _kind: RecordKind, schema: SchemaVersion) -> Vec<HostId> {
         match schema.0 > self.0 {
             true => vec![name("entry-old")],
             false => Vec::new(),
@@ -47,17 +47,17 @@
     text.parse().expect("a valid name")
 }
 
-fn operator(alone: bool) -> Operator {
+fn operator(self_approval: bool) -> Operator {
     Operator {
         keys: Vec::new(),
         role: OperatorRole::Accepter,
-        self_approval: alone,
+        self_approval,
     }
 }
 
 fn record(kind: RecordKind, name: &str, schema: u32, body: Value) -> Record {
     let Value::Object(body) = body else {
-        panic!("a body is an object");
+        panic!("the body is not an object");
     };
     Record {
         kind,
@@ -75,22 +75,27 @@
     Proposal::new(name(id), name("alice"), 1, edits, snapshot)
 }
 
-fn decide(snapshot: &Snapshot, proposal: &Proposal, accepter: &str, alone: bool) -> Verdict {
+fn decide(
+    snapshot: &Snapshot,
+    proposal: &Proposal,
+    accepter: &str,
+    self_approval: bool,
+) -> AcceptDecision {
     let accepter: Actor = name(accepter);
     let by = Acceptance {
         accepter: &accepter,
-        operator: &operator(alone),
+        operator: &operator(self_approval),
         at: 2,
-        readers: &Reads(2),
+        readers: &ReadsUpTo(2),
         in_use: &[],
     };
     accept(snapshot, proposal, &by)
 }
 
-/// Accepts edits by a second person.
+/// Returns the snapshot after a second person accepts the edits.
 fn accepted(snapshot: &Snapshot, id: &str, edits: Vec<Edit>) -> Snapshot {
     match decide(snapshot, &propose(snapshot, id, edits), "bob", false) {
-        Verdict::Write(next) => *next,
+        AcceptDecision::Write(next) => *next,
         other => panic!("expected an acceptance, found {other:?}"),
     }
 }
@@ -117,11 +122,11 @@
 }
 
 #[test]
-fn accepted_change_makes_the_next_revision_and_is_audited() {
+fn accepted_change_creates_the_next_revision_and_a_change_record() {
     let next = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
 
     assert_eq!(next.revision, Revision(1));
-    let change = next.changes.last().expect("the audit entry");
+    let change = next.changes.last().expect("a change record");
     assert_eq!(change.proposer, name("alice"));
     assert_eq!(change.accepter, name("bob"));
     assert_eq!(change.touched, [priority("p", 1).key()]);
@@ -130,13 +135,16 @@
 #[test]
 fn acceptance_is_idempotent_on_the_change_id() {
     let proposal = propose(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
-    let Verdict::Write(next) = decide(&Snapshot::default(), &proposal, "bob", false) else {
+    let AcceptDecision::Write(next) = decide(&Snapshot::default(), &proposal, "bob", false) else {
         panic!("expected an acceptance");
     };
 
     let again = decide(&next, &proposal, "bob", false);
 
-    assert_eq!(again, Verdict::Already(next.changes[0].clone()));
+    assert_eq!(
+        again,
+        AcceptDecision::AlreadyAccepted(next.changes[0].clone())
+    );
 }
 
 #[test]
@@ -147,7 +155,7 @@
 
     let verdict = decide(&next, &late, "bob", false);
 
-    let Verdict::Refused(Refusal::Conflict { key, other, .. }) = verdict else {
+    let AcceptDecision::Refused(Refusal::Conflict { key, other, .. }) = verdict else {
         panic!("expected a conflict, found {verdict:?}");
     };
     assert_eq!(key, priority("p", 1).key());
@@ -165,7 +173,7 @@
 
     assert!(matches!(
         verdict,
-        Verdict::Refused(Refusal::Conflict { .. })
+        AcceptDecision::Refused(Refusal::Conflict { .. })
     ));
 }
 
@@ -177,7 +185,7 @@
 
     let verdict = decide(&next, &other, "bob", false);
 
-    assert!(matches!(verdict, Verdict::Write(_)));
+    assert!(matches!(verdict, AcceptDecision::Write(_)));
 }
 
 #[rstest]
@@ -186,15 +194,15 @@
 #[case::same_person_who_may("alice", true, true)]
 fn accepter_is_another_person_unless_allowed(
     #[case] accepter: &str,
-    #[case] alone: bool,
+    #[case] self_approval: bool,
     #[case] allowed: bool,
 ) {
     let empty = Snapshot::default();
     let proposal = propose(&empty, "c1", vec![put(priority("p", 1))]);
 
-    let verdict = decide(&empty, &proposal, accepter, alone);
+    let verdict = decide(&empty, &proposal, accepter, self_approval);
 
-    assert_eq!(matches!(verdict, Verdict::Write(_)), allowed);
+    assert_eq!(matches!(verdict, AcceptDecision::Write(_)), allowed);
 }
 
 #[test]
@@ -205,7 +213,7 @@
 
     let verdict = decide(&empty, &proposal, "alice", false);
 
-    assert!(matches!(verdict, Verdict::Write(_)));
+    assert!(matches!(verdict, AcceptDecision::Write(_)));
 }
 
 #[test]
@@ -219,13 +227,16 @@
             ..operator(true)
         },
         at: 2,
-        readers: &Reads(2),
+        readers: &ReadsUpTo(2),
         in_use: &[],
     };
 
     let verdict = accept(&empty, &proposal, &by);
 
-    assert!(matches!(verdict, Verdict::Refused(Refusal::Role { .. })));
+    assert!(matches!(
+        verdict,
+        AcceptDecision::Refused(Refusal::Role { .. })
+    ));
 }
 
 #[test]
@@ -238,19 +249,19 @@
 
     assert_eq!(
         verdict,
-        Verdict::Refused(Refusal::Rejected { by: name("carol") })
+        AcceptDecision::Refused(Refusal::Rejected { by: name("carol") })
     );
 }
 
 #[test]
-fn schema_that_a_live_process_cannot_read_is_refused_by_name() {
+fn schema_that_a_live_process_cannot_read_is_refused_with_its_host() {
     let empty = Snapshot::default();
     let new = record(RecordKind::Workspace, "w", 3, json!({ "keys": [] }));
     let proposal = propose(&empty, "c1", vec![put(new)]);
 
     let verdict = decide(&empty, &proposal, "bob", false);
 
-    let Verdict::Refused(Refusal::Unreadable { hosts, schema, .. }) = verdict else {
+    let AcceptDecision::Refused(Refusal::Unreadable { hosts, schema, .. }) = verdict else {
         panic!("expected a refusal, found {verdict:?}");
     };
     assert_eq!(hosts, [name::<HostId>("entry-old")]);
@@ -261,13 +272,13 @@
 #[case::no_target("target/t1")]
 #[case::no_priority("priority/normal")]
 fn change_that_breaks_a_route_is_refused(#[case] removed: &str) {
-    let present = with_route();
+    let current = with_route();
     let key: RecordKey = name(removed);
-    let proposal = propose(&present, "c1", vec![Edit::Remove(key)]);
+    let proposal = propose(&current, "c1", vec![Edit::Remove(key)]);
 
-    let verdict = decide(&present, &proposal, "bob", false);
+    let verdict = decide(&current, &proposal, "bob", false);
 
-    let Verdict::Refused(Refusal::Breaks { breakages }) = verdict else {
+    let AcceptDecision::Refused(Refusal::Breaks { breakages }) = verdict else {
         panic!("expected a refusal, found {verdict:?}");
     };
     let expected = match removed {
@@ -279,87 +290,96 @@
 
 #[test]
 fn route_to_a_version_that_nothing_holds_is_refused() {
-    let present = with_route();
+    let current = with_route();
     let route = json!({
         "to": { "model": { "model": "m", "version": "v2" } },
         "priority": "normal",
     });
     let edit = put(record(RecordKind::Route, "r1", 1, route));
-    let proposal = propose(&present, "c1", vec![edit]);
+    let proposal = propose(&current, "c1", vec![edit]);
 
-    let verdict = decide(&present, &proposal, "bob", false);
+    let verdict = decide(&current, &proposal, "bob", false);
 
     let breakages = vec![Breakage::NoVersion {
         route: name("r1"),
         version: name("v2"),
     }];
-    assert_eq!(verdict, Verdict::Refused(Refusal::Breaks { breakages }));
+    assert_eq!(
+        verdict,
+        AcceptDecision::Refused(Refusal::Breaks { breakages })
+    );
 }
 
 #[test]
-fn delta_makes_the_same_snapshot() {
+fn applied_delta_gives_the_same_snapshot() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
     let two = accepted(&one, "c2", vec![put(priority("q", 1))]);
     let key = priority("p", 1).key();
     let three = accepted(&two, "c3", vec![Edit::Remove(key)]);
 
-    let delta = make_delta(&three, Revision(1)).expect("the changes reach that far");
+    let delta = make_delta(&three, Revision(1)).expect("changes back to revision 1");
 
     assert_eq!(apply_delta(&one, &delta), Ok(three.clone()));
     assert!(apply_delta(&two, &delta).is_err());
 }
 
 #[test]
-fn lower_revision_is_held_with_an_alarm_until_the_service_catches_up() {
+fn lower_revision_raises_an_alarm_until_the_service_catches_up() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
     let two = accepted(&one, "c2", vec![put(priority("q", 1))]);
-    let mut in_force = InForce::default();
-    in_force.take(Source::Store, two.clone());
+    let mut active_config = ActiveConfig::default();
+    active_config.apply(Source::Store, two.clone());
 
-    let taking = in_force.take(Source::Store, one);
+    let outcome = active_config.apply(Source::Store, one);
 
     let alarm = Alarm::Reverted {
         found: Revision(1),
         held: Revision(2),
     };
-    assert_eq!(taking, Taking::Held(alarm.clone()));
-    assert_eq!(in_force.alarm(), Some(&alarm));
-    assert_eq!(in_force.revision(), Revision(2));
-    assert_eq!(in_force.take(Source::Store, two), Taking::Same);
-    assert_eq!(in_force.alarm(), None);
+    assert_eq!(outcome, ApplyOutcome::Rejected(alarm.clone()));
+    assert_eq!(active_config.alarm(), Some(&alarm));
+    assert_eq!(active_config.revision(), Revision(2));
+    assert_eq!(
+        active_config.apply(Source::Store, two),
+        ApplyOutcome::Unchanged
+    );
+    assert_eq!(active_config.alarm(), None);
 }
 
 #[test]
-fn other_history_is_held_with_an_alarm() {
+fn diverged_history_raises_an_alarm() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 1))]);
-    let ours = accepted(&one, "ours", vec![put(priority("q", 1))]);
-    let theirs = accepted(&one, "theirs", vec![put(priority("q", 2))]);
-    let theirs = accepted(&theirs, "theirs-2", vec![put(priority("q", 3))]);
-    let mut in_force = InForce::default();
-    in_force.take(Source::Store, ours.clone());
+    let local = accepted(&one, "local", vec![put(priority("q", 1))]);
+    let diverged = accepted(&one, "diverged", vec![put(priority("q", 2))]);
+    let diverged = accepted(&diverged, "diverged-2", vec![put(priority("q", 3))]);
+    let mut active_config = ActiveConfig::default();
+    active_config.apply(Source::Store, local.clone());
 
-    let taking = in_force.take(Source::Store, theirs);
+    let outcome = active_config.apply(Source::Store, diverged);
 
-    assert!(matches!(taking, Taking::Held(Alarm::Diverged { .. })));
-    assert_eq!(**in_force.snapshot(), ours);
+    assert!(matches!(
+        outcome,
+        ApplyOutcome::Rejected(Alarm::Diverged { .. })
+    ));
+    assert_eq!(**active_config.snapshot(), local);
 }
 
 #[test]
-fn unreadable_record_is_kept_whole_and_its_last_meaning_goes_on() {
+fn unreadable_record_is_stored_and_keeps_its_previous_value() {
     let one = accepted(&Snapshot::default(), "c1", vec![put(priority("p", 7))]);
     let mut two = one.clone();
     two.revision = Revision(2);
     let newer = record(RecordKind::Priority, "p", 9, json!({ "level": "x" }));
     two.records
         .insert(newer.key(), (Revision(2), newer.clone()));
-    let mut in_force = InForce::default();
-    in_force.take(Source::Store, one);
+    let mut active_config = ActiveConfig::default();
+    active_config.apply(Source::Store, one);
 
-    let taking = in_force.take(Source::Store, two);
+    let outcome = active_config.apply(Source::Store, two);
 
-    assert!(matches!(&taking, Taking::Applied(errors) if errors.len() == 1));
-    assert_eq!(in_force.config().priorities[&name("p")].rank, 7);
-    assert_eq!(in_force.snapshot().records[&newer.key()].1, newer);
+    assert!(matches!(&outcome, ApplyOutcome::Applied(errors) if errors.len() == 1));
+    assert_eq!(active_config.config().priorities[&name("p")].rank, 7);
+    assert_eq!(active_config.snapshot().records[&newer.key()].1, newer);
 }
 
 #[test]
@@ -411,7 +431,9 @@
     };
     let snapshot = snapshot.trimmed();
 
-    let size = serde_json::to_vec(&snapshot).expect("JSON").len();
+    let size = serde_json::to_vec(&snapshot)
+        .expect("serialized JSON")
+        .len();
 
     println!("snapshot: {size} bytes, {} changes", snapshot.changes.len());
     assert_eq!(snapshot.records.len(), 1080);
@@ -419,13 +441,13 @@
 }
 
 #[test]
-fn two_watchers_a_zone_however_many_entries() {
+fn each_zone_has_two_watchers_among_many_entries() {
     let entries: Vec<_> = (0..100)
         .map(|n| cw_policy::EntryPeer {
             host: name(&format!("entry-{n}")),
             zone: name(if n % 2 == 0 { "a" } else { "b" }),
             region: name("r"),
-            peers: "127.0.0.1:1".parse().expect("an address"),
+            peer_address: "127.0.0.1:1".parse().expect("an address"),
         })
         .collect();
 
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -163,7 +163,7 @@
         host: settings.host.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        peers: addresses.peers,
+        peer_address: addresses.peers,
     };
     keep_planner(parts, &services, &sender, &shared.view);
     keep_core(parts, receiver, move |seed, health| CoreParts {
@@ -256,7 +256,7 @@
     parts: &ControlParts,
     receiver: mpsc::Receiver<Event>,
     core_parts: impl Fn(
-        Arc<ArcSwap<cw_policy::configuration::InForce>>,
+        Arc<ArcSwap<cw_policy::configuration::ActiveConfig>>,
         Arc<crate::Health>,
     ) -> CoreParts
     + Send
