--- a/crates/cyclamenwharf/src/entry/format.rs
+++ b/crates/cyclamenwharf/src/entry/answer_format.rs
@@ -1,4 +1,4 @@
-//! The JSON of answers to generations.
+//! The JSON of answers to completion requests.
 
 use cw_types::AdapterName;
 use cw_types::AttemptId;
@@ -8,32 +8,32 @@
 use cw_wire::FinishReason;
 use serde::Serialize;
 
-use super::completion::Form;
+use super::completion_request::Endpoint;
 use super::event_id::EventId;
-use super::output::Piece;
+use super::output::TokenChunk;
 
-/// How the answers to one generation are written.
+/// Formats the answer or the events of one generation.
 #[derive(Clone, Debug)]
-pub(crate) struct Format {
-    /// The generation.
+pub(crate) struct AnswerFormat {
+    /// The generation's id.
     pub(crate) generation: GenerationId,
-    /// The id of the answer.
+    /// The `id` of the answer.
     pub(crate) id: String,
-    /// The version that it is pinned to.
+    /// The model version that the generation is pinned to.
     pub(crate) version: VersionName,
-    /// The adapter that it is pinned to.
+    /// The adapter that the generation is pinned to.
     pub(crate) adapter: Option<AdapterName>,
-    /// The model, as the caller named it.
+    /// The model name from the caller's request.
     pub(crate) model: String,
-    /// When it was accepted, in seconds since the Unix epoch.
+    /// When the request was accepted, in seconds since the Unix epoch.
     pub(crate) created: i64,
-    /// Whether token ids are written.
-    pub(crate) ids: bool,
-    /// The form of the answer.
-    pub(crate) form: Form,
+    /// Whether the answer includes token ids.
+    pub(crate) token_ids: bool,
+    /// The endpoint, which decides the JSON of the answer.
+    pub(crate) endpoint: Endpoint,
 }
 
-/// An answer, whole or one event of it.
+/// The JSON of a full answer or of one streamed event.
 #[derive(Debug, Serialize)]
 pub(crate) struct Answer<'a> {
     id: &'a str,
@@ -82,39 +82,39 @@
     completion_tokens: u64,
 }
 
-/// Who speaks in the output of a chat.
-const ROLE: &str = "assistant";
+/// The role of the output messages of a chat.
+const CHAT_ROLE: &str = "assistant";
 
-impl Format {
-    /// Returns the id of the event that carries `piece`.
-    pub(crate) fn event_id(&self, piece: &Piece) -> EventId {
+impl AnswerFormat {
+    /// Returns the id of the event that carries `chunk`.
+    pub(crate) fn event_id(&self, chunk: &TokenChunk) -> EventId {
         EventId {
             attempt: AttemptId {
                 generation: self.generation,
-                attempt: piece.attempt,
+                attempt: chunk.attempt,
             },
-            next: piece.first.plus(piece.tokens.len()),
-            target: piece.target.clone(),
+            next: chunk.first.plus(chunk.tokens.len()),
+            target: chunk.target.clone(),
             version: self.version.clone(),
             adapter: self.adapter.clone(),
         }
     }
 
-    /// Returns the event for some tokens.
-    pub(crate) fn piece(&self, piece: &Piece) -> Answer<'_> {
-        let text = piece.tokens.iter().map(|t| t.text.as_str()).collect();
-        let ids = || piece.tokens.iter().map(|token| token.id).collect();
-        let role = (piece.first.0 == 0).then_some(ROLE);
-        self.event(self.delta(role, text), self.ids.then(ids), None)
+    /// Returns the event that carries `chunk`.
+    pub(crate) fn chunk_event(&self, chunk: &TokenChunk) -> Answer<'_> {
+        let text = chunk.tokens.iter().map(|t| t.text.as_str()).collect();
+        let ids = || chunk.tokens.iter().map(|token| token.id).collect();
+        let role = (chunk.first.0 == 0).then_some(CHAT_ROLE);
+        self.event(self.delta(role, text), self.token_ids.then(ids), None)
     }
 
-    /// Returns the event that ends a whole output.
-    pub(crate) fn finish(&self, finish: FinishReason) -> Answer<'_> {
+    /// Returns the last event of a complete output.
+    pub(crate) fn finish_event(&self, finish: FinishReason) -> Answer<'_> {
         self.event(self.delta(None, String::new()), None, Some(finish))
     }
 
-    /// Returns the answer that is not streamed.
-    pub(crate) fn whole(
+    /// Returns the full answer to a request that is not streamed.
+    pub(crate) fn full_answer(
         &self,
         text: String,
         ids: Vec<TokenId>,
@@ -123,26 +123,26 @@
         let usage = Usage {
             completion_tokens: ids.len() as u64,
         };
-        let content = match self.form {
-            Form::Text => Content::Text(text),
-            Form::Chat => Content::Message(ChatMessage {
-                role: ROLE,
+        let content = match self.endpoint {
+            Endpoint::Completions => Content::Text(text),
+            Endpoint::Chat => Content::Message(ChatMessage {
+                role: CHAT_ROLE,
                 content: text,
             }),
         };
-        let mut answer = self.event(content, self.ids.then_some(ids), Some(finish));
+        let mut answer = self.event(content, self.token_ids.then_some(ids), Some(finish));
         answer.usage = Some(usage);
-        answer.object = match self.form {
-            Form::Text => "text_completion",
-            Form::Chat => "chat.completion",
+        answer.object = match self.endpoint {
+            Endpoint::Completions => "text_completion",
+            Endpoint::Chat => "chat.completion",
         };
         answer
     }
 
     fn delta(&self, role: Option<&'static str>, content: String) -> Content {
-        match self.form {
-            Form::Text => Content::Text(content),
-            Form::Chat => Content::Delta(Delta { role, content }),
+        match self.endpoint {
+            Endpoint::Completions => Content::Text(content),
+            Endpoint::Chat => Content::Delta(Delta { role, content }),
         }
     }
 
@@ -152,9 +152,9 @@
         token_ids: Option<Vec<TokenId>>,
         finish_reason: Option<FinishReason>,
     ) -> Answer<'_> {
-        let object = match self.form {
-            Form::Text => "text_completion",
-            Form::Chat => "chat.completion.chunk",
+        let object = match self.endpoint {
+            Endpoint::Completions => "text_completion",
+            Endpoint::Chat => "chat.completion.chunk",
         };
         let choice = Choice {
             index: 0,
--- a/crates/cyclamenwharf/src/entry/api.rs
+++ b/crates/cyclamenwharf/src/entry/api.rs
@@ -1,4 +1,4 @@
-//! The callers' interface.
+//! The HTTP API for callers.
 
 use std::sync::Arc;
 
@@ -11,32 +11,35 @@
 
 use crate::stream_server::Handler;
 
-use super::calls;
-use super::completion::Form;
-use super::frontend::Frontend;
+use super::api_error::ApiError;
+use super::completion_request::Endpoint;
+use super::completions;
+use super::entry_context::EntryContext;
 use super::models;
-use super::refusal::Refusal;
 use super::service;
 
-/// What comes before a service's name in a path.
-const SERVICES: &str = "/v1/services/";
+/// The path prefix in context of the name of a plain service.
+const SERVICE_PREFIX: &str = "/v1/services/";
 
-/// Answers callers.
+/// Routes callers' HTTP requests to their endpoints.
 pub(crate) struct CallerApi {
-    /// What all requests share.
-    pub(crate) front: Arc<Frontend>,
+    /// The state that all requests of the entry share.
+    pub(crate) context: Arc<EntryContext>,
 }
 
 impl Handler for CallerApi {
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>> {
         Box::pin(async move {
-            let answer = route(&self.front, request).await;
-            answer.unwrap_or_else(Refusal::into_response)
+            let answer = route(&self.context, request).await;
+            answer.unwrap_or_else(ApiError::into_response)
         })
     }
 }
 
-async fn route(front: &Arc<Frontend>, request: Request<Body>) -> Result<Response<Body>, Refusal> {
+async fn route(
+    context: &Arc<EntryContext>,
+    request: Request<Body>,
+) -> Result<Response<Body>, ApiError> {
     let path = request.uri().path().to_owned();
     let expected = match path.as_str() {
         "/v1/completions" | "/v1/chat/completions" => Method::POST,
@@ -45,22 +48,22 @@
     };
     if *request.method() != expected {
         let detail = format!("{path} is called with {expected}");
-        return Err(Refusal::bad_request(detail));
+        return Err(ApiError::bad_request(detail));
     }
     match path.as_str() {
-        "/v1/completions" => calls::generate(front, request, Form::Text).await,
-        "/v1/chat/completions" => calls::generate(front, request, Form::Chat).await,
-        "/v1/models" => models::list(front, request.headers()),
-        path => match service_of(path) {
-            Some(name) => service::call(front, name, request).await,
-            None => Err(Refusal::new(ErrorKind::UnknownModel)),
+        "/v1/completions" => completions::generate(context, request, Endpoint::Completions).await,
+        "/v1/chat/completions" => completions::generate(context, request, Endpoint::Chat).await,
+        "/v1/models" => models::list(context, request.headers()),
+        path => match service_name(path) {
+            Some(name) => service::call(context, name, request).await,
+            None => Err(ApiError::new(ErrorKind::UnknownModel)),
         },
     }
 }
 
-/// Returns the name of the service that a path is below.
-fn service_of(path: &str) -> Option<&str> {
-    let rest = path.strip_prefix(SERVICES)?;
+/// Returns the name of the plain service in a path, or `None` for any other path.
+fn service_name(path: &str) -> Option<&str> {
+    let rest = path.strip_prefix(SERVICE_PREFIX)?;
     let name = rest.split('/').next()?;
     (!name.is_empty()).then_some(name)
 }
--- a/crates/cyclamenwharf/src/entry/refusal.rs
+++ b/crates/cyclamenwharf/src/entry/api_error.rs
@@ -1,4 +1,4 @@
-//! Answers that say why there is no whole answer.
+//! Error responses of the callers' API.
 
 use std::time::Duration;
 
@@ -13,52 +13,52 @@
 use http::header::RETRY_AFTER;
 use serde::Serialize;
 
-/// Why a caller gets no whole answer.
+/// An error that the caller gets instead of a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Refusal {
-    /// The kind.
+pub(crate) struct ApiError {
+    /// The kind, which decides the HTTP status and the code.
     pub(crate) kind: ErrorKind,
     /// Whether the request was run.
     pub(crate) ran: Ran,
-    /// What a person reads.
+    /// The message for people.
     pub(crate) message: String,
-    /// When it is worth calling again.
+    /// The delay after which the caller may retry.
     pub(crate) retry: Duration,
 }
 
-/// The body of a refusal.
+/// The JSON body of an error response.
 #[derive(Serialize)]
-struct RefusalBody<'a> {
-    error: RefusalError<'a>,
+struct ErrorBody<'a> {
+    error: ErrorDetail<'a>,
 }
 
 #[derive(Serialize)]
-struct RefusalError<'a> {
+struct ErrorDetail<'a> {
     code: &'static str,
     message: &'a str,
     ran: Ran,
     retryable: bool,
 }
 
-/// What `Retry-After` says when nothing says better.
-const RETRY_DEFAULT: Duration = Duration::from_secs(1);
+/// The default of the `Retry-After` header.
+const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
-impl Refusal {
-    /// Returns a refusal with the table's message.
+impl ApiError {
+    /// Creates an error with the standard message of its kind.
     pub(crate) fn new(kind: ErrorKind) -> Self {
         Self {
             kind,
             ran: kind.ran(),
             message: kind.message().to_owned(),
-            retry: RETRY_DEFAULT,
+            retry: DEFAULT_RETRY,
         }
     }
 
-    /// Returns a refusal of a malformed request, with what is wrong with it.
+    /// Creates an error for a malformed request; `detail` says what is wrong with the request.
     pub(crate) fn bad_request(detail: impl std::fmt::Display) -> Self {
-        let mut refusal = Self::new(ErrorKind::BadRequest);
-        refusal.message = format!("{}: {detail}", refusal.message);
-        refusal
+        let mut error = Self::new(ErrorKind::BadRequest);
+        error.message = format!("{}: {detail}", error.message);
+        error
     }
 
     /// Sets whether the request was run.
@@ -68,17 +68,17 @@
         self
     }
 
-    /// Sets when it is worth calling again.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
     pub(crate) fn with_retry(mut self, retry: Duration) -> Self {
         self.retry = retry;
         self
     }
 
-    /// Returns the body, as JSON.
+    /// Returns the JSON body.
     pub(crate) fn json(&self) -> String {
-        let body = RefusalBody {
-            error: RefusalError {
+        let body = ErrorBody {
+            error: ErrorDetail {
                 code: self.kind.code(),
                 message: &self.message,
                 ran: self.ran,
@@ -88,7 +88,7 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// Returns the whole answer.
+    /// Returns the HTTP response, with `Retry-After` in whole seconds if the error is retryable.
     pub(crate) fn into_response(self) -> Response<Body> {
         let mut response = json_response(self.json().into());
         let status = StatusCode::from_u16(self.kind.status());
@@ -104,7 +104,7 @@
     }
 }
 
-/// Returns an answer with a JSON body.
+/// Returns an HTTP response with a JSON body.
 pub(crate) fn json_response(body: Bytes) -> Response<Body> {
     let mut response = Response::new(Body::wrap(http_body_util::Full::new(body)));
     response
--- a/crates/cyclamenwharf/src/entry/attempts.rs
+++ b/crates/cyclamenwharf/src/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one generation: where they were sent, and what their targets said.
+//! The attempts of one generation: where each was sent, and how its target responded.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,25 +15,25 @@
 use cw_wire::NotRunReason;
 use cw_wire::Stamp;
 
-use super::frontend::Frontend;
+use super::entry_context::EntryContext;
 use super::job::Job;
-use super::sent::Sent;
+use super::sent_attempt::SentAttempt;
 
 /// The attempts of one generation.
 pub(crate) struct Attempts {
-    front: Arc<Frontend>,
+    context: Arc<EntryContext>,
     job: Arc<Job>,
     request: RouteRequest,
-    sent: BTreeMap<AttemptNo, Sent>,
+    sent: BTreeMap<AttemptNo, SentAttempt>,
     links: BTreeMap<LinkId, AttemptNo>,
     suspects: BTreeSet<AttemptNo>,
 }
 
 impl Attempts {
-    /// Returns the attempts of `job`: none yet.
-    pub(crate) fn new(front: Arc<Frontend>, job: Arc<Job>, request: RouteRequest) -> Self {
+    /// Returns an empty set of attempts for `job`.
+    pub(crate) fn new(context: Arc<EntryContext>, job: Arc<Job>, request: RouteRequest) -> Self {
         Self {
-            front,
+            context,
             job,
             request,
             sent: BTreeMap::new(),
@@ -42,62 +42,65 @@
         }
     }
 
-    /// Returns where an attempt was sent.
-    pub(crate) fn get(&self, attempt: AttemptNo) -> Option<&Sent> {
+    /// Returns where an attempt was sent, if it is still on its target.
+    pub(crate) fn get(&self, attempt: AttemptNo) -> Option<&SentAttempt> {
         self.sent.get(&attempt)
     }
 
-    /// Records that an attempt goes to a target, and returns where that is.
+    /// Records that an attempt is sent to `target`, and returns where it is sent.
     ///
-    /// The stamp is that of the newest report, and the attempt keeps it.
-    pub(crate) fn send(
+    /// The attempt keeps the stamp of the target's newest report. Returns `None` when the view has
+    /// no such target.
+    pub(crate) fn record_dispatch(
         &mut self,
         now: Time,
         link: LinkId,
         attempt: AttemptNo,
         target: &TargetId,
-    ) -> Option<Sent> {
+    ) -> Option<SentAttempt> {
         let sent = self.locate(now, attempt, target)?;
-        self.front.router.sent(now, target, &self.request);
+        self.context
+            .router
+            .record_dispatch(now, target, &self.request);
         self.sent.insert(attempt, sent.clone());
         self.links.insert(link, attempt);
         Some(sent)
     }
 
-    /// Records a new link to an attempt, and returns where that runs.
-    pub(crate) fn attach(
+    /// Records a new link to an existing attempt, and returns where that attempt runs.
+    pub(crate) fn record_attach(
         &mut self,
         now: Time,
         link: LinkId,
         attempt: AttemptNo,
         target: &TargetId,
-    ) -> Option<Sent> {
+    ) -> Option<SentAttempt> {
         let known = self.sent.get(&attempt).cloned();
-        let known = known.or_else(|| self.job.known.clone());
+        let known = known.or_else(|| self.job.joined.clone());
         let sent = known.or_else(|| self.locate(now, attempt, target))?;
         self.sent.insert(attempt, sent.clone());
         self.links.insert(link, attempt);
         Some(sent)
     }
 
-    /// Marks an attempt as one that may crash its target.
-    pub(crate) fn suspect(&mut self, attempt: AttemptNo, target: &TargetId) {
+    /// Marks an attempt as one whose request may crash the target.
+    pub(crate) fn mark_suspect(&mut self, attempt: AttemptNo, target: &TargetId) {
         if self.suspects.insert(attempt) {
-            self.front.suspicion.place(target);
+            self.context.suspicion.add_suspect(target);
         }
     }
 
-    /// Records that an attempt has left its target.
-    pub(crate) fn release(&mut self, now: Time, attempt: AttemptNo) -> Option<Sent> {
+    /// Records that an attempt no longer runs on its target.
+    pub(crate) fn release(&mut self, now: Time, attempt: AttemptNo) -> Option<SentAttempt> {
         let sent = self.sent.remove(&attempt)?;
-        self.front
+        self.context
             .router
-            .ended(now, &sent.target, now.since(sent.at));
-        self.unplace(attempt, &sent);
+            .record_end(now, &sent.target, now.since(sent.at));
+        self.remove_suspect(attempt, &sent);
         Some(sent)
     }
 
-    /// Records that all attempts have left their targets.
+    /// Records that no attempt runs on its target any longer.
     pub(crate) fn release_all(&mut self, now: Time) {
         let attempts: Vec<AttemptNo> = self.sent.keys().copied().collect();
         for attempt in attempts {
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Learns from a frame what became of its attempt.
-    pub(crate) fn learn(&mut self, now: Time, event: &Event) {
+    /// Updates the state of an attempt from a frame that arrived for it; ignores other events.
+    pub(crate) fn on_event(&mut self, now: Time, event: &Event) {
         let Event::Frame { link, frame } = event else {
             return;
         };
@@ -116,11 +119,12 @@
         match frame {
             Frame::Accepted { cached, .. } => {
                 if let Some(sent) = self.sent.get(&attempt) {
-                    let router = &self.front.router;
-                    router.accepted(&sent.target, &self.request, *cached);
+                    let router = &self.context.router;
+                    router.record_accepted(&sent.target, &self.request, *cached);
                 }
             }
-            // The agent may have forgotten it; whether it was run is asked for by its id.
+            // The agent may have dropped its record of the attempt, so the entry asks separately,
+            // by the attempt's id, whether it was run.
             Frame::NotRun {
                 reason: NotRunReason::Unknown,
                 ..
@@ -129,8 +133,10 @@
                 let Some(sent) = self.sent.remove(&attempt) else {
                     return;
                 };
-                self.front.router.refused(now, &sent.target, *retry);
-                self.unplace(attempt, &sent);
+                self.context
+                    .router
+                    .record_refusal(now, &sent.target, *retry);
+                self.remove_suspect(attempt, &sent);
             }
             Frame::Done { .. } | Frame::Failed { .. } => {
                 let sent = self.release(now, attempt);
@@ -142,24 +148,24 @@
                     }
                 );
                 if let Some(sent) = sent.filter(|_| crashed) {
-                    self.front.router.crashed(&sent.target);
+                    self.context.router.record_crash(&sent.target);
                 }
             }
             _ => {}
         }
     }
 
-    fn unplace(&mut self, attempt: AttemptNo, sent: &Sent) {
+    fn remove_suspect(&mut self, attempt: AttemptNo, sent: &SentAttempt) {
         if self.suspects.remove(&attempt) {
-            self.front.suspicion.unplace(&sent.target);
+            self.context.suspicion.remove_suspect(&sent.target);
         }
     }
 
-    fn locate(&self, now: Time, attempt: AttemptNo, target: &TargetId) -> Option<Sent> {
-        let view = self.front.view.load();
+    fn locate(&self, now: Time, attempt: AttemptNo, target: &TargetId) -> Option<SentAttempt> {
+        let view = self.context.view.load();
         let found = view.targets.get(target)?;
-        Some(Sent {
-            id: self.job.attempt(attempt),
+        Some(SentAttempt {
+            id: self.job.attempt_id(attempt),
             target: target.clone(),
             peer: found.target.agent,
             stamp: Stamp {
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -23,26 +23,26 @@
 use log::error;
 use tokio::sync::Mutex;
 
-/// How long a claim is kept.
-const KEPT: Duration = Duration::from_secs(24 * 3600);
+/// The least time that a claim stays in the store after it is written.
+const CLAIM_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// How long one lease is used for new claims.
-const LEASE_USE: Duration = Duration::from_secs(600);
+/// How long new claims share one lease.
+const LEASE_SHARING: Duration = Duration::from_secs(600);
 
-/// The largest answer that is kept with its claim, in bytes.
-const ANSWER_MAX: usize = 16 << 10;
+/// The largest answer body that is stored with its claim, in bytes.
+const ANSWER_MAX_BYTES: usize = 16 << 10;
 
-/// A claim and the revision that wrote it.
-pub(crate) type Held = (Box<Claim>, ClaimRevision);
+/// A claim and the store revision that wrote it.
+pub(crate) type StoredClaim = (Box<Claim>, ClaimRevision);
 
-/// The claims of all requests of an entry.
+/// Reads and writes the claims of all requests of an entry.
 pub(crate) struct Claims {
     store: Arc<dyn KeyValue>,
     lease: Mutex<Option<(LeaseId, Time)>>,
 }
 
 impl Claims {
-    /// Returns claims kept in `store`.
+    /// Creates an accessor for claims in `store`.
     pub(crate) fn new(store: Arc<dyn KeyValue>) -> Self {
         Self {
             store,
@@ -54,19 +54,21 @@
     ///
     /// # Errors
     ///
-    /// Returns the kind of refusal when the service cannot be read.
-    pub(crate) async fn read(&self, key: &str) -> Result<Option<Held>, ErrorKind> {
+    /// Returns [`ErrorKind::StoreUnavailable`] when the store cannot be read, and
+    /// [`ErrorKind::Internal`] when the stored claim cannot be parsed.
+    pub(crate) async fn read(&self, key: &str) -> Result<Option<StoredClaim>, ErrorKind> {
         let value = self.store.get(key).await;
         let value = value.map_err(|_| ErrorKind::StoreUnavailable)?;
         value.as_ref().map(parse).transpose()
     }
 
-    /// Writes `claim` under `key` over the claim of revision `expected`, or over nothing.
+    /// Writes `claim` under `key` if the stored claim has the revision `expected`, or if there is
+    /// none when `expected` is `None`. Returns the new revision.
     ///
     /// # Errors
     ///
-    /// Returns the kind of refusal when the claim is not there for sure; its attempt must not be
-    /// dispatched then.
+    /// Returns an error kind when it is not certain that the claim was written. The attempt must
+    /// not be dispatched then.
     pub(crate) async fn write(
         &self,
         now: Time,
@@ -84,7 +86,7 @@
                 }
                 ClaimStep::Read => match self.store.get(key).await {
                     Ok(value) => ClaimEvent::Holds(value.as_ref().map(parse).transpose()?),
-                    // A read has no effect, so it may be asked again.
+                    // A read has no effect, so it is safe to repeat.
                     Err(_) => ClaimEvent::Lost,
                 },
                 ClaimStep::Mine(revision) => return Ok(revision),
@@ -108,8 +110,8 @@
         match swap.await {
             Ok(Swap::Done(revision)) => Ok(ClaimEvent::Written(ClaimRevision(revision.0))),
             Ok(Swap::Conflict(value)) => {
-                let held = value.as_ref().map(parse).transpose()?;
-                Ok(ClaimEvent::Holds(held))
+                let stored = value.as_ref().map(parse).transpose()?;
+                Ok(ClaimEvent::Holds(stored))
             }
             Err(StoreError::Unavailable { .. } | StoreError::Compacted) => {
                 Ok(ClaimEvent::Unavailable)
@@ -122,64 +124,68 @@
         }
     }
 
-    /// Returns a lease that outlives a claim written now by at least its time to be kept.
+    /// Returns a lease that lasts at least the retention time of a claim written now.
     async fn lease(&self, now: Time) -> Result<LeaseId, ErrorKind> {
-        let mut held = self.lease.lock().await;
-        if let Some((lease, _)) = held.filter(|(_, since)| now.since(*since) < LEASE_USE) {
+        let mut current = self.lease.lock().await;
+        if let Some((lease, _)) = current.filter(|(_, since)| now.since(*since) < LEASE_SHARING) {
             return Ok(lease);
         }
-        let grant = self.store.grant(KEPT + LEASE_USE).await;
+        let grant = self.store.grant(CLAIM_RETENTION + LEASE_SHARING).await;
         let lease = grant.map_err(|_| ErrorKind::StoreUnavailable)?;
-        *held = Some((lease, now));
+        *current = Some((lease, now));
         Ok(lease)
     }
 }
 
-fn parse(value: &Versioned) -> Result<Held, ErrorKind> {
+fn parse(value: &Versioned) -> Result<StoredClaim, ErrorKind> {
     let claim = serde_json::from_slice(&value.value).map_err(|fault| {
-        error!(key = value.key.as_str(); "a claim cannot be read: {fault}");
+        error!(key = value.key.as_str(); "failed to parse the stored claim: {fault}");
         ErrorKind::Internal
     })?;
     Ok((Box::new(claim), ClaimRevision(value.modified.0)))
 }
 
-/// The claim of one request.
-pub(crate) struct ClaimSlot {
+/// The claim of one request on its idempotency key.
+pub(crate) struct RequestClaim {
     claims: Arc<Claims>,
     key: String,
-    held: Mutex<Option<Held>>,
+    stored: Mutex<Option<StoredClaim>>,
 }
 
-impl ClaimSlot {
-    /// Returns the slot of an idempotency key, with the claim that is there already.
-    pub(crate) fn new(claims: Arc<Claims>, key: String, held: Option<Held>) -> Self {
-        let held = Mutex::new(held);
-        Self { claims, key, held }
+impl RequestClaim {
+    /// Creates the claim handle for an idempotency key, given the claim that the store has for it.
+    pub(crate) fn new(claims: Arc<Claims>, key: String, stored: Option<StoredClaim>) -> Self {
+        let stored = Mutex::new(stored);
+        Self {
+            claims,
+            key,
+            stored,
+        }
     }
 
-    /// Claims the key for an attempt, before it is dispatched.
+    /// Claims the key for an attempt. This must succeed before the attempt is dispatched.
     ///
     /// # Errors
     ///
     /// See [`Claims::write`].
-    pub(crate) async fn take(&self, now: Time, mut claim: Claim) -> Result<(), ErrorKind> {
-        let mut held = self.held.lock().await;
+    pub(crate) async fn acquire(&self, now: Time, mut claim: Claim) -> Result<(), ErrorKind> {
+        let mut stored = self.stored.lock().await;
         claim.id = ClaimId(rand::random());
-        let expected = held.as_ref().map(|(_, revision)| *revision);
+        let expected = stored.as_ref().map(|(_, revision)| *revision);
         let write = self.claims.write(now, &self.key, claim.clone(), expected);
         let revision = write.await?;
-        *held = Some((Box::new(claim), revision));
+        *stored = Some((Box::new(claim), revision));
         Ok(())
     }
 
-    /// Keeps the answer with the claim, for later calls; one that is too large is not kept.
-    pub(crate) async fn keep(&self, now: Time, answer: KeptAnswer) {
-        let mut held = self.held.lock().await;
-        let Some((claim, revision)) = held.take() else {
+    /// Stores the answer with the claim for later calls, unless its body is too large.
+    pub(crate) async fn store_answer(&self, now: Time, answer: KeptAnswer) {
+        let mut stored = self.stored.lock().await;
+        let Some((claim, revision)) = stored.take() else {
             return;
         };
         let length = |body: &Bytes| body.len();
-        if length(&answer.body) > ANSWER_MAX {
+        if length(&answer.body) > ANSWER_MAX_BYTES {
             return;
         }
         let claim = Claim {
@@ -189,15 +195,15 @@
         };
         let write = self.claims.write(now, &self.key, claim, Some(revision));
         if let Err(kind) = write.await {
-            // A later call asks the agent instead, as long as that remembers.
-            error!(key = self.key.as_str(); "an answer is not kept: {kind}");
+            // A later call fetches the answer from the agent instead, while the agent still has it.
+            error!(key = self.key.as_str(); "failed to store the answer with its claim: {kind}");
         }
     }
 }
 
-impl std::fmt::Debug for ClaimSlot {
+impl std::fmt::Debug for RequestClaim {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("ClaimSlot")
+        f.debug_struct("RequestClaim")
             .field("key", &self.key)
             .finish_non_exhaustive()
     }
--- a/crates/cyclamenwharf/src/entry/completion.rs
+++ b/crates/cyclamenwharf/src/entry/completion_request.rs
@@ -1,4 +1,4 @@
-//! The bodies of the completion interfaces.
+//! Request bodies of the completion endpoints, and their validation.
 
 use cw_types::TokenCount;
 use cw_types::TokenId;
@@ -6,21 +6,21 @@
 use cw_wire::Prompt;
 use serde::Deserialize;
 
-use super::refusal::Refusal;
+use super::api_error::ApiError;
 
-/// The most new tokens when the caller names none.
+/// The default of `max_tokens`.
 const MAX_TOKENS_DEFAULT: u64 = 256;
 
-/// The most new tokens that a caller may ask for.
+/// The upper limit of `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1 << 20;
 
-/// The most stop texts.
-const STOPS_MAX: usize = 16;
+/// The most stop sequences in one request.
+const STOP_MAX: usize = 16;
 
-/// The highest temperature.
+/// The upper limit of `temperature`.
 const TEMPERATURE_MAX: f64 = 2.0;
 
-/// A prompt as text or tokens.
+/// A prompt as text or as token ids.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum PromptBody {
@@ -28,7 +28,7 @@
     Ids(Vec<TokenId>),
 }
 
-/// One stop text or several.
+/// One stop sequence or a list of them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum StopBody {
@@ -75,46 +75,50 @@
     output_so_far: Vec<TokenId>,
 }
 
-/// The form in which the caller reads the output.
+/// The endpoint that a request was made to, which decides the JSON of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
-    /// That of `/v1/completions`.
-    Text,
-    /// That of `/v1/chat/completions`.
+pub(crate) enum Endpoint {
+    /// The endpoint `/v1/completions`.
+    Completions,
+    /// The endpoint `/v1/chat/completions`.
     Chat,
 }
 
-/// What a caller asks for, checked.
+/// A validated completion request.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct CompletionRequest {
     /// The name of the route.
     pub(crate) model: String,
-    /// What to start from.
+    /// The prompt.
     pub(crate) prompt: Prompt,
-    /// The most tokens of the output.
+    /// The most output tokens.
     pub(crate) max_tokens: TokenCount,
-    /// The seed, if the caller names one.
+    /// The sampling seed, if the caller sets one.
     pub(crate) seed: Option<u64>,
-    /// The temperature.
+    /// The sampling temperature, from 0 to 2.
     pub(crate) temperature: f64,
-    /// The probability mass to draw from.
+    /// The probability mass for nucleus sampling, above 0 and at most 1.
     pub(crate) top_p: f64,
-    /// Texts that end the output.
+    /// The stop sequences, which end the output.
     pub(crate) stop: Vec<String>,
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is streamed as server-sent events.
     pub(crate) stream: bool,
-    /// Whether events carry token ids.
-    pub(crate) ids: bool,
-    /// The tokens that the caller holds already.
+    /// Whether the answer includes token ids.
+    pub(crate) token_ids: bool,
+    /// The output tokens that a reconnecting caller already has.
     pub(crate) so_far: Vec<TokenId>,
-    /// The form of the answer.
-    pub(crate) form: Form,
+    /// The endpoint.
+    pub(crate) endpoint: Endpoint,
 }
 
-impl Asked {
-    /// Reads the body of `POST /v1/completions`.
-    pub(crate) fn completion(bytes: &[u8]) -> Result<Self, Refusal> {
-        let body: CompletionBody = read(bytes)?;
+impl CompletionRequest {
+    /// Parses and validates the body of `POST /v1/completions`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ErrorKind::BadRequest`](cw_types::ErrorKind::BadRequest) for an invalid body.
+    pub(crate) fn from_completion(bytes: &[u8]) -> Result<Self, ApiError> {
+        let body: CompletionBody = parse(bytes)?;
         let prompt = match body.prompt {
             PromptBody::Text(text) => Prompt::Text(text),
             PromptBody::Ids(ids) => Prompt::Ids(ids),
@@ -126,20 +130,24 @@
             seed: body.seed,
             temperature: body.temperature.unwrap_or(1.0),
             top_p: body.top_p.unwrap_or(1.0),
-            stop: stops(body.stop),
+            stop: stop_sequences(body.stop),
             stream: body.stream,
-            ids: body.return_token_ids,
+            token_ids: body.return_token_ids,
             so_far: body.output_so_far,
-            form: Form::Text,
+            endpoint: Endpoint::Completions,
         }
-        .checked()
+        .validated()
     }
 
-    /// Reads the body of `POST /v1/chat/completions`.
-    pub(crate) fn chat(bytes: &[u8]) -> Result<Self, Refusal> {
-        let body: ChatBody = read(bytes)?;
+    /// Parses and validates the body of `POST /v1/chat/completions`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ErrorKind::BadRequest`](cw_types::ErrorKind::BadRequest) for an invalid body.
+    pub(crate) fn from_chat(bytes: &[u8]) -> Result<Self, ApiError> {
+        let body: ChatBody = parse(bytes)?;
         if body.messages.is_empty() {
-            return Err(Refusal::bad_request("messages: expected at least one"));
+            return Err(ApiError::bad_request("messages: expected at least one"));
         }
         let max_tokens = body.max_completion_tokens.or(body.max_tokens);
         Self {
@@ -149,41 +157,41 @@
             seed: body.seed,
             temperature: body.temperature.unwrap_or(1.0),
             top_p: body.top_p.unwrap_or(1.0),
-            stop: stops(body.stop),
+            stop: stop_sequences(body.stop),
             stream: body.stream,
-            ids: body.return_token_ids,
+            token_ids: body.return_token_ids,
             so_far: body.output_so_far,
-            form: Form::Chat,
+            endpoint: Endpoint::Chat,
         }
-        .checked()
+        .validated()
     }
 
-    fn checked(self) -> Result<Self, Refusal> {
+    fn validated(self) -> Result<Self, ApiError> {
         let range = 1..=MAX_TOKENS_LIMIT;
         if !range.contains(&self.max_tokens.0) {
             let limit = MAX_TOKENS_LIMIT;
-            return Err(Refusal::bad_request(format!(
+            return Err(ApiError::bad_request(format!(
                 "max_tokens: expected 1 to {limit}"
             )));
         }
         if !(0.0..=TEMPERATURE_MAX).contains(&self.temperature) {
-            return Err(Refusal::bad_request("temperature: expected 0 to 2"));
+            return Err(ApiError::bad_request("temperature: expected 0 to 2"));
         }
         if !(self.top_p > 0.0 && self.top_p <= 1.0) {
-            return Err(Refusal::bad_request(
+            return Err(ApiError::bad_request(
                 "top_p: expected more than 0 and at most 1",
             ));
         }
-        if self.stop.len() > STOPS_MAX || self.stop.iter().any(String::is_empty) {
-            return Err(Refusal::bad_request(format!(
-                "stop: expected at most {STOPS_MAX} texts, none empty"
+        if self.stop.len() > STOP_MAX || self.stop.iter().any(String::is_empty) {
+            return Err(ApiError::bad_request(format!(
+                "stop: expected at most {STOP_MAX} texts, none empty"
             )));
         }
         Ok(self)
     }
 }
 
-fn stops(stop: Option<StopBody>) -> Vec<String> {
+fn stop_sequences(stop: Option<StopBody>) -> Vec<String> {
     match stop {
         None => Vec::new(),
         Some(StopBody::One(text)) => vec![text],
@@ -191,6 +199,6 @@
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Refusal> {
-    serde_json::from_slice(bytes).map_err(Refusal::bad_request)
+fn parse<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, ApiError> {
+    serde_json::from_slice(bytes).map_err(ApiError::bad_request)
 }
--- a/crates/cyclamenwharf/src/entry/delivery.rs
+++ b/crates/cyclamenwharf/src/entry/delivery.rs
@@ -1,4 +1,4 @@
-//! What a generation's caller gets, and what is counted of it.
+//! Delivery of a generation's output to its caller, with the metrics and logs of the request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,59 +15,59 @@
 use log::warn;
 use tokio::sync::mpsc;
 
-use super::frontend::Frontend;
+use super::api_error::ApiError;
+use super::entry_context::EntryContext;
 use super::job::Job;
 use super::job::KeyUse;
 use super::output::Output;
-use super::output::Piece;
 use super::output::ServiceAnswer;
-use super::quota_gate::QuotaGuard;
-use super::refusal::Refusal;
+use super::output::TokenChunk;
+use super::shared_quotas::QuotaGuard;
 
-/// What a generation's caller gets, and what is counted of it.
+/// Sends a generation's output to its caller, and records the metrics and logs of the request.
 pub(crate) struct Delivery {
-    front: Arc<Frontend>,
+    context: Arc<EntryContext>,
     job: Arc<Job>,
     class: Class,
-    out: mpsc::Sender<Output>,
+    output: mpsc::Sender<Output>,
     started: Time,
-    last: Option<Time>,
-    gaps: Counts,
+    last_tokens: Option<Time>,
+    token_gaps: Counts,
     quota: Option<QuotaGuard>,
 }
 
 impl Delivery {
-    /// Returns the delivery of `job` to `out`.
+    /// Creates the delivery of the output of `job` to `output`.
     pub(crate) fn new(
-        front: Arc<Frontend>,
+        context: Arc<EntryContext>,
         job: Arc<Job>,
-        out: mpsc::Sender<Output>,
+        output: mpsc::Sender<Output>,
         quota: Option<QuotaGuard>,
     ) -> Self {
         let class = Class {
             route: job.route.clone(),
             priority: job.priority.clone(),
         };
-        let started = front.clock.now();
+        let started = context.clock.now();
         Self {
-            front,
+            context,
             job,
             class,
-            out,
+            output,
             started,
-            last: None,
-            gaps: Counts { good: 0, total: 0 },
+            last_tokens: None,
+            token_gaps: Counts { good: 0, total: 0 },
             quota,
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
-        self.out.closed().await;
+        self.output.closed().await;
     }
 
-    /// Passes a step's output on to the caller, and counts it.
-    pub(crate) async fn take(&mut self, now: Time, step: Step) {
+    /// Sends the output of a step to the caller, and records its metrics and logs.
+    pub(crate) async fn on_step(&mut self, now: Time, step: Step) {
         match step {
             Step::Deliver {
                 first,
@@ -75,14 +75,14 @@
                 target,
                 tokens,
             } => {
-                self.time(now, tokens.len());
-                let piece = Piece {
+                self.record_tokens(now, tokens.len());
+                let chunk = TokenChunk {
                     first,
                     attempt,
                     target,
                     tokens,
                 };
-                self.send(Output::Piece(piece)).await;
+                self.send(Output::Tokens(chunk)).await;
             }
             Step::Answer {
                 status,
@@ -97,76 +97,85 @@
                 self.answer(now, answer).await;
             }
             Step::Finish(finish) => {
-                self.front.suspicion.finished(self.job.fingerprint);
-                self.end("finished");
-                self.front.slo.whole(&self.class, true);
-                self.send(Output::Finish(finish)).await;
+                self.context
+                    .suspicion
+                    .record_completion(self.job.fingerprint);
+                self.record_end("finished");
+                self.context.slo.whole(&self.class, true);
+                self.send(Output::Finished(finish)).await;
             }
             Step::Fail { kind, ran, retry } => self.fail(kind, ran, retry).await,
-            Step::Cleared => self.front.suspicion.finished(self.job.fingerprint),
-            Step::Abandon => self.end("abandoned"),
-            Step::Crashed { target } => self.note(&target, "an engine crashed"),
-            Step::Lost { target } => self.note(&target, "an attempt is lost"),
+            Step::Cleared => self
+                .context
+                .suspicion
+                .record_completion(self.job.fingerprint),
+            Step::Abandon => self.record_end("abandoned"),
+            Step::Crashed { target } => self.warn(&target, "the engine crashed during an attempt"),
+            Step::Lost { target } => self.warn(&target, "the attempt was lost"),
             Step::Resumed { latency } => {
-                self.front.metrics.resumed(latency);
-                self.front.slo.resume(&self.class, latency);
+                self.context.metrics.record_resume(latency);
+                self.context.slo.resume(&self.class, latency);
             }
-            Step::Dropped(reason) => self.front.metrics.dropped(reason),
+            Step::Dropped(reason) => self.context.metrics.record_drop(reason),
             _ => {}
         }
     }
 
     async fn answer(&mut self, now: Time, answer: ServiceAnswer) {
-        self.front.suspicion.finished(self.job.fingerprint);
-        self.end("answered");
-        self.front.slo.whole(&self.class, true);
-        if let Some(KeyUse::Claimed(slot)) = &self.job.key {
-            let slot = Arc::clone(slot);
-            let kept = KeptAnswer {
+        self.context
+            .suspicion
+            .record_completion(self.job.fingerprint);
+        self.record_end("answered");
+        self.context.slo.whole(&self.class, true);
+        if let Some(KeyUse::Claimed(claim)) = &self.job.key {
+            let claim = Arc::clone(claim);
+            let kept_answer = KeptAnswer {
                 status: answer.status,
                 headers: answer.headers.clone(),
                 body: answer.body.clone(),
             };
-            self.front
+            self.context
                 .progress
-                .spawn(async move { slot.keep(now, kept).await });
+                .spawn(async move { claim.store_answer(now, kept_answer).await });
         }
         self.send(Output::Answer(answer)).await;
     }
 
     async fn fail(&mut self, kind: ErrorKind, ran: Ran, retry: Duration) {
-        self.end(kind.code());
+        self.record_end(kind.code());
         match ran {
-            Ran::No => self.front.slo.refusal(&self.class, true),
-            Ran::Partly | Ran::Unknown => self.front.slo.whole(&self.class, false),
+            Ran::No => self.context.slo.refusal(&self.class, true),
+            Ran::Partly | Ran::Unknown => self.context.slo.whole(&self.class, false),
         }
-        let refusal = Refusal::new(kind).with_ran(ran).with_retry(retry);
-        self.send(Output::Refusal(refusal)).await;
+        let error = ApiError::new(kind).with_ran(ran).with_retry(retry);
+        self.send(Output::Error(error)).await;
     }
 
     async fn send(&mut self, output: Output) {
-        // A caller that is gone is noticed by the driver.
-        let _ = self.out.send(output).await;
+        // The driver watches for a disconnected caller, so a failed send needs no handling here.
+        let _ = self.output.send(output).await;
     }
 
-    fn time(&mut self, now: Time, count: usize) {
-        self.front.metrics.tokens.inc_by(count as u64);
+    fn record_tokens(&mut self, now: Time, count: usize) {
+        self.context.metrics.tokens.inc_by(count as u64);
         if let Some(quota) = &self.quota {
-            quota.produced(now, count as u64);
+            quota.record_output(now, count as u64);
         }
-        let Some(last) = self.last.replace(now) else {
+        let Some(last_tokens) = self.last_tokens.replace(now) else {
             let took = now.since(self.started);
-            self.front.metrics.first_token(&self.job.route, took);
-            self.front.slo.first_token(&self.class, took);
+            self.context
+                .metrics
+                .record_first_token(&self.job.route, took);
+            self.context.slo.first_token(&self.class, took);
             return;
         };
-        let took = now.since(last);
-        self.front.metrics.between_tokens(took);
-        self.gaps.total += 1;
-        self.gaps.good += u64::from(took <= self.front.gap);
+        let took = now.since(last_tokens);
+        self.context.metrics.record_token_gap(took);
+        self.token_gaps.total += 1;
+        self.token_gaps.good += u64::from(took <= self.context.token_gap);
     }
 
-    fn note(&self, target: &TargetId, message: &str) {
+    fn warn(&self, target: &TargetId, message: &str) {
         warn!(
             generation = self.job.generation.to_string(),
             workspace = self.job.workspace.as_str(),
@@ -175,14 +184,14 @@
         );
     }
 
-    fn end(&self, outcome: &str) {
-        self.front.metrics.ended(&self.job.route, outcome);
-        self.front.slo.token_gaps(&self.class, self.gaps);
+    fn record_end(&self, outcome: &str) {
+        self.context.metrics.record_end(&self.job.route, outcome);
+        self.context.slo.token_gaps(&self.class, self.token_gaps);
         info!(
             generation = self.job.generation.to_string(),
             workspace = self.job.workspace.as_str(),
             outcome = outcome;
-            "a generation has ended"
+            "generation ended"
         );
     }
 }
--- a/crates/cyclamenwharf/src/entry/driver/links.rs
+++ b/crates/cyclamenwharf/src/entry/driver/links.rs
@@ -1,4 +1,4 @@
-//! The links of a driver's attempts.
+//! Dispatching, re-attaching to and cancelling attempts over links to their agents.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
 use futures::FutureExt;
 use log::debug;
 
-use super::super::inputs::Claiming;
-use super::super::inputs::LinkCall;
+use super::super::event_sources::ClaimFuture;
+use super::super::event_sources::LinkCall;
 use super::super::job::KeyUse;
-use super::super::sent::Sent;
+use super::super::sent_attempt::SentAttempt;
 use super::Driver;
 
 impl Driver {
@@ -30,7 +30,7 @@
         target: &TargetId,
         resume: Option<Vec<TokenId>>,
     ) -> Option<Event> {
-        let Some(sent) = self.attempts.send(now, link, attempt, target) else {
+        let Some(sent) = self.attempts.record_dispatch(now, link, attempt, target) else {
             return Some(unreachable(link));
         };
         debug!(
@@ -38,42 +38,53 @@
             attempt = attempt.0,
             workspace = self.job.workspace.as_str(),
             target = target.as_str();
-            "an attempt is dispatched"
+            "dispatching the attempt"
         );
-        if self.suspect {
-            self.attempts.suspect(attempt, target);
+        if self.is_suspect {
+            self.attempts.mark_suspect(attempt, target);
         }
         let resumed = resume.is_some();
         let so_far = resume.unwrap_or_default();
         if resumed {
-            self.front.metrics.resumes.inc();
-            self.front.metrics.extra.inc_by(so_far.len() as u64);
+            self.context.metrics.resumes.inc();
+            self.context
+                .metrics
+                .extra_tokens
+                .inc_by(so_far.len() as u64);
         }
         let claim = self.claim(now, &sent);
         let call = LinkCall {
-            client: self.front.peers.client(sent.peer),
+            client: self.context.peers.client(sent.peer),
             peer: sent.peer,
             path: path::ATTEMPTS,
-            message: self.job.dispatch(attempt, sent.stamp, so_far, resumed),
-            limit: self.front.settings.recovery.head,
+            message: self
+                .job
+                .dispatch_message(attempt, sent.stamp, so_far, resumed),
+            head_timeout: self.context.settings.recovery.head,
         };
-        self.inputs.open(link, claim, call);
+        self.sources.open(link, claim, call);
         None
     }
 
-    /// Returns what must succeed before an attempt is dispatched, if its key is claimed.
-    fn claim(&self, now: Time, sent: &Sent) -> Option<Claiming> {
+    /// Returns the future that writes the claim, which must succeed before the attempt is
+    /// dispatched.
+    ///
+    /// Returns `None` when the request has no key to claim; an idempotent request with a key is
+    /// only recorded in this entry.
+    fn claim(&self, now: Time, sent: &SentAttempt) -> Option<ClaimFuture> {
         match &self.job.key {
             None => None,
-            Some(KeyUse::Shared(key)) => {
+            Some(KeyUse::Cached(key)) => {
                 let fingerprint = self.job.fingerprint;
-                self.front.keys.record(now, key, fingerprint, sent.clone());
+                self.context
+                    .idempotency_cache
+                    .record(now, key, fingerprint, sent.clone());
                 None
             }
-            Some(KeyUse::Claimed(slot)) => {
-                let slot = Arc::clone(slot);
+            Some(KeyUse::Claimed(request_claim)) => {
+                let request_claim = Arc::clone(request_claim);
                 let claim = self.job.claim(sent);
-                Some(async move { slot.take(now, claim).await }.boxed())
+                Some(async move { request_claim.acquire(now, claim).await }.boxed())
             }
         }
     }
@@ -87,11 +98,11 @@
         repeat: Option<Vec<TokenId>>,
         from: TokenIndex,
     ) -> Option<Event> {
-        let Some(sent) = self.attempts.attach(now, link, attempt, target) else {
+        let Some(sent) = self.attempts.record_attach(now, link, attempt, target) else {
             return Some(unreachable(link));
         };
-        let client = self.front.peers.renew(sent.peer);
-        let limit = self.front.settings.recovery.reattach;
+        let client = self.context.peers.replace_client(sent.peer);
+        let head_timeout = self.context.settings.recovery.reattach;
         let peer = sent.peer;
         let Some(so_far) = repeat else {
             let message = Attach {
@@ -105,12 +116,12 @@
                 peer,
                 path: path::ATTACH,
                 message,
-                limit,
+                head_timeout,
             };
-            self.inputs.open(link, None, call);
+            self.sources.open(link, None, call);
             return None;
         };
-        let mut message = self.job.dispatch(attempt, sent.stamp, so_far, true);
+        let mut message = self.job.dispatch_message(attempt, sent.stamp, so_far, true);
         message.repeat = true;
         message.from = from;
         let call = LinkCall {
@@ -118,19 +129,19 @@
             peer,
             path: path::ATTEMPTS,
             message,
-            limit,
+            head_timeout,
         };
-        self.inputs.open(link, None, call);
+        self.sources.open(link, None, call);
         None
     }
 
-    pub(super) fn prove(&mut self, attempt: AttemptNo) -> Option<Event> {
+    pub(super) fn confirm_cancel(&mut self, attempt: AttemptNo) -> Option<Event> {
         let Some(sent) = self.attempts.get(attempt).cloned() else {
             return Some(Event::Proof { attempt, ran: None });
         };
-        let front = Arc::clone(&self.front);
-        self.inputs.wait(async move {
-            let ran = front.prove(sent.peer, sent.cancel()).await;
+        let context = Arc::clone(&self.context);
+        self.sources.push(async move {
+            let ran = context.cancel_once(sent.peer, sent.cancel()).await;
             Event::Proof { attempt, ran }
         });
         None
--- a/crates/cyclamenwharf/src/entry/driver/mod.rs
+++ b/crates/cyclamenwharf/src/entry/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Turns links into events and steps into links, for one generation.
+//! Runs the state machine of one generation: feeds it events, and performs the steps it returns.
 
 mod links;
 mod targets;
@@ -19,74 +19,74 @@
 
 use super::attempts::Attempts;
 use super::delivery::Delivery;
-use super::frontend::Frontend;
-use super::inputs::Inputs;
+use super::entry_context::EntryContext;
+use super::event_sources::EventSources;
 use super::job::Job;
 use super::output::Output;
-use super::quota_gate::QuotaGuard;
+use super::shared_quotas::QuotaGuard;
 
-/// Drives one generation to its end.
+/// Runs the state machine of one generation to its end.
 pub(crate) struct Driver {
-    front: Arc<Frontend>,
+    context: Arc<EntryContext>,
     job: Arc<Job>,
     machine: Generation,
-    inputs: Inputs,
+    sources: EventSources,
     attempts: Attempts,
     delivery: Delivery,
     recorder: Option<Recorder>,
     request: RouteRequest,
-    suspect: bool,
-    /// The crashes that were known of the request when it began.
-    known: usize,
-    /// When the request came.
+    is_suspect: bool,
+    /// The number of crashes already confirmed for the request when it started.
+    known_crashes: usize,
+    /// When the driver was created, which is also the request's arrival time in the queue.
     started: Time,
-    /// Whether a first target was tried.
-    tried: bool,
-    /// Whether the request has waited in the queue.
-    waited: bool,
-    absent: bool,
+    /// Whether a target was tried since the request started or was last queued.
+    target_tried: bool,
+    /// Whether the request has been in the queue.
+    was_queued: bool,
+    caller_gone: bool,
 }
 
 impl Driver {
-    /// Returns a driver that hands the output to `out`.
+    /// Creates a driver that sends the output to `output`.
     pub(crate) fn new(
-        front: Arc<Frontend>,
+        context: Arc<EntryContext>,
         job: Arc<Job>,
-        out: mpsc::Sender<Output>,
+        output: mpsc::Sender<Output>,
         quota: Option<QuotaGuard>,
     ) -> Self {
-        let now = front.clock.now();
-        let view = front.view.load_full();
-        let verdict = (front.suspicion).verdict(now, &view, job.fingerprint);
-        let mut limits = job.limits(&front.settings);
-        limits.crashes = verdict.crashes_left(limits.crashes);
-        let known = match verdict {
+        let now = context.clock.now();
+        let view = context.view.load_full();
+        let suspicion = (context.suspicion).assess(now, &view, job.fingerprint);
+        let mut limits = job.limits(&context.settings);
+        limits.crashes = suspicion.crashes_left(limits.crashes);
+        let known_crashes = match suspicion {
             CrashSuspicion::Confirmed { crashes } => crashes,
             CrashSuspicion::Unsuspected | CrashSuspicion::Suspected { .. } => 0,
         };
-        let request = front.router.request(&job);
+        let request = context.router.route_request(&job);
         Self {
-            recorder: front.traces.begin(job.generation, &job.plan, &limits),
+            recorder: context.traces.begin(job.generation, &job.plan, &limits),
             machine: Generation::new(job.plan.clone(), limits),
-            inputs: Inputs::default(),
-            attempts: Attempts::new(Arc::clone(&front), Arc::clone(&job), request.clone()),
-            delivery: Delivery::new(Arc::clone(&front), Arc::clone(&job), out, quota),
+            sources: EventSources::default(),
+            attempts: Attempts::new(Arc::clone(&context), Arc::clone(&job), request.clone()),
+            delivery: Delivery::new(Arc::clone(&context), Arc::clone(&job), output, quota),
             request,
-            suspect: false,
-            known,
+            is_suspect: false,
+            known_crashes,
             started: now,
-            tried: false,
-            waited: false,
-            absent: false,
-            front,
+            target_tried: false,
+            was_queued: false,
+            caller_gone: false,
+            context,
             job,
         }
     }
 
     /// Runs the generation to its end.
     pub(crate) async fn run(mut self) {
-        self.feed(
-            match self.front.suspicion.is_refused(self.job.fingerprint) {
+        self.on_event(
+            match self.context.suspicion.is_refused(self.job.fingerprint) {
                 true => Event::Refuse(ErrorKind::CrashesTargets),
                 false => Event::Start,
             },
@@ -94,51 +94,52 @@
         .await;
         while !self.machine.is_ended() {
             let event = self.next_event().await;
-            self.feed(event).await;
+            self.on_event(event).await;
         }
-        let now = self.front.clock.now();
+        let now = self.context.clock.now();
         self.attempts.release_all(now);
-        if self.waited {
-            self.front.line.leave(now, self.job.generation);
+        if self.was_queued {
+            self.context.queue.remove(now, self.job.generation);
         }
         if let Some(recorder) = self.recorder.take() {
-            self.front.traces.end(recorder);
+            self.context.traces.end(recorder);
         }
     }
 
     async fn next_event(&mut self) -> Event {
         let deadline = self.machine.deadline();
-        let deadline = deadline.map(|deadline| self.front.clock.instant(deadline));
+        let deadline = deadline.map(|deadline| self.context.clock.instant(deadline));
         let tick = async {
             match deadline {
                 Some(deadline) => tokio::time::sleep_until(deadline).await,
                 None => std::future::pending().await,
             }
         };
-        // Frames that have come in go before the clock: they are proof of life.
+        // Frames that have arrived take precedence over the deadline, because they show that the
+        // attempt is alive.
         tokio::select! {
             biased;
-            Some(event) = self.inputs.next() => event,
+            Some(event) = self.sources.next() => event,
             () = tick => Event::Tick,
-            () = self.delivery.closed(), if !self.absent => {
-                self.absent = true;
+            () = self.delivery.closed(), if !self.caller_gone => {
+                self.caller_gone = true;
                 Event::CallerGone
             }
         }
     }
 
-    async fn feed(&mut self, event: Event) {
+    async fn on_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
-            let now = self.front.clock.now();
-            self.attempts.learn(now, &event);
-            for step in self.decide(now, event) {
-                events.extend(self.take(now, step).await);
+            let now = self.context.clock.now();
+            self.attempts.on_event(now, &event);
+            for step in self.next_steps(now, event) {
+                events.extend(self.on_step(now, step).await);
             }
         }
     }
 
-    fn decide(&mut self, now: Time, event: Event) -> Vec<Step> {
+    fn next_steps(&mut self, now: Time, event: Event) -> Vec<Step> {
         let Some(recorder) = &mut self.recorder else {
             return self.machine.on_event(now, event);
         };
@@ -147,8 +148,8 @@
         steps
     }
 
-    /// Takes one step; some are answered at once.
-    async fn take(&mut self, now: Time, step: Step) -> Option<Event> {
+    /// Performs one step, and returns the event that answers it if there is one at once.
+    async fn on_step(&mut self, now: Time, step: Step) -> Option<Event> {
         match step {
             Step::Choose {
                 exclude,
@@ -156,7 +157,7 @@
                 suspect,
                 hedge,
             } => {
-                self.suspect = suspect;
+                self.is_suspect = suspect;
                 return Some(self.choose(now, resumed, hedge, &exclude));
             }
             Step::Dispatch {
@@ -176,21 +177,21 @@
                 repeat,
                 from,
             } => return self.attach(now, link, attempt, &target, repeat, from),
-            Step::Close { link } => self.inputs.close(link),
+            Step::Close { link } => self.sources.close(link),
             Step::Cancel { attempt, .. } => {
                 if let Some(sent) = self.attempts.release(now, attempt) {
-                    self.front.cancel(sent.peer, sent.cancel());
+                    self.context.cancel(sent.peer, sent.cancel());
                 }
             }
-            Step::Prove { attempt, .. } => return self.prove(attempt),
+            Step::Prove { attempt, .. } => return self.confirm_cancel(attempt),
             Step::Queue => self.queue(now),
-            Step::Judge => self.judge(),
+            Step::Judge => self.check_crashes(),
             Step::Ack { attempt, next, .. } => {
                 if let Some(sent) = self.attempts.get(attempt) {
-                    self.front.ack(sent.peer, sent.id, next);
+                    self.context.ack(sent.peer, sent.id, next);
                 }
             }
-            step => self.delivery.take(now, step).await,
+            step => self.delivery.on_step(now, step).await,
         }
         None
     }
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -1,4 +1,4 @@
-//! Which target a driver's next attempt goes to.
+//! Choice of the target for the next attempt, waiting in the queue, and the check for crashes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 use cw_types::TargetId;
 use cw_types::Time;
 
-use super::super::wait_line::Turn;
+use super::super::shared_queue::QueueOutcome;
 use super::Driver;
 
-/// What a refusal says when no target can be chosen.
-const TARGET_RETRY: Duration = Duration::from_secs(1);
+/// The retry delay told to the caller when no target can be chosen.
+const NO_TARGET_RETRY: Duration = Duration::from_secs(1);
 
-/// How often the reports are looked at for the crashes of a request that is judged.
-const JUDGE_PERIOD: Duration = Duration::from_millis(100);
+/// The interval between checks of the reports for crashes that a request caused.
+const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// How often at most they are looked at.
-const JUDGE_TRIES: u32 = 15;
+/// The most checks of the reports before the request is taken not to cause the crash.
+const CRASH_CHECKS: u32 = 15;
 
 impl Driver {
     pub(super) fn choose(
@@ -37,31 +37,34 @@
         if resumed && !self.request.resumed {
             self.request = self.request.clone().resumed(self.job.recovery);
         }
-        match self.choose_apart(now, exclude) {
+        match self.choose_avoiding_suspects(now, exclude) {
             Choice::Target(target) if self.may_send(resumed, hedge, &target) => {
                 Event::Chosen(target)
             }
-            Choice::Target(_) => no_target(ErrorKind::Overloaded, TARGET_RETRY),
+            Choice::Target(_) => no_target(ErrorKind::Overloaded, NO_TARGET_RETRY),
             Choice::Wait { until } => no_target(ErrorKind::Overloaded, now.until(until)),
-            Choice::NoTarget => no_target(ErrorKind::NoTarget, TARGET_RETRY),
+            Choice::NoTarget => no_target(ErrorKind::NoTarget, NO_TARGET_RETRY),
         }
     }
 
-    /// Returns whether the budgets allow one more send. Replacing a lost attempt needs none.
+    /// Returns whether the budgets allow one more send.
+    ///
+    /// A first try is always allowed, and so is the replacement of a lost attempt unless it is a
+    /// hedge.
     fn may_send(&mut self, resumed: bool, hedge: bool, target: &TargetId) -> bool {
         let route = &self.job.route;
-        let mut budgets = self.front.budgets();
+        let mut budgets = self.context.budgets();
         if hedge {
             let allowed = budgets.try_spend(ExtraSend::Hedge, route, target);
             if allowed {
-                self.front.metrics.hedges.inc();
+                self.context.metrics.hedges.inc();
             }
             return allowed;
         }
         if resumed {
             return true;
         }
-        match std::mem::replace(&mut self.tried, true) {
+        match std::mem::replace(&mut self.target_tried, true) {
             true => budgets.try_spend(ExtraSend::Redirect, route, target),
             false => {
                 budgets.record_first(route, target);
@@ -70,42 +73,42 @@
         }
     }
 
-    /// Lets the request wait for its turn.
+    /// Puts the request into the queue.
     pub(super) fn queue(&mut self, now: Time) {
         let request = QueuedRequest {
             id: self.job.generation,
-            pool: TargetPool::from(&self.job.to),
+            pool: TargetPool::from(&self.job.destination),
             workspace: self.job.workspace.clone(),
             weight: self.job.weight,
             rank: self.job.rank,
             arrived: self.started,
             deadline: self.started + self.job.plan.patience,
-            bytes: self.job.size,
+            bytes: self.job.body_size,
         };
-        let again = std::mem::replace(&mut self.waited, true);
-        // A turn in the queue is a first try once more.
-        self.tried = false;
-        let turn = self.front.line.wait(now, request, again);
-        self.inputs.wait(async move {
-            match turn.await {
-                Ok(Turn::Start) => Event::Turn,
-                Ok(Turn::Refuse { kind, retry }) => Event::Unqueued { kind, retry },
+        let again = std::mem::replace(&mut self.was_queued, true);
+        // The send after the queue counts as a first try again, not as a redirect.
+        self.target_tried = false;
+        let outcome = self.context.queue.enqueue(now, request, again);
+        self.sources.push(async move {
+            match outcome.await {
+                Ok(QueueOutcome::Start) => Event::Turn,
+                Ok(QueueOutcome::Refuse { kind, retry }) => Event::Unqueued { kind, retry },
                 Err(_) => Event::Unqueued {
                     kind: ErrorKind::Overloaded,
-                    retry: TARGET_RETRY,
+                    retry: NO_TARGET_RETRY,
                 },
             }
         });
     }
 
-    /// Chooses a target that no other suspect is on, if the request is one and there is such.
-    fn choose_apart(&mut self, now: Time, exclude: &BTreeSet<TargetId>) -> Choice {
-        let view = self.front.view.load_full();
-        let router = &self.front.router;
-        let verdict = (self.front.suspicion).verdict(now, &view, self.job.fingerprint);
-        self.suspect |= verdict != CrashSuspicion::Unsuspected;
-        if self.suspect {
-            for avoided in self.front.suspicion.avoided(&view) {
+    /// Chooses a target; for a suspect request, one without other suspect requests if possible.
+    fn choose_avoiding_suspects(&mut self, now: Time, exclude: &BTreeSet<TargetId>) -> Choice {
+        let view = self.context.view.load_full();
+        let router = &self.context.router;
+        let suspicion = (self.context.suspicion).assess(now, &view, self.job.fingerprint);
+        self.is_suspect |= suspicion != CrashSuspicion::Unsuspected;
+        if self.is_suspect {
+            for avoided in self.context.suspicion.targets_to_avoid(&view) {
                 let exclude = exclude.union(&avoided).cloned().collect();
                 let choice = router.choose(now, &view, &self.request, &exclude);
                 if let Choice::Target(_) = choice {
@@ -116,19 +119,21 @@
         router.choose(now, &view, &self.request, exclude)
     }
 
-    /// Waits for the reports of the targets that were lost with this request.
-    pub(super) fn judge(&mut self) {
-        let front = Arc::clone(&self.front);
+    /// Checks whether the reports of the lost targets confirm that this request crashes targets.
+    ///
+    /// Only crashes beyond those known at the start of the request count.
+    pub(super) fn check_crashes(&mut self) {
+        let context = Arc::clone(&self.context);
         let request = self.job.fingerprint;
-        let known = self.known;
-        self.inputs.wait(async move {
-            for _ in 0..JUDGE_TRIES {
-                tokio::time::sleep(JUDGE_PERIOD).await;
-                let view = front.view.load_full();
-                let now = front.clock.now();
-                let verdict = front.suspicion.verdict(now, &view, request);
-                if matches!(verdict, CrashSuspicion::Confirmed { crashes } if crashes > known) {
-                    front.suspicion.convict(request);
+        let known = self.known_crashes;
+        self.sources.push(async move {
+            for _ in 0..CRASH_CHECKS {
+                tokio::time::sleep(CRASH_CHECK_PERIOD).await;
+                let view = context.view.load_full();
+                let now = context.clock.now();
+                let suspicion = context.suspicion.assess(now, &view, request);
+                if matches!(suspicion, CrashSuspicion::Confirmed { crashes } if crashes > known) {
+                    context.suspicion.confirm(request);
                     return Event::Judged { guilty: true };
                 }
             }
--- a/crates/cyclamenwharf/src/entry/events.rs
+++ b/crates/cyclamenwharf/src/entry/event_body.rs
@@ -1,4 +1,4 @@
-//! A streamed answer: server-sent events.
+//! The body of a streamed answer, as server-sent events.
 
 use std::fmt::Write;
 use std::pin::Pin;
@@ -15,16 +15,16 @@
 use tokio::sync::mpsc;
 use tokio_util::task::task_tracker::TaskTrackerToken;
 
-use super::format::Format;
+use super::answer_format::AnswerFormat;
+use super::api_error::ApiError;
 use super::output::Output;
-use super::refusal::Refusal;
 
-/// The most pieces of output that are written as one frame of the body.
-const BATCH: usize = 32;
+/// The most outputs that are written into one frame of the body.
+const BATCH_MAX: usize = 32;
 
-/// The body of a streamed answer.
+/// The response body of a streamed answer.
 pub(crate) struct EventBody {
-    format: Arc<Format>,
+    format: Arc<AnswerFormat>,
     first: Option<Output>,
     outputs: mpsc::Receiver<Output>,
     ended: bool,
@@ -32,9 +32,10 @@
 }
 
 impl EventBody {
-    /// Returns a body that writes `first` and then all of `outputs`.
+    /// Creates a body that writes `first` and then all of `outputs`. The body holds `progress`
+    /// until it is dropped, so that a drain waits for it.
     pub(crate) fn new(
-        format: Arc<Format>,
+        format: Arc<AnswerFormat>,
         first: Output,
         outputs: mpsc::Receiver<Output>,
         progress: TaskTrackerToken,
@@ -53,28 +54,28 @@
             return Poll::Ready(first);
         }
         let output = std::task::ready!(self.outputs.poll_recv(cx));
-        // The driver always ends with an output that says so.
-        let output = output.unwrap_or_else(|| Output::Refusal(Refusal::new(ErrorKind::Internal)));
+        // The driver always sends a final output, so a closed channel means that the driver failed.
+        let output = output.unwrap_or_else(|| Output::Error(ApiError::new(ErrorKind::Internal)));
         Poll::Ready(output)
     }
 
     fn write(&mut self, output: &Output, bytes: &mut BytesMut) {
         match output {
-            Output::Piece(piece) => {
-                let id = self.format.event_id(piece);
-                // Writing into a growing buffer does not fail.
+            Output::Tokens(chunk) => {
+                let id = self.format.event_id(chunk);
+                // Writing into a growable buffer cannot fail.
                 let _ = writeln!(bytes, "id: {id}");
-                write_event(bytes, &self.format.piece(piece));
+                write_event(bytes, &self.format.chunk_event(chunk));
             }
-            Output::Finish(finish) => {
+            Output::Finished(finish) => {
                 self.ended = true;
-                write_event(bytes, &self.format.finish(*finish));
+                write_event(bytes, &self.format.finish_event(*finish));
                 bytes.extend_from_slice(b"data: [DONE]\n\n");
             }
-            Output::Refusal(refusal) => {
+            Output::Error(error) => {
                 self.ended = true;
                 bytes.extend_from_slice(b"event: error\ndata: ");
-                bytes.extend_from_slice(refusal.json().as_bytes());
+                bytes.extend_from_slice(error.json().as_bytes());
                 bytes.extend_from_slice(b"\n\n");
             }
             Output::Answer(_) => self.ended = true,
@@ -91,7 +92,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let mut bytes = BytesMut::new();
-        for _ in 0..BATCH {
+        for _ in 0..BATCH_MAX {
             if self.ended {
                 break;
             }
@@ -110,7 +111,8 @@
 
 fn write_event<T: Serialize>(bytes: &mut BytesMut, data: &T) {
     bytes.extend_from_slice(b"data: ");
-    // Strings and numbers are JSON, and writing into a growing buffer does not fail.
+    // The values are strings and numbers, which always serialize, and writing into a growable
+    // buffer cannot fail.
     let _ = serde_json::to_writer(bytes.writer(), data);
     bytes.extend_from_slice(b"\n\n");
 }
--- a/crates/cyclamenwharf/src/entry/event_id.rs
+++ b/crates/cyclamenwharf/src/entry/event_id.rs
@@ -1,4 +1,4 @@
-//! The ids of events, by which a caller comes back to its generation.
+//! Ids of streamed events, with which a caller reconnects to its generation.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,18 +11,19 @@
 use snafu::OptionExt;
 use snafu::Snafu;
 
-/// Text that is not the id of an event.
+/// The error for a text that is not an event id.
 #[derive(Debug, Snafu)]
 #[snafu(display("Last-Event-ID: expected the id of an event of this service"))]
 pub(crate) struct EventIdError;
 
-/// Names a place in a generation's output, and everything that is needed to go on from there:
-/// `GENERATION/ATTEMPT/INDEX/TARGET/VERSION[/ADAPTER]`.
+/// A position in a generation's output, with all that is needed to continue from there.
+///
+/// Its text form is `GENERATION/ATTEMPT/INDEX/TARGET/VERSION[/ADAPTER]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EventId {
-    /// The attempt that wrote the event.
+    /// The attempt that produced the event.
     pub(crate) attempt: AttemptId,
-    /// The first index that the caller does not have.
+    /// The index of the first token that the caller does not have.
     pub(crate) next: TokenIndex,
     /// The target that runs the attempt.
     pub(crate) target: TargetId,
--- a/crates/cyclamenwharf/src/entry/inputs.rs
+++ b/crates/cyclamenwharf/src/entry/event_sources.rs
@@ -1,4 +1,4 @@
-//! What a generation's driver listens to.
+//! The streams and futures that a generation's driver receives events from.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -23,74 +23,79 @@
 use crate::PeerClient;
 use crate::PeerError;
 
-/// A call to an agent that is answered by frames.
+/// A call to an agent that responds with a stream of frames.
 pub(crate) struct LinkCall<M> {
-    /// The client to call with.
+    /// The HTTP client.
     pub(crate) client: PeerClient,
-    /// The agent.
+    /// The address of the agent.
     pub(crate) peer: SocketAddr,
-    /// The path.
+    /// The path of the agent's endpoint.
     pub(crate) path: &'static str,
-    /// The message.
+    /// The message in the request body.
     pub(crate) message: M,
-    /// How long the head of the answer may take.
-    pub(crate) limit: Duration,
+    /// The timeout for the head of the response.
+    pub(crate) head_timeout: Duration,
 }
 
-/// The writing of a claim.
-pub(crate) type Claiming = BoxFuture<'static, Result<(), ErrorKind>>;
+/// A future that writes a claim.
+pub(crate) type ClaimFuture = BoxFuture<'static, Result<(), ErrorKind>>;
 
-/// The open links of one generation, and other events that it waits for.
+/// The open links of one generation, and other futures that end in an event.
 #[derive(Default)]
-pub(crate) struct Inputs {
+pub(crate) struct EventSources {
     events: SelectAll<BoxStream<'static, Event>>,
     links: BTreeMap<LinkId, CancellationToken>,
 }
 
-impl Inputs {
-    /// Opens a link, after its claim if it has one: its frames, and in the end its breaking, become
-    /// events.
-    pub(crate) fn open<M>(&mut self, link: LinkId, claim: Option<Claiming>, call: LinkCall<M>)
+impl EventSources {
+    /// Opens a link, after its claim if it has one.
+    ///
+    /// The frames of the link become events, and so does its end.
+    pub(crate) fn open<M>(&mut self, link: LinkId, claim: Option<ClaimFuture>, call: LinkCall<M>)
     where
         M: Serialize + Send + Sync + 'static,
     {
         let closed = CancellationToken::new();
         let events = match claim {
-            Some(claim) => claimed(link, claim, call),
-            None => frames(link, call),
+            Some(claim) => claim_then_call(link, claim, call),
+            None => link_events(link, call),
         };
         let events = events.take_until(closed.clone().cancelled_owned());
         self.links.insert(link, closed);
         self.events.push(events.boxed());
     }
 
-    /// Closes a link: nothing more comes over it.
+    /// Closes a link, which then produces no more events.
     pub(crate) fn close(&mut self, link: LinkId) {
         if let Some(closed) = self.links.remove(&link) {
             closed.cancel();
         }
     }
 
-    /// Waits for one more event.
-    pub(crate) fn wait(&mut self, event: impl Future<Output = Event> + Send + 'static) {
+    /// Adds a future whose result becomes an event.
+    pub(crate) fn push(&mut self, event: impl Future<Output = Event> + Send + 'static) {
         self.events.push(stream::once(event).boxed());
     }
 
-    /// Returns the next event, or `None` when none can come.
+    /// Returns the next event, or `None` when there is nothing left to wait for.
     pub(crate) async fn next(&mut self) -> Option<Event> {
         self.events.next().await
     }
 }
 
-/// Dispatches only what is claimed.
-fn claimed<M>(link: LinkId, claim: Claiming, call: LinkCall<M>) -> BoxStream<'static, Event>
+/// Writes the claim, and makes the call only if that succeeds.
+fn claim_then_call<M>(
+    link: LinkId,
+    claim: ClaimFuture,
+    call: LinkCall<M>,
+) -> BoxStream<'static, Event>
 where
     M: Serialize + Send + Sync + 'static,
 {
     claim
         .map(move |claimed| match claimed {
             Ok(()) => stream::once(async move { Event::Claimed { link } })
-                .chain(frames(link, call))
+                .chain(link_events(link, call))
                 .boxed(),
             Err(kind) => stream::once(async move { Event::NotClaimed { link, kind } }).boxed(),
         })
@@ -98,7 +103,7 @@
         .boxed()
 }
 
-fn frames<M>(link: LinkId, call: LinkCall<M>) -> BoxStream<'static, Event>
+fn link_events<M>(link: LinkId, call: LinkCall<M>) -> BoxStream<'static, Event>
 where
     M: Serialize + Send + Sync + 'static,
 {
@@ -108,23 +113,23 @@
             peer,
             path,
             message,
-            limit,
+            head_timeout,
         } = call;
-        client.frames(peer, path, &message, limit).await
+        client.frames(peer, path, &message, head_timeout).await
     };
     let closed = move |effect| Event::Closed { link, effect };
     open.map(move |answer| match answer {
         Ok(frames) => frames
-            .map(move |frame| to_event(link, frame))
+            .map(move |frame| frame_event(link, frame))
             .chain(stream::once(async move { closed(Effect::Possible) }))
             .boxed(),
-        Err(error) => stream::once(async move { closed(effect(&error)) }).boxed(),
+        Err(error) => stream::once(async move { closed(possible_effect(&error)) }).boxed(),
     })
     .flatten_stream()
     .boxed()
 }
 
-fn to_event(link: LinkId, frame: Result<Frame, WireError>) -> Event {
+fn frame_event(link: LinkId, frame: Result<Frame, WireError>) -> Event {
     match frame {
         Ok(frame) => Event::Frame { link, frame },
         Err(_) => Event::Closed {
@@ -134,7 +139,7 @@
     }
 }
 
-fn effect(error: &PeerError) -> Effect {
+fn possible_effect(error: &PeerError) -> Effect {
     match error {
         PeerError::Connect { .. } | PeerError::Status { .. } => Effect::None,
         _ => Effect::Possible,
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/handle.rs
@@ -33,60 +33,61 @@
 
 use super::api::CallerApi;
 use super::claims::Claims;
-use super::frontend::Frontend;
-use super::key_book::KeyBook;
-use super::metrics::EntryMetrics;
+use super::entry_context::EntryContext;
+use super::entry_metrics::EntryMetrics;
+use super::idempotency_cache::IdempotencyCache;
 use super::peer_pool::PeerPool;
-use super::quota_gate::QuotaGate;
+use super::periodic_tasks;
 use super::router::Router;
-use super::suspicion::Suspicion;
-use super::upkeep;
-use super::wait_line::WaitLine;
+use super::shared_queue::SharedQueue;
+use super::shared_quotas::SharedQuotas;
+use super::suspicion_tracker::SuspicionTracker;
 
-/// What an entry's servers are built from.
+/// The components that an entry's callers' server is built from.
 pub struct EntryParts {
     /// The entry's settings.
     pub settings: EntrySettings,
     /// The entry's clock.
     pub clock: Clock,
-    /// The view in force.
+    /// The current view.
     pub view: SharedView,
     /// The key-value service.
     pub store: Arc<dyn KeyValue>,
-    /// The entry's metrics.
+    /// The registry for the entry's metrics.
     pub registry: Registry,
     /// The entry's health.
     pub health: Arc<Health>,
-    /// The entry's traces.
+    /// The recorded traces of generations.
     pub traces: Arc<TraceBook>,
-    /// The demands on quotas, to and from the other entries.
+    /// The quota demands sent to and received from the other entries.
     pub demands: Arc<DemandExchange>,
 }
 
-/// The entry, which takes callers' requests.
+/// The entry, which serves callers' requests.
 #[derive(Debug)]
 pub struct Entry;
 
 /// A running entry. Dropping it stops it as [`EntryHandle::kill`] does.
 pub struct EntryHandle {
-    /// Where it listens for callers.
+    /// The address of the callers' server.
     pub callers: SocketAddr,
-    /// Where it listens for other processes.
+    /// The address of the server for other processes of the deployment.
     pub peers: SocketAddr,
-    /// Where it listens for operators.
+    /// The address of the admin server for operators.
     pub admin: SocketAddr,
     supervisor: Supervisor,
-    front: Arc<Frontend>,
+    context: Arc<EntryContext>,
     server: Mutex<Option<StreamServer>>,
     traffic: Mutex<Option<Runtime>>,
 }
 
 impl Entry {
-    /// Starts an entry, with its control state and a runtime of its own for traffic.
+    /// Starts an entry with its control state, on a separate runtime for traffic.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails when the runtime cannot be created, a metric cannot be registered, or a server cannot
+    /// bind its address.
     pub async fn start(settings: EntrySettings) -> Result<EntryHandle, StartError> {
         let traffic = runtime()?;
         let supervisor = Supervisor::new("entry");
@@ -121,11 +122,13 @@
         Ok(handle)
     }
 
-    /// Starts the callers' server of an entry alone, on a control state that the caller owns.
+    /// Starts only the callers' server of an entry, with control state that the calling code
+    /// provides.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be listened on.
+    /// Fails when the runtime cannot be created, a metric cannot be registered, or the server
+    /// cannot bind its address.
     pub fn serve(parts: EntryParts) -> Result<EntryHandle, StartError> {
         serve(runtime()?, Supervisor::new("entry"), parts)
     }
@@ -140,20 +143,20 @@
     let objectives = parts.settings.slo.clone();
     let slo = SloMetrics::new(parts.clock, objectives.clone()).map_err(StartError::new)?;
     let slo = Arc::new(slo);
-    let shown = SharedSlo(Arc::clone(&slo));
-    (parts.registry.register(Box::new(shown))).map_err(StartError::new)?;
+    let shared_slo = SharedSlo(Arc::clone(&slo));
+    (parts.registry.register(Box::new(shared_slo))).map_err(StartError::new)?;
     let secret = parts.settings.secrets.peers.first();
-    let front = Arc::new(Frontend {
+    let context = Arc::new(EntryContext {
         peers: PeerPool::new(secret.map_or("", String::as_str)),
         clock: parts.clock,
         view: parts.view,
         claims: Arc::new(Claims::new(parts.store)),
-        keys: KeyBook::default(),
-        suspicion: Suspicion::new(parts.settings.host.clone()),
+        idempotency_cache: IdempotencyCache::default(),
+        suspicion: SuspicionTracker::new(parts.settings.host.clone()),
         budgets: Mutex::default(),
-        quotas: QuotaGate::new(parts.settings.host.clone(), parts.demands),
-        line: WaitLine::new(&parts.settings.limits),
-        gap: objectives.token_gap,
+        quotas: SharedQuotas::new(parts.settings.host.clone(), parts.demands),
+        queue: SharedQueue::new(&parts.settings.limits),
+        token_gap: objectives.token_gap,
         slo,
         health: parts.health,
         metrics,
@@ -166,13 +169,13 @@
         traces: parts.traces,
         settings: parts.settings,
     });
-    let server = start_server(&traffic, &supervisor, &front)?;
+    let server = start_server(&traffic, &supervisor, &context)?;
     Ok(EntryHandle {
         callers: server.local_addr(),
-        peers: front.settings.listen.peers,
-        admin: front.settings.listen.admin,
+        peers: context.settings.listen.peers,
+        admin: context.settings.listen.admin,
         supervisor,
-        front,
+        context,
         server: Mutex::new(Some(server)),
         traffic: Mutex::new(Some(traffic)),
     })
@@ -181,19 +184,19 @@
 fn start_server(
     traffic: &Runtime,
     supervisor: &Supervisor,
-    front: &Arc<Frontend>,
+    context: &Arc<EntryContext>,
 ) -> Result<StreamServer, StartError> {
-    let _inside = traffic.enter();
-    let tended = Arc::clone(front);
-    supervisor.keep("upkeep", move || upkeep::run(Arc::clone(&tended)));
+    let _runtime_guard = traffic.enter();
+    let periodic = Arc::clone(context);
+    supervisor.keep("upkeep", move || periodic_tasks::run(Arc::clone(&periodic)));
     let limits = ServerLimits {
-        connections: front.settings.limits.connections as usize,
-        head: Some(front.settings.limits.request),
+        connections: context.settings.limits.connections as usize,
+        head: Some(context.settings.limits.request),
     };
     let api = CallerApi {
-        front: Arc::clone(front),
+        context: Arc::clone(context),
     };
-    let address = front.settings.listen.callers;
+    let address = context.settings.listen.callers;
     StreamServer::start(address, limits, Arc::new(api)).map_err(StartError::new)
 }
 
@@ -206,45 +209,46 @@
 }
 
 impl EntryHandle {
-    /// Returns the recorded decisions that it keeps, oldest first, each as JSON lines.
+    /// Returns the recorded traces, oldest first, each as JSON lines.
     pub fn traces(&self) -> Vec<String> {
-        let traces = &self.front.traces;
+        let traces = &self.context.traces;
         let list = traces.list();
         list.into_iter().filter_map(|id| traces.get(id)).collect()
     }
 
-    /// Returns the targets that it takes to be alive now.
+    /// Returns the targets that the current view lists as alive.
     pub fn alive(&self) -> BTreeSet<TargetId> {
-        let view = self.front.view.load();
+        let view = self.context.view.load();
         let alive = |(_, target): &(&TargetId, &TargetView)| target.liveness == Liveness::Alive;
         let alive = view.targets.iter().filter(alive);
         alive.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Is not ready any more, and returns when all work in progress has ended.
+    /// Stops accepting requests, waits until all requests in progress have ended, and closes the
+    /// callers' server.
     pub async fn drain(&self) {
-        self.front.health.set_draining();
-        self.front.progress.close();
-        self.front.progress.wait().await;
-        let server = take(&self.server);
+        self.context.health.set_draining();
+        self.context.progress.close();
+        self.context.progress.wait().await;
+        let server = take_from(&self.server);
         if let Some(server) = server {
-            // The server closes when the last answer has been written out.
+            // The server closes once the last response has been written.
             server.close().await;
         }
     }
 
-    /// Stops at once, as a killed process would: every connection breaks.
+    /// Stops at once, as a killed process does: every connection breaks.
     pub fn kill(&self) {
         self.supervisor.stop();
-        let server = take(&self.server);
-        if let Some(traffic) = take(&self.traffic) {
+        let server = take_from(&self.server);
+        if let Some(traffic) = take_from(&self.traffic) {
             traffic.shutdown_background();
         }
         drop(server);
     }
 }
 
-fn take<T>(slot: &Mutex<Option<T>>) -> Option<T> {
+fn take_from<T>(slot: &Mutex<Option<T>>) -> Option<T> {
     slot.lock().unwrap_or_else(PoisonError::into_inner).take()
 }
 
--- a/crates/cyclamenwharf/src/entry/job.rs
+++ b/crates/cyclamenwharf/src/entry/job.rs
@@ -1,4 +1,4 @@
-//! A request that is accepted: what its attempts are made from.
+//! An accepted request, from which the messages to its targets are built.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,55 +28,55 @@
 
 use crate::EntrySettings;
 
-use super::claims::ClaimSlot;
-use super::sent::Sent;
+use super::claims::RequestClaim;
+use super::sent_attempt::SentAttempt;
 
-/// What a request's idempotency key is used for.
+/// How a request's idempotency key is used.
 #[derive(Clone, Debug)]
 pub(crate) enum KeyUse {
-    /// To find the request again in this entry.
-    Shared(String),
-    /// To run it once through all entries.
-    Claimed(Arc<ClaimSlot>),
+    /// A repeated idempotent request joins the first one within this entry.
+    Cached(String),
+    /// A claim makes the request run at most once across all entries.
+    Claimed(Arc<RequestClaim>),
 }
 
-/// A request that is accepted: what its attempts are made from.
+/// An accepted request, from which the messages to its targets are built.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// The generation.
+    /// The generation's id.
     pub(crate) generation: GenerationId,
-    /// The workspace that asks.
+    /// The workspace of the caller.
     pub(crate) workspace: WorkspaceId,
-    /// The route that serves it.
+    /// The route that the request names.
     pub(crate) route: RouteName,
-    /// What the route sends its callers to.
-    pub(crate) to: RouteTarget,
+    /// The model or plain service that the route leads to, with the pinned version and adapter.
+    pub(crate) destination: RouteTarget,
     /// The weight of the workspace.
     pub(crate) weight: u32,
     /// The route's priority.
     pub(crate) priority: PriorityName,
     /// The rank of the route's priority.
     pub(crate) rank: u8,
-    /// How lost attempts are recovered.
+    /// The recovery mode for lost attempts.
     pub(crate) recovery: Recovery,
-    /// The request's fingerprint.
+    /// The fingerprint, which is the same for equal requests of one workspace.
     pub(crate) fingerprint: Fingerprint,
-    /// What the generation's machine starts from.
+    /// The plan that the generation's state machine starts from.
     pub(crate) plan: Plan,
-    /// The work, without output of earlier attempts.
+    /// The work, without the output of earlier attempts.
     pub(crate) work: Work,
     /// The size of the request's body.
-    pub(crate) size: ByteSize,
-    /// The seed that the caller asked for.
-    pub(crate) seed: Option<u64>,
-    /// What its idempotency key is used for.
+    pub(crate) body_size: ByteSize,
+    /// The sampling seed from the caller's request.
+    pub(crate) requested_seed: Option<u64>,
+    /// How the idempotency key is used, if the request has one.
     pub(crate) key: Option<KeyUse>,
-    /// Where the attempt was sent that it joins.
-    pub(crate) known: Option<Sent>,
+    /// The earlier attempt that this request joins.
+    pub(crate) joined: Option<SentAttempt>,
 }
 
 impl Job {
-    /// Sets what the idempotency key is used for.
+    /// Sets how the idempotency key is used.
     #[must_use]
     pub(crate) fn with_key(mut self, key: KeyUse) -> Self {
         self.plan.claimed = matches!(key, KeyUse::Claimed(_));
@@ -84,27 +84,27 @@
         self
     }
 
-    /// Joins an attempt that was dispatched for an earlier call.
+    /// Makes the request join an attempt that was dispatched for an earlier call.
     #[must_use]
-    pub(crate) fn join(mut self, sent: Sent) -> Self {
+    pub(crate) fn join(mut self, sent: SentAttempt) -> Self {
         self.generation = sent.id.generation;
         self.plan.running = Some(sent.target.clone());
         self.plan.first = sent.id.attempt;
-        self.plan.next = taken_over();
-        self.known = Some(sent);
+        self.plan.next = takeover_attempt();
+        self.joined = Some(sent);
         if let Work::Generate(work) = &mut self.work {
-            work.sampling.seed = self.seed.unwrap_or(drawn_seed(self.generation));
+            work.sampling.seed = self.requested_seed.unwrap_or(derived_seed(self.generation));
         }
         self
     }
 
-    /// Pins the version to the one that an earlier call began with.
+    /// Pins the model version to the one that an earlier call started with.
     #[must_use]
-    pub(crate) fn pinned(mut self, earlier: Option<VersionName>) -> Self {
+    pub(crate) fn pin_version(mut self, earlier: Option<VersionName>) -> Self {
         let Some(earlier) = earlier else {
             return self;
         };
-        if let RouteTarget::Model { version, .. } = &mut self.to {
+        if let RouteTarget::Model { version, .. } = &mut self.destination {
             *version = earlier.clone();
         }
         if let Work::Generate(work) = &mut self.work {
@@ -113,8 +113,8 @@
         self
     }
 
-    /// Returns the claim of an attempt.
-    pub(crate) fn claim(&self, sent: &Sent) -> Claim {
+    /// Returns the claim for an attempt, still without an id.
+    pub(crate) fn claim(&self, sent: &SentAttempt) -> Claim {
         let version = match &self.work {
             Work::Generate(work) => Some(work.version.clone()),
             Work::Call(_) => None,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Returns the message that dispatches an attempt for the first time.
-    pub(crate) fn dispatch(
+    /// Returns the message that dispatches an attempt, which starts after the tokens `so_far`.
+    pub(crate) fn dispatch_message(
         &self,
         attempt: AttemptNo,
         stamp: Stamp,
@@ -145,7 +145,7 @@
             generate.so_far = so_far;
         }
         Dispatch {
-            id: self.attempt(attempt),
+            id: self.attempt_id(attempt),
             stamp,
             repeat: false,
             workspace: self.workspace.clone(),
@@ -164,24 +164,28 @@
     }
 
     /// Returns the id of an attempt.
-    pub(crate) fn attempt(&self, attempt: AttemptNo) -> AttemptId {
+    pub(crate) fn attempt_id(&self, attempt: AttemptNo) -> AttemptId {
         AttemptId {
             generation: self.generation,
             attempt,
         }
     }
 
-    /// Returns the limits that the generation is held to.
+    /// Returns the limits for the generation's state machine.
     pub(crate) fn limits(&self, settings: &EntrySettings) -> Limits {
         let recovery = &settings.recovery;
         let (silence, stall, hedges) = match self.recovery {
-            Recovery::Latency => (recovery.latency_silence, recovery.latency_stall, HEDGES),
+            Recovery::Latency => (
+                recovery.latency_silence,
+                recovery.latency_stall,
+                LATENCY_HEDGES,
+            ),
             Recovery::Thrift => (recovery.thrift_silence, recovery.stall, 1),
         };
         Limits {
             silence,
             stall,
-            first: stall * FIRST_FACTOR,
+            first: stall * FIRST_TOKEN_FACTOR,
             head: recovery.head,
             reattach: recovery.reattach,
             attempts: recovery.attempts,
@@ -193,32 +197,37 @@
     }
 }
 
-/// Returns a number for the next attempt of a generation that another entry began.
+/// Returns a number for the next attempt of a generation that another entry started.
 ///
-/// It is drawn, so that no two entries that take over give the same number to different attempts.
-pub(crate) fn taken_over() -> AttemptNo {
-    AttemptNo(rand::random_range(TAKEN_OVER))
+/// The number is random, so that two entries that take over the same generation do not give one
+/// number to different attempts.
+pub(crate) fn takeover_attempt() -> AttemptNo {
+    AttemptNo(rand::random_range(TAKEOVER_ATTEMPTS))
 }
 
-/// The numbers of attempts of entries that take over: above those of the first entry, and with
-/// room for as many attempts as one entry makes.
-const TAKEN_OVER: std::ops::Range<u32> = 1 << 16..1 << 31;
+/// The range of the first attempt number of an entry that takes over a generation.
+///
+/// It lies above the numbers of the first entry, and leaves room above it for as many attempts as
+/// one entry makes.
+const TAKEOVER_ATTEMPTS: std::ops::Range<u32> = 1 << 16..1 << 31;
 
-/// Returns the seed of a generation whose caller asked for none.
+/// Returns the sampling seed of a generation whose caller set none.
 ///
-/// It follows from the generation, so that an entry that takes over draws the same tokens.
-pub(crate) fn drawn_seed(generation: GenerationId) -> u64 {
+/// It is derived from the generation's id, so that an entry that takes over samples the same
+/// tokens.
+pub(crate) fn derived_seed(generation: GenerationId) -> u64 {
     xxh3_64(&generation.0.to_be_bytes())
 }
 
-/// How many attempts race to replace a lost one with `recovery = "latency"`.
-const HEDGES: u32 = 2;
+/// How many attempts race to replace a lost one under `recovery = "latency"`.
+const LATENCY_HEDGES: u32 = 2;
 
-/// How much longer than between tokens an engine may take to begin a resumed output.
-const FIRST_FACTOR: u32 = 2;
+/// The stall limit before the first token of a resumed output, as a multiple of the limit between
+/// tokens.
+const FIRST_TOKEN_FACTOR: u32 = 2;
 
-/// How long a resumed attempt may wait at an agent: another one may begin it sooner.
+/// How long a resumed attempt may wait at an agent, because another agent may start it sooner.
 const RESUME_PATIENCE: Duration = Duration::from_millis(1000);
 
-/// The pause before busy targets are asked again to go on with a lost attempt.
+/// The delay before busy targets are asked again to continue a lost attempt.
 const RESUME_BACKOFF: Duration = Duration::from_millis(100);
--- a/crates/cyclamenwharf/src/entry/mod.rs
+++ b/crates/cyclamenwharf/src/entry/mod.rs
@@ -1,34 +1,34 @@
-//! The entry, which takes callers' requests.
+//! The entry, which serves callers' requests.
 
+mod answer_format;
 mod api;
+mod api_error;
 mod attempts;
 mod caller;
-mod calls;
 mod claims;
-mod completion;
+mod completion_request;
+mod completions;
 mod delivery;
 mod driver;
+mod entry_context;
+mod entry_metrics;
+mod event_body;
 mod event_id;
-mod events;
-mod format;
-mod frontend;
+mod event_sources;
 mod handle;
-mod inputs;
+mod idempotency;
+mod idempotency_cache;
 mod job;
-mod key_book;
-mod keyed;
-mod metrics;
 mod models;
 mod output;
 mod peer_pool;
-mod quota_gate;
-mod refusal;
+mod periodic_tasks;
 mod router;
-mod sent;
+mod sent_attempt;
 mod service;
-mod suspicion;
-mod upkeep;
-mod wait_line;
+mod shared_queue;
+mod shared_quotas;
+mod suspicion_tracker;
 
 pub use handle::Entry;
 pub use handle::EntryHandle;
--- a/crates/cyclamenwharf/src/entry/models.rs
+++ b/crates/cyclamenwharf/src/entry/models.rs
@@ -1,4 +1,4 @@
-//! The list of models.
+//! The endpoint that lists the models.
 
 use cw_types::RouteTarget;
 use dropshot::Body;
@@ -6,10 +6,10 @@
 use http::Response;
 use serde::Serialize;
 
+use super::api_error::ApiError;
+use super::api_error::json_response;
 use super::caller::Caller;
-use super::frontend::Frontend;
-use super::refusal::Refusal;
-use super::refusal::json_response;
+use super::entry_context::EntryContext;
 
 #[derive(Serialize)]
 struct ModelList<'a> {
@@ -24,11 +24,14 @@
     owned_by: &'static str,
 }
 
-/// Answers `GET /v1/models` with the routes that the caller may use.
-pub(crate) fn list(front: &Frontend, headers: &HeaderMap) -> Result<Response<Body>, Refusal> {
-    let _progress = front.admit()?;
-    let view = front.view.load();
-    let caller = Caller::of(&view, headers)?;
+/// Answers `GET /v1/models` with the model routes that the caller may use.
+pub(crate) fn list(
+    context: &EntryContext,
+    headers: &HeaderMap,
+) -> Result<Response<Body>, ApiError> {
+    let _progress = context.admit()?;
+    let view = context.view.load();
+    let caller = Caller::authenticate(&view, headers)?;
     let routes = view.config.routes.iter();
     let data = routes
         .filter(|(_, route)| caller.may_use(route))
--- a/crates/cyclamenwharf/src/entry/output.rs
+++ b/crates/cyclamenwharf/src/entry/output.rs
@@ -1,4 +1,4 @@
-//! What a generation's driver hands to the answer that its caller reads.
+//! The output that a generation's driver sends to the code that writes the response.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use cw_wire::FinishReason;
 use cw_wire::Token;
 
-use super::refusal::Refusal;
+use super::api_error::ApiError;
 
-/// Tokens for the caller.
+/// Consecutive tokens from one attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct Piece {
-    /// The index of the first.
+pub(crate) struct TokenChunk {
+    /// The index of the first token.
     pub(crate) first: TokenIndex,
-    /// The attempt that made them.
+    /// The attempt that produced the tokens.
     pub(crate) attempt: AttemptNo,
     /// The target that runs the attempt.
     pub(crate) target: TargetId,
@@ -24,26 +24,26 @@
     pub(crate) tokens: Vec<Token>,
 }
 
-/// The whole answer of a plain service.
+/// The full answer of a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceAnswer {
     /// The HTTP status.
     pub(crate) status: u16,
-    /// End-to-end headers.
+    /// The end-to-end headers.
     pub(crate) headers: BTreeMap<String, String>,
     /// The body.
     pub(crate) body: Bytes,
 }
 
-/// What a generation's driver hands to the answer that its caller reads.
+/// One output of a generation's driver.
 #[derive(Clone, Debug)]
 pub(crate) enum Output {
-    /// Tokens.
-    Piece(Piece),
-    /// The output is whole.
-    Finish(FinishReason),
-    /// The whole answer of a plain service.
+    /// More tokens.
+    Tokens(TokenChunk),
+    /// The output is complete.
+    Finished(FinishReason),
+    /// The full answer of a plain service.
     Answer(ServiceAnswer),
-    /// There will be no whole answer.
-    Refusal(Refusal),
+    /// The request failed, and no more output follows.
+    Error(ApiError),
 }
--- a/crates/cyclamenwharf/src/entry/peer_pool.rs
+++ b/crates/cyclamenwharf/src/entry/peer_pool.rs
@@ -1,4 +1,4 @@
-//! One client for each agent.
+//! A pool with one HTTP client for each agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,8 @@
 
 use crate::PeerClient;
 
-/// One client for each agent, so that its connections can be given up together.
+/// A pool with one HTTP client for each agent, so that all connections to an agent can be dropped
+/// together.
 #[derive(Debug)]
 pub(crate) struct PeerPool {
     template: PeerClient,
@@ -15,7 +16,7 @@
 }
 
 impl PeerPool {
-    /// Returns a pool whose clients show `secret` to their peers.
+    /// Creates a pool whose clients authenticate to their peers with `secret`.
     pub(crate) fn new(secret: &str) -> Self {
         Self {
             template: PeerClient::new(secret),
@@ -32,10 +33,10 @@
             .clone()
     }
 
-    /// Gives up all idle connections to `peer`, and returns a client that makes a new one.
+    /// Drops all idle connections to `peer`, and returns a client that opens new ones.
     ///
-    /// When one connection has gone silent, the others of its age may have too.
-    pub(crate) fn renew(&self, peer: SocketAddr) -> PeerClient {
+    /// When one connection no longer responds, other connections of the same age may not either.
+    pub(crate) fn replace_client(&self, peer: SocketAddr) -> PeerClient {
         let client = self.template.fresh();
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients.insert(peer, client.clone());
--- a/crates/cyclamenwharf/src/entry/router.rs
+++ b/crates/cyclamenwharf/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! The choice of targets, shared by all requests of an entry.
+//! Target selection, shared by all requests of an entry.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,42 +27,42 @@
 
 use super::job::Job;
 
-/// How many bytes of text are counted as one token.
-const TOKEN_BYTES: usize = 4;
+/// The number of bytes of text that count as one token in estimates of prompt length.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// A view with the index made from it.
+/// A view together with the target index built from it.
 #[derive(Debug)]
-struct Indexed {
+struct IndexedView {
     view: Arc<View>,
     index: TargetIndex,
 }
 
-/// The choice of targets, shared by all requests of an entry.
+/// Selects targets for attempts, with state shared by all requests of an entry.
 #[derive(Debug)]
 pub(crate) struct Router {
     zone: ZoneId,
     region: RegionId,
     policy: Policy,
     dispatches: Mutex<DispatchLog>,
-    indexed: ArcSwapOption<Indexed>,
+    indexed_view: ArcSwapOption<IndexedView>,
 }
 
 impl Router {
-    /// Returns a router for an entry in `zone` of `region`.
+    /// Creates a router for an entry in the availability zone `zone` of `region`.
     pub(crate) fn new(zone: ZoneId, region: RegionId, policy: Policy) -> Self {
         Self {
             zone,
             region,
             policy,
             dispatches: Mutex::default(),
-            indexed: ArcSwapOption::empty(),
+            indexed_view: ArcSwapOption::empty(),
         }
     }
 
-    /// Returns what is needed of a target by every attempt of a job.
-    pub(crate) fn request(&self, job: &Job) -> RouteRequest {
+    /// Returns the routing request for the attempts of `job`.
+    pub(crate) fn route_request(&self, job: &Job) -> RouteRequest {
         let request = RouteRequest::new(
-            job.to.clone(),
+            job.destination.clone(),
             job.workspace.clone(),
             self.zone.clone(),
             self.region.clone(),
@@ -90,26 +90,32 @@
     ) -> Choice {
         let mut request = request.clone();
         request.excluded.extend(excluded.iter().cloned());
-        let indexed = self.indexed(now, view);
+        let indexed = self.indexed_view(now, view);
         let dispatches = self.dispatches();
         indexed
             .index
             .choose(now, self.policy, &request, &dispatches, &mut rand::rng())
     }
 
-    /// Returns about how many more attempts the targets can take now, if there are any targets.
-    pub(crate) fn room(&self, now: Time, view: &Arc<View>, to: &RouteTarget) -> Option<usize> {
-        let indexed = self.indexed(now, view);
+    /// Estimates how many more attempts the targets can take now; `None` when there are no targets.
+    pub(crate) fn capacity(&self, now: Time, view: &Arc<View>, to: &RouteTarget) -> Option<usize> {
+        let indexed = self.indexed_view(now, view);
         indexed.index.spare_capacity(now, to, &self.dispatches())
     }
 
     /// Records that an attempt was sent to `target`.
-    pub(crate) fn sent(&self, now: Time, target: &TargetId, request: &RouteRequest) {
+    pub(crate) fn record_dispatch(&self, now: Time, target: &TargetId, request: &RouteRequest) {
         self.dispatches().record_dispatch(now, target, request);
     }
 
-    /// Learns how much of a prompt `target` had cached; it has all of it now.
-    pub(crate) fn accepted(&self, target: &TargetId, request: &RouteRequest, cached: TokenCount) {
+    /// Records how much of a prompt `target` had cached; from now on it has the whole prompt
+    /// cached.
+    pub(crate) fn record_accepted(
+        &self,
+        target: &TargetId,
+        request: &RouteRequest,
+        cached: TokenCount,
+    ) {
         if !request.blocks.is_empty() {
             let mut dispatches = self.dispatches();
             let cache_index = &mut dispatches.cache_index;
@@ -117,33 +123,33 @@
         }
     }
 
-    /// Forgets what `target` had cached, since its engine died.
-    pub(crate) fn crashed(&self, target: &TargetId) {
+    /// Discards what is known of the prompt cache of `target`, because its engine has crashed.
+    pub(crate) fn record_crash(&self, target: &TargetId) {
         self.dispatches().cache_index.forget(target);
     }
 
     /// Records that an attempt has ended, `held` after it was sent.
-    pub(crate) fn ended(&self, now: Time, target: &TargetId, held: Duration) {
+    pub(crate) fn record_end(&self, now: Time, target: &TargetId, held: Duration) {
         self.dispatches().record_end(now, target, held);
     }
 
-    /// Records that a target refused an attempt and asked for `retry` before the next one.
-    pub(crate) fn refused(&self, now: Time, target: &TargetId, retry: Duration) {
+    /// Records that a target refused an attempt and asked to wait `retry` before the next one.
+    pub(crate) fn record_refusal(&self, now: Time, target: &TargetId, retry: Duration) {
         self.dispatches().record_refusal(now, target, retry);
     }
 
-    /// Returns the index of `view`, which is made once for each view.
-    fn indexed(&self, now: Time, view: &Arc<View>) -> Arc<Indexed> {
-        let known = self.indexed.load_full();
+    /// Returns `view` with its index, which is built once for each view.
+    fn indexed_view(&self, now: Time, view: &Arc<View>) -> Arc<IndexedView> {
+        let known = self.indexed_view.load_full();
         if let Some(known) = known.filter(|known| Arc::ptr_eq(&known.view, view)) {
             return known;
         }
         self.dispatches().observe(now, view);
-        let indexed = Arc::new(Indexed {
+        let indexed = Arc::new(IndexedView {
             view: Arc::clone(view),
             index: TargetIndex::new(view),
         });
-        self.indexed.store(Some(Arc::clone(&indexed)));
+        self.indexed_view.store(Some(Arc::clone(&indexed)));
         indexed
     }
 
@@ -154,14 +160,14 @@
     }
 }
 
-/// Returns about how many tokens a prompt has.
+/// Returns the number of tokens of a prompt, which is an estimate for text and chat.
 pub(crate) fn prompt_tokens(work: &Generate) -> usize {
     match &work.prompt {
         Prompt::Ids(ids) => ids.len(),
-        Prompt::Text(text) => text.len() / TOKEN_BYTES,
+        Prompt::Text(text) => text.len() / BYTES_PER_TOKEN,
         Prompt::Chat(messages) => {
             let bytes: usize = messages.iter().map(|message| message.content.len()).sum();
-            bytes / TOKEN_BYTES
+            bytes / BYTES_PER_TOKEN
         }
     }
 }
--- a/crates/cyclamenwharf/src/entry/sent.rs
+++ b/crates/cyclamenwharf/src/entry/sent_attempt.rs
@@ -1,4 +1,4 @@
-//! Where an attempt was sent.
+//! An attempt that was sent to its target.
 
 use std::net::SocketAddr;
 
@@ -10,21 +10,21 @@
 
 /// An attempt that was sent to its target.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
-    /// The attempt.
+pub(crate) struct SentAttempt {
+    /// The id of the attempt.
     pub(crate) id: AttemptId,
-    /// Its target.
+    /// The target.
     pub(crate) target: TargetId,
-    /// Where the agent of that target listens.
+    /// The address of the target's agent.
     pub(crate) peer: SocketAddr,
-    /// The stamp of the attempt.
+    /// The stamp that the attempt was sent with.
     pub(crate) stamp: Stamp,
-    /// When it was sent.
+    /// When the attempt was sent, or when this entry joined it.
     pub(crate) at: Time,
 }
 
-impl Sent {
-    /// Returns the message that cancels it.
+impl SentAttempt {
+    /// Returns the message that cancels the attempt.
     pub(crate) fn cancel(&self) -> Cancel {
         Cancel {
             id: self.id,
--- a/crates/cyclamenwharf/src/entry/service.rs
+++ b/crates/cyclamenwharf/src/entry/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! The endpoint for calls to plain services.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,23 +23,24 @@
 use http_body_util::Full;
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::api_error::ApiError;
 use super::caller::Caller;
 use super::caller::IDEMPOTENT_HEADER;
 use super::caller::is_idempotent;
-use super::calls;
-use super::frontend::Frontend;
+use super::completions;
+use super::entry_context::EntryContext;
+use super::idempotency;
+use super::idempotency::read_idempotency_key;
 use super::job::Job;
-use super::keyed;
-use super::keyed::key_of;
 use super::output::Output;
 use super::output::ServiceAnswer;
-use super::refusal::Refusal;
 
-/// The prefix of paths to plain services.
-const PREFIX: &str = "/v1/services/";
+/// The path prefix of calls to plain services.
+const SERVICE_PREFIX: &str = "/v1/services/";
 
-/// Headers that end at this entry: those of one connection, and the caller's secret.
-const NOT_PASSED: [&str; 12] = [
+/// Request headers that are not forwarded to the service: those that apply to the connection or
+/// to this entry only, and the caller's credentials.
+const UNFORWARDED_HEADERS: [&str; 12] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -56,86 +57,86 @@
 
 /// Answers a request to `/v1/services/{service}/{path}`.
 pub(crate) async fn call(
-    front: &Arc<Frontend>,
+    context: &Arc<EntryContext>,
     service: &str,
     request: Request<Body>,
-) -> Result<Response<Body>, Refusal> {
-    let _progress = front.admit()?;
+) -> Result<Response<Body>, ApiError> {
+    let _progress = context.admit()?;
     let (parts, body) = request.into_parts();
-    let view = front.view.load_full();
-    let caller = Caller::of(&view, &parts.headers)?;
-    let (name, route) = caller.route(&view, service)?;
+    let view = context.view.load_full();
+    let caller = Caller::authenticate(&view, &parts.headers)?;
+    let (name, route) = caller.find_route(&view, service)?;
     let RouteTarget::Service { .. } = route.to else {
-        return Err(Refusal::new(ErrorKind::UnknownModel));
+        return Err(ApiError::new(ErrorKind::UnknownModel));
     };
-    let key = key_of(&parts.headers)?;
+    let key = read_idempotency_key(&parts.headers)?;
     let idempotent = is_idempotent(&route, &parts.headers)?;
     let call = Call {
         head: CallHead {
             method: parts.method.to_string(),
-            path: path_below(service, &parts.uri),
-            headers: passed(&parts.headers),
+            path: path_in_service(service, &parts.uri),
+            headers: forwarded_headers(&parts.headers),
         },
-        body: calls::read_body(front, body).await?,
+        body: completions::read_body(context, body).await?,
     };
     let job = Job {
         generation: GenerationId(rand::random()),
         workspace: caller.workspace.clone(),
         route: name,
-        to: route.to.clone(),
+        destination: route.to.clone(),
         weight: caller.weight,
         priority: route.priority.clone(),
-        rank: calls::rank(&view, &route),
+        rank: completions::rank(&view, &route),
         recovery: route.recovery,
         fingerprint: fingerprint(&caller, &call)?,
         plan: Plan::call(route.patience).with_idempotent(idempotent),
-        size: ByteSize(call.body.len() as u64),
+        body_size: ByteSize(call.body.len() as u64),
         work: Work::Call(call),
-        seed: None,
+        requested_seed: None,
         key: None,
-        known: None,
+        joined: None,
     };
-    match keyed::start(front, job, key).await?.first {
-        Output::Answer(answer) => to_response(answer),
-        Output::Refusal(refusal) => Err(refusal),
-        _ => Err(Refusal::new(ErrorKind::Internal)),
+    match idempotency::start(context, job, key).await?.first {
+        Output::Answer(answer) => into_response(answer),
+        Output::Error(error) => Err(error),
+        _ => Err(ApiError::new(ErrorKind::Internal)),
     }
 }
 
-/// Returns the path and query below a service, as they were written.
-fn path_below(service: &str, uri: &http::Uri) -> String {
+/// Returns the path and query after the service's name, unchanged from the request.
+fn path_in_service(service: &str, uri: &http::Uri) -> String {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
-    let below = path.strip_prefix(PREFIX).unwrap_or(path);
+    let below = path.strip_prefix(SERVICE_PREFIX).unwrap_or(path);
     let below = below.strip_prefix(service).unwrap_or(below);
     format!("/{}", below.trim_start_matches('/'))
 }
 
-fn passed(headers: &HeaderMap) -> BTreeMap<String, String> {
+fn forwarded_headers(headers: &HeaderMap) -> BTreeMap<String, String> {
     headers
         .iter()
-        .filter(|(name, _)| !NOT_PASSED.contains(&name.as_str()))
+        .filter(|(name, _)| !UNFORWARDED_HEADERS.contains(&name.as_str()))
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
         .collect()
 }
 
-fn fingerprint(caller: &Caller, call: &Call) -> Result<Fingerprint, Refusal> {
-    let what = (
+fn fingerprint(caller: &Caller, call: &Call) -> Result<Fingerprint, ApiError> {
+    let identity = (
         &caller.workspace,
         &call.head.method,
         &call.head.path,
         &call.body,
     );
-    let bytes = cw_wire::encode(&what).map_err(Refusal::bad_request)?;
+    let bytes = cw_wire::encode(&identity).map_err(ApiError::bad_request)?;
     Ok(Fingerprint(xxh3_64(&bytes)))
 }
 
-fn to_response(answer: ServiceAnswer) -> Result<Response<Body>, Refusal> {
-    let broken = || Refusal::new(ErrorKind::TargetFailed);
+fn into_response(answer: ServiceAnswer) -> Result<Response<Body>, ApiError> {
+    let invalid_answer = || ApiError::new(ErrorKind::TargetFailed);
     let mut response = Response::new(Body::wrap(Full::new(answer.body)));
-    *response.status_mut() = StatusCode::from_u16(answer.status).map_err(|_| broken())?;
+    *response.status_mut() = StatusCode::from_u16(answer.status).map_err(|_| invalid_answer())?;
     for (name, value) in &answer.headers {
-        let name: HeaderName = name.parse().map_err(|_| broken())?;
-        let value: HeaderValue = value.parse().map_err(|_| broken())?;
+        let name: HeaderName = name.parse().map_err(|_| invalid_answer())?;
+        let value: HeaderValue = value.parse().map_err(|_| invalid_answer())?;
         let framing = [header::CONTENT_LENGTH, header::TRANSFER_ENCODING];
         if !framing.contains(&name) {
             response.headers_mut().append(name, value);
--- a/crates/cyclamenwharf/src/entry/wait_line.rs
+++ b/crates/cyclamenwharf/src/entry/shared_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a target, shared by all requests of an entry.
+//! The queue of requests that wait for a target, shared by all requests of an entry.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -19,16 +19,16 @@
 
 use crate::LimitSettings;
 
-/// What became of a request that waited.
+/// How a request leaves the queue.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Turn {
-    /// It may choose a target.
+pub(crate) enum QueueOutcome {
+    /// The request may choose a target.
     Start,
-    /// It is refused.
+    /// The request is refused.
     Refuse {
-        /// Why.
+        /// The kind of error.
         kind: ErrorKind,
-        /// When the caller should call again.
+        /// The delay after which the caller may retry.
         retry: Duration,
     },
 }
@@ -36,17 +36,17 @@
 #[derive(Debug)]
 struct Inner {
     queue: RequestQueue,
-    waiting: BTreeMap<GenerationId, oneshot::Sender<Turn>>,
+    waiting: BTreeMap<GenerationId, oneshot::Sender<QueueOutcome>>,
 }
 
-/// Requests that wait for a target, shared by all requests of an entry.
+/// The queue of requests that wait for a target, shared by all requests of an entry.
 #[derive(Debug)]
-pub(crate) struct WaitLine {
+pub(crate) struct SharedQueue {
     inner: Mutex<Inner>,
 }
 
-impl WaitLine {
-    /// Returns an empty line.
+impl SharedQueue {
+    /// Creates an empty queue.
     pub(crate) fn new(limits: &LimitSettings) -> Self {
         let limits = QueueLimits {
             max_requests: limits.queue as usize,
@@ -62,13 +62,15 @@
         }
     }
 
-    /// Lets a request wait; one that has waited before gets its old place.
-    pub(crate) fn wait(
+    /// Adds a request to the queue, and returns the channel that reports how it leaves the queue.
+    ///
+    /// With `again`, the request has been queued before and gets its former place.
+    pub(crate) fn enqueue(
         &self,
         now: Time,
         request: QueuedRequest,
         again: bool,
-    ) -> oneshot::Receiver<Turn> {
+    ) -> oneshot::Receiver<QueueOutcome> {
         let (sender, receiver) = oneshot::channel();
         let mut inner = self.lock();
         inner.waiting.insert(request.id, sender);
@@ -76,37 +78,37 @@
             true => QueueEvent::Returned(request),
             false => QueueEvent::Offered(request),
         };
-        inner.feed(now, event);
+        inner.on_event(now, event);
         receiver
     }
 
-    /// Forgets a request whose caller has gone.
-    pub(crate) fn leave(&self, now: Time, id: GenerationId) {
+    /// Removes a request that no longer waits for a target; does nothing if it is not queued.
+    pub(crate) fn remove(&self, now: Time, id: GenerationId) {
         let mut inner = self.lock();
         if inner.waiting.remove(&id).is_some() {
-            inner.feed(now, QueueEvent::CallerGone(id));
+            inner.on_event(now, QueueEvent::CallerGone(id));
         }
     }
 
-    /// Lets one request of a target pool go on; returns whether there was one.
+    /// Starts one queued request of a target pool, and returns whether there was one.
     pub(crate) fn start_one(&self, now: Time, pool: &TargetPool) -> bool {
         let mut inner = self.lock();
         let before = inner.queue.len();
-        inner.feed(now, QueueEvent::CapacityAvailable(pool.clone()));
+        inner.on_event(now, QueueEvent::CapacityAvailable(pool.clone()));
         inner.queue.len() < before
     }
 
-    /// Gives up requests past their deadlines, and returns the target pools that others wait for.
-    pub(crate) fn tick(&self, now: Time) -> Vec<TargetPool> {
+    /// Refuses requests past their deadlines, and returns the target pools that others wait for.
+    pub(crate) fn refuse_expired(&self, now: Time) -> Vec<TargetPool> {
         let mut inner = self.lock();
         if inner.queue.is_empty() {
             return Vec::new();
         }
-        inner.feed(now, QueueEvent::Tick);
+        inner.on_event(now, QueueEvent::Tick);
         inner.queue.waiting_pools().cloned().collect()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.lock().queue.len()
     }
@@ -117,19 +119,19 @@
 }
 
 impl Inner {
-    fn feed(&mut self, now: Time, event: QueueEvent) {
+    fn on_event(&mut self, now: Time, event: QueueEvent) {
         for step in self.queue.on_event(now, event, &mut rand::rng()) {
-            let (id, turn) = match step {
-                QueueStep::Start(request) => (request.id, Turn::Start),
+            let (id, outcome) = match step {
+                QueueStep::Start(request) => (request.id, QueueOutcome::Start),
                 QueueStep::Refuse {
                     request,
                     kind,
                     retry,
-                } => (request.id, Turn::Refuse { kind, retry }),
+                } => (request.id, QueueOutcome::Refuse { kind, retry }),
             };
             if let Some(sender) = self.waiting.remove(&id) {
-                // A driver that is gone needs no turn.
-                let _ = sender.send(turn);
+                // A driver that has ended has closed the channel and needs no result.
+                let _ = sender.send(outcome);
             }
         }
     }
--- a/crates/cyclamenwharf/src/entry/quota_gate.rs
+++ b/crates/cyclamenwharf/src/entry/shared_quotas.rs
@@ -1,4 +1,4 @@
-//! The quotas of workspaces, shared by all requests of an entry.
+//! Enforcement of workspace quotas, shared by all requests of an entry.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,30 +19,31 @@
 
 use crate::DemandExchange;
 
-use super::refusal::Refusal;
+use super::api_error::ApiError;
 
-/// How many relays a demand passes on its way.
+/// The number of relays that a demand passes through on its way.
 const RELAYS: u32 = 2;
 
-/// What the calls between relays may take, and the time between two statements of demand.
-const SLACK: Duration = Duration::from_secs(1);
+/// Time for the calls between relays and for the interval between two published demands.
+const STALE_MARGIN: Duration = Duration::from_secs(1);
 
-/// The quotas of workspaces, shared by all requests of an entry.
+/// The workspace quotas, shared by all requests of an entry.
 #[derive(Clone, Debug)]
-pub(crate) struct QuotaGate {
+pub(crate) struct SharedQuotas {
     quotas: Arc<Mutex<Quotas>>,
     demands: Arc<DemandExchange>,
 }
 
-/// A request that counts against its workspace's quota until it is dropped.
+/// Counts a request against its workspace's quota until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct QuotaGuard {
-    gate: QuotaGate,
+    quotas: SharedQuotas,
     workspace: WorkspaceId,
 }
 
-impl QuotaGate {
-    /// Returns the quotas at the entry on `host`, shared with others by `demands`.
+impl SharedQuotas {
+    /// Creates the quotas for the entry on `host`, which shares demands with other entries through
+    /// `demands`.
     pub(crate) fn new(host: HostId, demands: Arc<DemandExchange>) -> Self {
         let quotas = Quotas::new(host, QuotaSettings::default());
         Self {
@@ -51,43 +52,44 @@
         }
     }
 
-    /// Admits a request with a prompt of `tokens`.
+    /// Admits a request whose prompt has about `tokens` tokens.
     ///
     /// # Errors
     ///
-    /// Refuses one over its workspace's quota.
+    /// Returns [`ErrorKind::OverQuota`] when the workspace is over its quota, and
+    /// [`ErrorKind::Unauthorized`] when the workspace is unknown.
     pub(crate) fn admit(
         &self,
         now: Time,
         view: &View,
         workspace: &WorkspaceId,
         tokens: u64,
-    ) -> Result<QuotaGuard, Refusal> {
+    ) -> Result<QuotaGuard, ApiError> {
         let Some(record) = view.config.workspaces.get(workspace) else {
-            return Err(Refusal::new(ErrorKind::Unauthorized));
+            return Err(ApiError::new(ErrorKind::Unauthorized));
         };
         let quota = &record.quota;
-        let step = (self.lock()).admit(now, workspace, quota, tokens, &mut rand::rng());
-        match step {
+        let decision = (self.lock()).admit(now, workspace, quota, tokens, &mut rand::rng());
+        match decision {
             QuotaDecision::Admit => Ok(QuotaGuard {
-                gate: self.clone(),
+                quotas: self.clone(),
                 workspace: workspace.clone(),
             }),
             QuotaDecision::Refuse { retry } => {
-                Err(Refusal::new(ErrorKind::OverQuota).with_retry(retry))
+                Err(ApiError::new(ErrorKind::OverQuota).with_retry(retry))
             }
         }
     }
 
-    /// Hears what other entries want, and states what this one wants.
-    pub(crate) fn exchange(&self, now: Time, view: &View) {
+    /// Takes in the demands of other entries, and publishes the demand of this one.
+    pub(crate) fn exchange_demands(&self, now: Time, view: &View) {
         let hosts: BTreeSet<HostId> = view.entries.iter().map(|e| e.host.clone()).collect();
-        let heard = self.demands.take();
+        let received = self.demands.take();
         let mut quotas = self.lock();
         quotas.set_entries(&hosts);
         let period = Relay::period(hosts.len());
-        quotas.set_stale(period * RELAYS + SLACK);
-        for (at, demand) in heard {
+        quotas.set_stale(period * RELAYS + STALE_MARGIN);
+        for (at, demand) in received {
             quotas.on_demand(now, now.since(at), demand);
         }
         self.demands.state(quotas.demand(now));
@@ -99,14 +101,16 @@
 }
 
 impl QuotaGuard {
-    /// Counts tokens that were produced.
-    pub(crate) fn produced(&self, now: Time, tokens: u64) {
-        self.gate.lock().record_output(now, &self.workspace, tokens);
+    /// Counts output tokens against the quota.
+    pub(crate) fn record_output(&self, now: Time, tokens: u64) {
+        self.quotas
+            .lock()
+            .record_output(now, &self.workspace, tokens);
     }
 }
 
 impl Drop for QuotaGuard {
     fn drop(&mut self) {
-        self.gate.lock().record_end(&self.workspace);
+        self.quotas.lock().record_end(&self.workspace);
     }
 }
--- a/crates/cyclamenwharf/src/entry/suspicion.rs
+++ b/crates/cyclamenwharf/src/entry/suspicion_tracker.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their targets, shared by all requests of an entry.
+//! Tracking of requests that crash their targets, shared by all requests of an entry.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,22 +16,22 @@
 use cw_wire::Fingerprint;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The table and the newest view that it has seen.
+/// The table and the newest view that was fed into it.
 #[derive(Debug)]
 struct Inner {
     table: SuspicionTable,
     view: Option<Arc<View>>,
 }
 
-/// Requests that crash their targets, shared by all requests of an entry.
+/// Tracks requests that crash their targets, for all requests of an entry.
 #[derive(Debug)]
-pub(crate) struct Suspicion {
+pub(crate) struct SuspicionTracker {
     host: HostId,
     inner: Mutex<Inner>,
 }
 
-impl Suspicion {
-    /// Returns the empty suspicion of the entry on `host`.
+impl SuspicionTracker {
+    /// Creates an empty tracker for the entry on `host`.
     pub(crate) fn new(host: HostId) -> Self {
         let inner = Inner {
             table: SuspicionTable::new(SuspicionLimits::default()),
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Returns what is held against a request, the crashes in `view` included.
-    pub(crate) fn verdict(
+    /// Returns how far a request is suspected of crashing targets, with the crashes in `view`
+    /// included.
+    pub(crate) fn assess(
         &self,
         now: Time,
         view: &Arc<View>,
@@ -62,49 +63,55 @@
         inner.table.assess(request)
     }
 
-    /// Returns whether a new call with this request is refused.
+    /// Returns whether new calls with this request are refused.
     pub(crate) fn is_refused(&self, request: Fingerprint) -> bool {
         self.lock().table.is_refused(request)
     }
 
-    /// Records that this entry has found a request guilty.
-    pub(crate) fn convict(&self, request: Fingerprint) {
+    /// Records that this entry has confirmed that a request crashes targets.
+    pub(crate) fn confirm(&self, request: Fingerprint) {
         self.lock().table.confirm(request);
     }
 
-    /// Records that a request has run to its end.
-    pub(crate) fn finished(&self, request: Fingerprint) {
+    /// Records that a request has completed, or has got past the output at which a target crashed.
+    pub(crate) fn record_completion(&self, request: Fingerprint) {
         self.lock().table.record_completion(request);
     }
 
-    /// Records that a suspect is dispatched to a target.
-    pub(crate) fn place(&self, target: &TargetId) {
+    /// Records that a suspect request was sent to a target.
+    pub(crate) fn add_suspect(&self, target: &TargetId) {
         self.lock().table.add_suspect(target);
     }
 
-    /// Records that a suspect has left a target.
-    pub(crate) fn unplace(&self, target: &TargetId) {
+    /// Records that a suspect request no longer runs on a target.
+    pub(crate) fn remove_suspect(&self, target: &TargetId) {
         self.lock().table.remove_suspect(target);
     }
 
-    /// Returns the targets that a suspect should not go to, in the order in which to give way:
-    /// those that other entries use for theirs, and those that have a suspect of this entry.
-    pub(crate) fn avoided(&self, view: &View) -> [BTreeSet<TargetId>; 2] {
-        let placed: BTreeSet<TargetId> =
+    /// Returns two sets of targets to avoid for a suspect request, the stricter one first.
+    ///
+    /// The first set holds the targets that other entries use for their suspects and those that run
+    /// a suspect of this entry. The second set holds only the latter.
+    pub(crate) fn targets_to_avoid(&self, view: &View) -> [BTreeSet<TargetId>; 2] {
+        let occupied: BTreeSet<TargetId> =
             self.lock().table.targets_with_suspects().cloned().collect();
         let targets = view.targets.keys().cloned();
-        let foreign = targets.filter(|target| !self.is_own(view, target));
-        [placed.iter().cloned().chain(foreign).collect(), placed]
+        let unassigned = targets.filter(|target| !self.is_assigned(view, target));
+        [
+            occupied.iter().cloned().chain(unassigned).collect(),
+            occupied,
+        ]
     }
 
-    /// Returns whether this entry, of all live ones, is to use a target for its suspects.
-    fn is_own(&self, view: &View, target: &TargetId) -> bool {
+    /// Returns whether this entry is the one, of all live entries, that uses a target for its
+    /// suspects.
+    fn is_assigned(&self, view: &View, target: &TargetId) -> bool {
         let hosts: BTreeSet<&HostId> = view.entries.iter().map(|entry| &entry.host).collect();
         let Some(own) = hosts.iter().position(|&host| *host == self.host) else {
             return true;
         };
-        let place = xxh3_64(target.as_str().as_bytes()) % hosts.len() as u64;
-        place == own as u64
+        let assigned = xxh3_64(target.as_str().as_bytes()) % hosts.len() as u64;
+        assigned == own as u64
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
