--- a/crates/cyclamenwharf/tests/entry.rs
+++ b/crates/cyclamenwharf/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Callers get whole answers through an entry, whatever becomes of engines and connections.
+//! Tests that callers get complete answers through an entry when engines and connections fail.
 
 mod entry_kit;
 
@@ -8,7 +8,7 @@
 use cw_types::Rate;
 use cw_types::Recovery;
 use cw_wire::NotRunReason;
-use entry_kit::KEY;
+use entry_kit::API_KEY;
 use entry_kit::Script;
 use entry_kit::Setup;
 use entry_kit::complete;
@@ -16,8 +16,9 @@
 use entry_kit::text;
 use rstest::rstest;
 
-const STREAM: &str = r#"{"model":"chat","prompt":"hi","max_tokens":20,"stream":true}"#;
-const WHOLE: &str = r#"{"model":"chat","prompt":"hi","max_tokens":20,"return_token_ids":true}"#;
+const STREAM_BODY: &str = r#"{"model":"chat","prompt":"hi","max_tokens":20,"stream":true}"#;
+const WHOLE_BODY: &str =
+    r#"{"model":"chat","prompt":"hi","max_tokens":20,"return_token_ids":true}"#;
 
 #[rstest]
 #[tokio::test]
@@ -25,7 +26,7 @@
     let setup = Setup::engines(1, &[Script::Run]);
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
 
     assert_eq!(reply.status, 200);
     assert_eq!(reply.streamed_text(), text(20));
@@ -38,7 +39,7 @@
     let setup = Setup::engines(1, &[Script::Run]);
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], WHOLE).await;
+    let reply = complete(&entry, &[], WHOLE_BODY).await;
 
     let json = reply.json();
     assert_eq!(json["choices"][0]["text"], text(20));
@@ -48,11 +49,11 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_chat_streams_deltas() {
+async fn a_chat_request_gets_a_message() {
     let setup = Setup::engines(1, &[Script::Run]);
     let entry = setup.entry();
     let body = r#"{"model":"chat","messages":[{"role":"user","content":"hi"}],"max_tokens":2}"#;
-    let bearer = format!("Bearer {KEY}");
+    let bearer = format!("Bearer {API_KEY}");
     let headers = [("authorization", bearer.as_str())];
 
     let reply = send(&entry, "POST", "/v1/chat/completions", &headers, body).await;
@@ -61,15 +62,15 @@
 }
 
 #[rstest]
-#[case::engine_dies(Script::DieAfter(5))]
-#[case::connection_breaks(Script::BreakAfter(5))]
+#[case::engine_dies(Script::CrashAfter(5))]
+#[case::connection_breaks(Script::DisconnectAfter(5))]
 #[case::connection_goes_silent(Script::SilentAfter(5))]
 #[case::engine_stalls(Script::StallAfter(5))]
-#[case::head_never_comes(Script::Mute)]
+#[case::head_never_comes(Script::NoResponse)]
 #[case::frames_repeated_and_skipped(Script::RepeatAndSkip(5))]
-#[case::dies_before_the_first_token(Script::DieAfter(0))]
+#[case::dies_before_the_first_token(Script::CrashAfter(0))]
 #[tokio::test]
-async fn a_stream_goes_on_after_a_loss(
+async fn a_stream_continues_after_a_lost_attempt(
     #[case] script: Script,
     #[values(Recovery::Latency, Recovery::Thrift)] recovery: Recovery,
 ) {
@@ -77,7 +78,7 @@
     setup.recovery = recovery;
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
 
     assert_eq!(reply.streamed_text(), text(20));
     assert!(reply.body.ends_with("data: [DONE]\n\n"));
@@ -85,11 +86,11 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_lost_generation_is_told_in_the_stream_when_no_target_is_left() {
-    let setup = Setup::engines(1, &[Script::DieAfter(5)]);
+async fn a_lost_generation_ends_the_stream_with_an_error_when_no_target_is_left() {
+    let setup = Setup::engines(1, &[Script::CrashAfter(5)]);
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
 
     assert_eq!(reply.streamed_text(), text(5));
     assert!(
@@ -101,8 +102,8 @@
 }
 
 #[rstest]
-#[case::no_key(&[], STREAM, 401, "unauthorized")]
-#[case::wrong_key(&[("authorization", "Bearer nobody")], STREAM, 401, "unauthorized")]
+#[case::no_key(&[], STREAM_BODY, 401, "unauthorized")]
+#[case::wrong_key(&[("authorization", "Bearer nobody")], STREAM_BODY, 401, "unauthorized")]
 #[case::bad_json(&[AUTH], "{", 422, "bad_request")]
 #[case::unknown_field(&[AUTH], r#"{"model":"chat","prompt":"x","colour":1}"#, 422, "bad_request")]
 #[case::unknown_model(&[AUTH], r#"{"model":"none","prompt":"x"}"#, 404, "unknown_model")]
@@ -127,7 +128,7 @@
     assert_eq!(setup.dispatched(), 0);
 }
 
-/// The header of the workspace `a`.
+/// The authorization header of the workspace `a`.
 const AUTH: (&str, &str) = ("authorization", "Bearer key-of-workspace-a");
 
 #[rstest]
@@ -149,7 +150,7 @@
     setup.patience = Duration::from_millis(300);
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
 
     assert_eq!((reply.status, reply.code().as_str()), (504, "expired"));
     assert_eq!(reply.json()["error"]["ran"], "no");
@@ -163,7 +164,7 @@
     let setup = Setup::engines(2, &[busy, busy, busy, busy, Script::Run]);
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
 
     assert_eq!(reply.streamed_text(), text(20));
 }
@@ -175,8 +176,8 @@
     setup.quota.requests = Rate(0.01);
     let entry = setup.entry();
 
-    let first = complete(&entry, &[], STREAM).await;
-    let second = complete(&entry, &[], STREAM).await;
+    let first = complete(&entry, &[], STREAM_BODY).await;
+    let second = complete(&entry, &[], STREAM_BODY).await;
 
     assert_eq!(first.status, 200);
     assert_eq!((second.status, second.code().as_str()), (429, "over_quota"));
@@ -187,16 +188,16 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_caller_comes_back_by_its_last_event_through_another_entry() {
+async fn a_caller_reconnects_with_its_last_event_id_through_another_entry() {
     let setup = Setup::engines(1, &[Script::Run]);
     let first = setup.entry();
-    let reply = complete(&first, &[], STREAM).await;
+    let reply = complete(&first, &[], STREAM_BODY).await;
     let id = reply.last_id().expect("events have ids");
     let id = id.replacen("/20/", "/7/", 1);
     first.kill();
     let second = setup.entry();
 
-    let reply = complete(&second, &[("last-event-id", &id)], STREAM).await;
+    let reply = complete(&second, &[("last-event-id", &id)], STREAM_BODY).await;
 
     let rest: String = (7..20).map(|index| entry_kit::token(index).text).collect();
     assert_eq!(reply.streamed_text(), rest);
@@ -208,12 +209,12 @@
 async fn a_caller_never_reaches_a_generation_of_another_workspace() {
     let setup = Setup::engines(1, &[Script::Run]);
     let entry = setup.entry();
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
     let id = reply.last_id().expect("events have ids");
     let id = id.replacen("/20/", "/7/", 1);
     let headers = [("authorization", "Bearer other"), ("last-event-id", &id)];
 
-    let reply = send(&entry, "POST", "/v1/completions", &headers, STREAM).await;
+    let reply = send(&entry, "POST", "/v1/completions", &headers, STREAM_BODY).await;
 
     assert_eq!(reply.code(), "generation_lost");
     assert_eq!(setup.engines[0].dispatched(), 1);
@@ -221,10 +222,10 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_caller_that_holds_its_tokens_goes_on_though_the_agent_is_gone() {
+async fn a_caller_that_sends_its_tokens_continues_without_the_former_agent() {
     let setup = Setup::engines(2, &[Script::Run]);
     let entry = setup.entry();
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
     let id = reply.last_id().expect("events have ids");
     let id = id.replacen("/20/", "/3/", 1);
     let gone = id.replace("/e0/", "/e9/").replace("/e1/", "/e9/");
@@ -242,22 +243,23 @@
 async fn an_event_id_that_names_an_adapter_of_no_route_starts_nothing() {
     let setup = Setup::engines(1, &[Script::Run]);
     let entry = setup.entry();
-    let reply = complete(&entry, &[], STREAM).await;
+    let reply = complete(&entry, &[], STREAM_BODY).await;
     let id = reply.last_id().expect("events have ids");
     let forged = format!("{}/foreign-adapter", id.replacen("/20/", "/0/", 1));
 
-    let reply = complete(&entry, &[("last-event-id", &forged)], STREAM).await;
+    let reply = complete(&entry, &[("last-event-id", &forged)], STREAM_BODY).await;
 
     assert_eq!(reply.code(), "unknown_generation");
     assert_eq!(setup.dispatched(), 1);
 }
 
-/// Lets a caller leave in the middle of its answer, and returns the cancellations that follow.
-async fn cancels_after_leaving(setup: &Setup, wait: impl AsyncFn(&Setup)) -> usize {
+/// Disconnects a caller in the middle of its answer, and returns the number of cancellations once
+/// `wait` has returned.
+async fn cancels_after_disconnect(setup: &Setup, wait: impl AsyncFn(&Setup)) -> usize {
     let entry = std::sync::Arc::new(setup.entry());
     let call = {
         let entry = std::sync::Arc::clone(&entry);
-        tokio::spawn(async move { complete(&entry, &[], STREAM).await })
+        tokio::spawn(async move { complete(&entry, &[], STREAM_BODY).await })
     };
     while setup.dispatched() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -272,8 +274,8 @@
     state.cancels.len()
 }
 
-fn idle(idempotent: bool) -> Setup {
-    let mut setup = Setup::engines(1, &[Script::IdleAfter(5)]);
+fn setup_with_open_output(idempotent: bool) -> Setup {
+    let mut setup = Setup::engines(1, &[Script::HeartbeatAfter(5)]);
     setup.idempotent = idempotent;
     setup.absence = Duration::from_millis(100);
     setup
@@ -281,33 +283,33 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_generation_whose_caller_stays_away_is_cancelled() {
-    let setup = idle(true);
+async fn a_generation_whose_caller_stays_disconnected_is_cancelled() {
+    let setup = setup_with_open_output(true);
     let until_cancelled = async |setup: &Setup| {
         while cancels(setup) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
 
-    let cancels = cancels_after_leaving(&setup, until_cancelled).await;
+    let cancels = cancels_after_disconnect(&setup, until_cancelled).await;
 
     assert_eq!(cancels, 1);
 }
 
 #[rstest]
 #[tokio::test]
-async fn work_that_may_run_once_goes_on_without_its_caller() {
-    let setup = idle(false);
+async fn non_idempotent_work_continues_without_its_caller() {
+    let setup = setup_with_open_output(false);
     let a_while = async |_: &Setup| tokio::time::sleep(Duration::from_millis(600)).await;
 
-    let cancels = cancels_after_leaving(&setup, a_while).await;
+    let cancels = cancels_after_disconnect(&setup, a_while).await;
 
     assert_eq!((cancels, setup.dispatched()), (0, 1));
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_plain_service_answers_as_it_was_asked() {
+async fn a_plain_service_gets_the_call_and_its_answer_reaches_the_caller() {
     let setup = Setup::services(1, &[Script::Run]);
     let entry = setup.entry();
 
@@ -325,8 +327,8 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_idempotent_call_runs_again_unseen_and_its_half_answer_is_not_shown() {
-    let setup = Setup::services(2, &[Script::DieAfter(1), Script::Run]);
+async fn an_idempotent_call_runs_again_and_its_partial_answer_is_dropped() {
+    let setup = Setup::services(2, &[Script::CrashAfter(1), Script::Run]);
     let entry = setup.entry();
 
     let reply = send(&entry, "GET", "/v1/services/loans/x", &[AUTH], "").await;
@@ -339,11 +341,11 @@
 #[case::by_route(false, &[AUTH])]
 #[case::by_request(true, &[AUTH, ("x-idempotent", "false")])]
 #[tokio::test]
-async fn a_call_that_may_run_once_is_never_dispatched_twice(
+async fn a_non_idempotent_call_is_never_dispatched_twice(
     #[case] route: bool,
     #[case] headers: &[(&str, &str)],
 ) {
-    let mut setup = Setup::services(2, &[Script::DieAfter(1), Script::Run]);
+    let mut setup = Setup::services(2, &[Script::CrashAfter(1), Script::Run]);
     setup.idempotent = route;
     let entry = setup.entry();
 
@@ -359,7 +361,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_refused_call_that_may_run_once_is_not_run() {
+async fn a_refused_non_idempotent_call_is_reported_as_not_run() {
     let mut setup = Setup::services(1, &[Script::Refuse(NotRunReason::Leaving)]);
     setup.idempotent = false;
     let entry = setup.entry();
@@ -371,12 +373,12 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_draining_entry_refuses_new_requests_and_ends_those_it_has() {
+async fn a_draining_entry_refuses_new_requests_and_completes_running_ones() {
     let setup = Setup::engines(2, &[Script::SilentAfter(5), Script::Run]);
     let entry = std::sync::Arc::new(setup.entry());
     let running = {
         let entry = std::sync::Arc::clone(&entry);
-        tokio::spawn(async move { complete(&entry, &[], STREAM).await })
+        tokio::spawn(async move { complete(&entry, &[], STREAM_BODY).await })
     };
     while setup.engines.iter().all(|agent| agent.dispatched() == 0) {
         tokio::task::yield_now().await;
@@ -385,9 +387,9 @@
         let entry = std::sync::Arc::clone(&entry);
         tokio::spawn(async move { entry.drain().await })
     };
-    let mut late = complete(&entry, &[], STREAM).await;
+    let mut late = complete(&entry, &[], STREAM_BODY).await;
     while late.status == 200 {
-        late = complete(&entry, &[], STREAM).await;
+        late = complete(&entry, &[], STREAM_BODY).await;
     }
 
     let reply = running.await.expect("the caller gets its answer");
--- a/crates/cyclamenwharf/tests/entry_claims.rs
+++ b/crates/cyclamenwharf/tests/entry_claims.rs
@@ -1,4 +1,5 @@
-//! Work that may run once runs once, through any entry and whatever answers are lost.
+//! Tests that work that is not idempotent runs at most once, through any entry and when answers of
+//! the key-value service are lost.
 
 mod entry_kit;
 
@@ -12,20 +13,20 @@
 use rstest::rstest;
 
 const AUTH: (&str, &str) = ("authorization", "Bearer key-of-workspace-a");
-const KEY: (&str, &str) = ("idempotency-key", "loan-1");
+const IDEMPOTENCY_KEY: (&str, &str) = ("idempotency-key", "loan-1");
 
-fn once(scripts: &[Script]) -> Setup {
+fn non_idempotent_services(scripts: &[Script]) -> Setup {
     let mut setup = Setup::services(2, scripts);
     setup.idempotent = false;
     setup
 }
 
-async fn reserve(entry: &EntryHandle) -> Reply {
+async fn call_with_key(entry: &EntryHandle) -> Reply {
     send(
         entry,
         "POST",
         "/v1/services/loans/x",
-        &[AUTH, KEY],
+        &[AUTH, IDEMPOTENCY_KEY],
         "board 7",
     )
     .await
@@ -33,12 +34,12 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_second_call_through_another_entry_gets_the_kept_answer() {
-    let setup = once(&[Script::Run]);
+async fn a_second_call_through_another_entry_gets_the_stored_answer() {
+    let setup = non_idempotent_services(&[Script::Run]);
     let (first, second) = (setup.entry(), setup.entry());
 
-    let before = reserve(&first).await;
-    let after = reserve(&second).await;
+    let before = call_with_key(&first).await;
+    let after = call_with_key(&second).await;
 
     assert_eq!(
         (before.status, before.body.as_str()),
@@ -51,11 +52,11 @@
 #[rstest]
 #[tokio::test]
 async fn an_answer_too_large_for_the_claim_comes_from_the_agent() {
-    let setup = once(&[Script::Large(20_000), Script::Run]);
+    let setup = non_idempotent_services(&[Script::LargeBody(20_000), Script::Run]);
     let (first, second) = (setup.entry(), setup.entry());
 
-    let before = reserve(&first).await;
-    let after = reserve(&second).await;
+    let before = call_with_key(&first).await;
+    let after = call_with_key(&second).await;
 
     assert_eq!(before.body.len(), 20_000);
     assert_eq!(after.status, 201);
@@ -64,15 +65,19 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_second_call_is_told_that_the_outcome_is_unknown_when_nobody_remembers_it() {
-    let setup = once(&[Script::Large(20_000), Script::Run]);
+async fn a_second_call_gets_outcome_unknown_when_no_agent_knows_the_attempt() {
+    let setup = non_idempotent_services(&[Script::LargeBody(20_000), Script::Run]);
     let (first, second) = (setup.entry(), setup.entry());
-    reserve(&first).await;
+    call_with_key(&first).await;
     for agent in &setup.services {
-        agent.state.lock().expect("no test panics here").forgetful = true;
+        agent
+            .state
+            .lock()
+            .expect("no test panics here")
+            .forgets_attempts = true;
     }
 
-    let after = reserve(&second).await;
+    let after = call_with_key(&second).await;
 
     assert_eq!(
         (after.status, after.code().as_str()),
@@ -82,15 +87,15 @@
 }
 
 #[rstest]
-#[case::after_its_effect(Fault::LostAfter)]
-#[case::before_its_effect(Fault::LostBefore)]
+#[case::after_its_effect(Fault::ResponseLost)]
+#[case::before_its_effect(Fault::RequestLost)]
 #[tokio::test]
-async fn a_lost_answer_of_the_service_does_not_run_the_work_twice_or_never(#[case] fault: Fault) {
-    let setup = once(&[Script::Run]);
+async fn a_lost_store_response_makes_the_work_run_exactly_once(#[case] fault: Fault) {
+    let setup = non_idempotent_services(&[Script::Run]);
     let entry = setup.entry();
-    setup.store.fail(&[fault]);
+    setup.store.inject_faults(&[fault]);
 
-    let reply = reserve(&entry).await;
+    let reply = call_with_key(&entry).await;
 
     assert_eq!(reply.status, 201);
     assert_eq!(setup.dispatched(), 1);
@@ -98,12 +103,12 @@
 
 #[rstest]
 #[tokio::test]
-async fn without_the_service_the_work_is_refused_as_not_run() {
-    let setup = once(&[Script::Run]);
+async fn without_the_store_the_work_is_refused_as_not_run() {
+    let setup = non_idempotent_services(&[Script::Run]);
     let entry = setup.entry();
     setup.store.set_down(true);
 
-    let reply = reserve(&entry).await;
+    let reply = call_with_key(&entry).await;
 
     assert_eq!(
         (reply.status, reply.code().as_str()),
@@ -117,12 +122,12 @@
 #[rstest]
 #[tokio::test]
 async fn a_key_that_belongs_to_another_request_is_refused() {
-    let setup = once(&[Script::Run]);
+    let setup = non_idempotent_services(&[Script::Run]);
     let entry = setup.entry();
-    reserve(&entry).await;
+    call_with_key(&entry).await;
 
     let path = "/v1/services/loans/x";
-    let reply = send(&entry, "POST", path, &[AUTH, KEY], "board 8").await;
+    let reply = send(&entry, "POST", path, &[AUTH, IDEMPOTENCY_KEY], "board 8").await;
 
     assert_eq!((reply.status, reply.code().as_str()), (422, "key_reused"));
     assert_eq!(setup.dispatched(), 1);
@@ -137,15 +142,15 @@
     #[case] status: u16,
     #[case] dispatched: usize,
 ) {
-    let setup = once(&[Script::Run]);
+    let setup = non_idempotent_services(&[Script::Run]);
     for agent in &setup.services {
         agent.state.lock().expect("no test panics here").ran = proof;
     }
     let first = std::sync::Arc::new(setup.entry());
-    setup.store.fail(&[Fault::Stuck]);
+    setup.store.inject_faults(&[Fault::NoResponse]);
     let caller = {
         let first = std::sync::Arc::clone(&first);
-        tokio::spawn(async move { reserve(&first).await })
+        tokio::spawn(async move { call_with_key(&first).await })
     };
     while setup.store.len() == 0 {
         tokio::time::sleep(std::time::Duration::from_millis(1)).await;
@@ -154,7 +159,7 @@
     caller.abort();
     let second = setup.entry();
 
-    let reply = reserve(&second).await;
+    let reply = call_with_key(&second).await;
 
     assert_eq!(reply.status, status);
     assert_eq!(setup.dispatched(), dispatched);
@@ -168,11 +173,12 @@
 #[rstest]
 #[tokio::test]
 async fn a_refused_claim_moves_to_the_target_that_runs_it() {
-    let setup = once(&[Script::Refuse(cw_wire::NotRunReason::Leaving), Script::Run]);
+    let setup =
+        non_idempotent_services(&[Script::Refuse(cw_wire::NotRunReason::Leaving), Script::Run]);
     let (first, second) = (setup.entry(), setup.entry());
 
-    let before = reserve(&first).await;
-    let after = reserve(&second).await;
+    let before = call_with_key(&first).await;
+    let after = call_with_key(&second).await;
 
     assert_eq!((before.status, after.status), (201, 201));
     assert_eq!(setup.dispatched(), 2);
@@ -185,8 +191,8 @@
     let entry = setup.entry();
     let body = r#"{"model":"chat","prompt":"hi","max_tokens":20,"stream":true}"#;
 
-    let first = entry_kit::complete(&entry, &[KEY], body).await;
-    let second = entry_kit::complete(&entry, &[KEY], body).await;
+    let first = entry_kit::complete(&entry, &[IDEMPOTENCY_KEY], body).await;
+    let second = entry_kit::complete(&entry, &[IDEMPOTENCY_KEY], body).await;
 
     assert_eq!(first.streamed_text(), entry_kit::text(20));
     assert_eq!(second.streamed_text(), entry_kit::text(20));
--- a/crates/cyclamenwharf/tests/entry_kit/caller.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/caller.rs
@@ -1,19 +1,19 @@
-//! A caller that reads answers to their ends.
+//! An HTTP client that reads answers to the end.
 
 use cyclamenwharf::EntryHandle;
 use http_body_util::BodyExt;
 use http_body_util::Full;
 
-use super::KEY;
+use super::API_KEY;
 
-/// An answer, read to its end.
+/// An answer, read to the end.
 #[derive(Debug)]
 pub(crate) struct Reply {
     /// The HTTP status.
     pub(crate) status: u16,
     /// The headers.
     pub(crate) headers: http::HeaderMap,
-    /// The body, as far as it came.
+    /// The body.
     pub(crate) body: String,
 }
 
@@ -23,7 +23,7 @@
         serde_json::from_str(&self.body).expect("the body is JSON")
     }
 
-    /// Returns the code of the error that it says.
+    /// Returns the error code in the body, or an empty text if there is none.
     pub(crate) fn code(&self) -> String {
         self.json()["error"]["code"]
             .as_str()
@@ -31,7 +31,7 @@
             .to_owned()
     }
 
-    /// Returns the text of all events.
+    /// Returns the concatenated text of all events.
     pub(crate) fn streamed_text(&self) -> String {
         self.data()
             .iter()
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sends a request and reads its answer to the end.
+/// Sends a request, and reads the answer to the end.
 pub(crate) async fn send(
     entry: &EntryHandle,
     method: &str,
@@ -74,12 +74,12 @@
     }
     let body = Full::new(bytes::Bytes::from(body.to_owned()));
     let request = request.body(body).expect("the request is valid");
-    let response = client.request(request).await.expect("the entry answers");
+    let response = client.request(request).await.expect("the entry responds");
     let (parts, body) = response.into_parts();
     let body = body
         .collect()
         .await
-        .expect("the answer is whole")
+        .expect("the answer is complete")
         .to_bytes();
     Reply {
         status: parts.status.as_u16(),
@@ -88,9 +88,9 @@
     }
 }
 
-/// Sends a request for a completion as the workspace `a`.
+/// Sends a completion request as the workspace `a`.
 pub(crate) async fn complete(entry: &EntryHandle, headers: &[(&str, &str)], body: &str) -> Reply {
-    let bearer = format!("Bearer {KEY}");
+    let bearer = format!("Bearer {API_KEY}");
     let mut all = vec![("authorization", bearer.as_str())];
     all.extend_from_slice(headers);
     send(entry, "POST", "/v1/completions", &all, body).await
--- a/crates/cyclamenwharf/tests/entry_kit/fake_agent.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/fake_agent.rs
@@ -1,4 +1,4 @@
-//! A small agent that speaks frames.
+//! A fake agent that responds to dispatches with scripted frames.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,62 +43,62 @@
 
 use super::loopback;
 
-/// What an agent does with a dispatch, from the index at which it begins.
+/// How an agent responds to a dispatch. Counts of tokens start at the first index of the dispatch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Script {
-    /// Runs it to its end.
+    /// Runs the work to its end.
     Run,
-    /// Produces some tokens, and then its engine dies.
-    DieAfter(u64),
-    /// Produces some tokens, and then the connection breaks.
-    BreakAfter(u64),
-    /// Produces some tokens, and then nothing comes any more, not even heartbeats.
+    /// Sends this many tokens, and then the report that the engine crashed.
+    CrashAfter(u64),
+    /// Sends this many tokens, and then breaks the connection.
+    DisconnectAfter(u64),
+    /// Sends this many tokens, and then nothing more, not even heartbeats.
     SilentAfter(u64),
-    /// Produces some tokens, and then heartbeats of an engine that stands still.
+    /// Sends this many tokens, and then heartbeats that report a stalled engine.
     StallAfter(u64),
-    /// Produces some tokens, and then heartbeats of an engine that goes on.
-    IdleAfter(u64),
-    /// Never answers, not even with a head.
-    Mute,
-    /// Produces some tokens, then repeats them and sends one from beyond a gap.
+    /// Sends this many tokens, and then heartbeats that report an engine at work.
+    HeartbeatAfter(u64),
+    /// Never responds, not even with a response head.
+    NoResponse,
+    /// Sends this many tokens, then repeats the first one and sends one from beyond a gap.
     RepeatAndSkip(u64),
-    /// Answers a call with a body of this many bytes.
-    Large(usize),
-    /// Refuses it.
+    /// Responds to a call with a body of this many bytes.
+    LargeBody(usize),
+    /// Refuses the dispatch.
     Refuse(NotRunReason),
 }
 
-/// What a small agent has been asked, and what it answers.
+/// The messages that a fake agent has received, and how it responds.
 #[derive(Debug)]
 pub(crate) struct AgentState {
-    /// What it and others do with each dispatch in turn; the last one stays.
+    /// The scripts for the next dispatches, shared with other agents; the last one is reused.
     pub(crate) scripts: Scripts,
-    /// The dispatches, in order.
+    /// The received dispatches, in order.
     pub(crate) dispatches: Vec<Dispatch>,
-    /// The attachments, in order.
+    /// The received attach messages, in order.
     pub(crate) attaches: Vec<Attach>,
-    /// The cancellations, in order.
+    /// The received cancellations, in order.
     pub(crate) cancels: Vec<Cancel>,
-    /// Its answer to a cancellation.
+    /// The answer to cancellations.
     pub(crate) ran: Ran,
-    /// Whether it has forgotten all attempts.
-    pub(crate) forgetful: bool,
+    /// Whether the agent responds as if it had no record of any attempt.
+    pub(crate) forgets_attempts: bool,
 }
 
-/// Scripts for several agents together.
+/// Scripts that several agents share.
 pub(crate) type Scripts = Arc<Mutex<Vec<Script>>>;
 
-type Shared = Arc<Mutex<AgentState>>;
+type SharedState = Arc<Mutex<AgentState>>;
 
-/// A small agent.
+/// A fake agent.
 pub(crate) struct FakeAgent {
-    /// What it has been asked.
-    pub(crate) state: Shared,
-    server: HttpServer<Shared>,
+    /// The received messages and the configured responses.
+    pub(crate) state: SharedState,
+    server: HttpServer<SharedState>,
 }
 
 impl FakeAgent {
-    /// Starts an agent that follows `scripts`.
+    /// Starts an agent that responds to dispatches as `scripts` say.
     pub(crate) fn start(scripts: Scripts) -> Self {
         let state = Arc::new(Mutex::new(AgentState {
             scripts,
@@ -106,7 +106,7 @@
             attaches: Vec::new(),
             cancels: Vec::new(),
             ran: Ran::Unknown,
-            forgetful: false,
+            forgets_attempts: false,
         }));
         let mut api = ApiDescription::new();
         api.register(attempts).expect("the path is free");
@@ -125,12 +125,12 @@
         Self { state, server }
     }
 
-    /// Returns where it listens.
+    /// Returns the address of the agent.
     pub(crate) fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
-    /// Returns how many attempts were dispatched to it.
+    /// Returns the number of received dispatches.
     pub(crate) fn dispatched(&self) -> usize {
         self.state
             .lock()
@@ -140,7 +140,7 @@
     }
 }
 
-/// Returns the token that every engine makes at `index`.
+/// Returns the token that every fake engine produces at `index`.
 pub(crate) fn token(index: u64) -> Token {
     Token {
         id: TokenId(u32::try_from(index * 7 + 1).expect("tests are short")),
@@ -148,14 +148,14 @@
     }
 }
 
-/// Returns the text of the output up to `count` tokens.
+/// Returns the text of the first `count` output tokens.
 pub(crate) fn text(count: u64) -> String {
     (0..count).map(|index| token(index).text).collect()
 }
 
 #[endpoint { method = POST, path = "/peer/v1/attempts" }]
 async fn attempts(
-    context: RequestContext<Shared>,
+    context: RequestContext<SharedState>,
     request: RawRequest,
 ) -> Result<Response<Body>, HttpError> {
     let dispatch: Dispatch = read(request).await;
@@ -168,15 +168,15 @@
             _ => scripts.remove(0),
         }
     };
-    if let Script::Mute = script {
+    if let Script::NoResponse = script {
         std::future::pending::<()>().await;
     }
-    Ok(frames(frames_of(script, &dispatch), script))
+    Ok(frame_response(scripted_frames(script, &dispatch), script))
 }
 
 #[endpoint { method = POST, path = "/peer/v1/attach" }]
 async fn attach(
-    context: RequestContext<Shared>,
+    context: RequestContext<SharedState>,
     request: RawRequest,
 ) -> Result<Response<Body>, HttpError> {
     let attach: Attach = read(request).await;
@@ -187,46 +187,56 @@
         .iter()
         .rev()
         .find(|d| d.id.generation == attach.generation && d.workspace == attach.workspace)
-        .filter(|_| !state.forgetful);
+        .filter(|_| !state.forgets_attempts);
     let Some(dispatch) = known else {
-        return Ok(frames(vec![refusal(NotRunReason::Unknown)], Script::Run));
+        return Ok(frame_response(
+            vec![not_run(NotRunReason::Unknown)],
+            Script::Run,
+        ));
     };
     let mut dispatch = dispatch.clone();
     dispatch.from = attach.from;
-    Ok(frames(frames_of(Script::Run, &dispatch), Script::Run))
+    Ok(frame_response(
+        scripted_frames(Script::Run, &dispatch),
+        Script::Run,
+    ))
 }
 
 #[endpoint { method = POST, path = "/peer/v1/ack" }]
 async fn ack(
-    _context: RequestContext<Shared>,
+    _context: RequestContext<SharedState>,
     _request: RawRequest,
 ) -> Result<Response<Body>, HttpError> {
-    Ok(message(&()))
+    Ok(message_response(&()))
 }
 
 #[endpoint { method = POST, path = "/peer/v1/cancel" }]
 async fn cancel(
-    context: RequestContext<Shared>,
+    context: RequestContext<SharedState>,
     request: RawRequest,
 ) -> Result<Response<Body>, HttpError> {
     let cancel: Cancel = read(request).await;
     let mut state = context.context().lock().expect("no test panics here");
     state.cancels.push(cancel);
-    Ok(message(&Cancelled { ran: state.ran }))
+    Ok(message_response(&Cancelled { ran: state.ran }))
 }
 
 async fn read<T: serde::de::DeserializeOwned>(request: RawRequest) -> T {
     let body = request.into_inner().into_body();
-    let bytes = body.collect().await.expect("the body is whole").to_bytes();
+    let bytes = body
+        .collect()
+        .await
+        .expect("the body is complete")
+        .to_bytes();
     cw_wire::decode(&bytes).expect("the body is a message")
 }
 
-fn message<T: Serialize>(message: &T) -> Response<Body> {
+fn message_response<T: Serialize>(message: &T) -> Response<Body> {
     let bytes = cw_wire::encode(message).expect("messages can be encoded");
     Response::new(Body::wrap(Full::new(bytes)))
 }
 
-fn refusal(reason: NotRunReason) -> Frame {
+fn not_run(reason: NotRunReason) -> Frame {
     Frame::NotRun {
         reason,
         retry: Duration::from_millis(100),
@@ -234,56 +244,56 @@
     }
 }
 
-fn frames_of(script: Script, dispatch: &Dispatch) -> Vec<Frame> {
+fn scripted_frames(script: Script, dispatch: &Dispatch) -> Vec<Frame> {
     let accepted = Frame::Accepted {
         cached: TokenCount(0),
         load: Load::default(),
     };
     let Work::Generate(work) = &dispatch.work else {
-        return call_frames(script, accepted);
+        return scripted_call_frames(script, accepted);
     };
-    let (first, most) = (dispatch.from.0, work.max_tokens.0);
+    let (first, max_tokens) = (dispatch.from.0, work.max_tokens.0);
     let run = |to: u64| {
-        let tokens = (first..to.min(most)).map(tokens_at);
+        let tokens = (first..to.min(max_tokens)).map(token_frame);
         std::iter::once(accepted.clone()).chain(tokens).collect()
     };
     let mut frames: Vec<Frame> = match script {
-        Script::Run | Script::Large(_) | Script::Mute => run(most),
-        Script::DieAfter(count)
-        | Script::BreakAfter(count)
+        Script::Run | Script::LargeBody(_) | Script::NoResponse => run(max_tokens),
+        Script::CrashAfter(count)
+        | Script::DisconnectAfter(count)
         | Script::SilentAfter(count)
         | Script::StallAfter(count)
-        | Script::IdleAfter(count)
+        | Script::HeartbeatAfter(count)
         | Script::RepeatAndSkip(count) => run(first + count),
-        Script::Refuse(reason) => return vec![refusal(reason)],
+        Script::Refuse(reason) => return vec![not_run(reason)],
     };
     match script {
         Script::Run => frames.push(Frame::Done {
             finish: FinishReason::Length,
-            next: TokenIndex(most),
+            next: TokenIndex(max_tokens),
         }),
-        Script::DieAfter(count) => frames.push(Frame::Failed {
+        Script::CrashAfter(count) => frames.push(Frame::Failed {
             failure: Failure::TargetLost,
             ran: Ran::Partly,
             next: TokenIndex(first + count),
         }),
         Script::RepeatAndSkip(count) => {
-            frames.push(tokens_at(first));
-            frames.push(tokens_at(first + count + 1));
+            frames.push(token_frame(first));
+            frames.push(token_frame(first + count + 1));
         }
         _ => {}
     }
     frames
 }
 
-fn tokens_at(index: u64) -> Frame {
+fn token_frame(index: u64) -> Frame {
     Frame::Tokens {
         first: TokenIndex(index),
         tokens: vec![token(index)],
     }
 }
 
-fn call_frames(script: Script, accepted: Frame) -> Vec<Frame> {
+fn scripted_call_frames(script: Script, accepted: Frame) -> Vec<Frame> {
     let lost = Frame::Failed {
         failure: Failure::TargetLost,
         ran: Ran::Unknown,
@@ -307,8 +317,8 @@
     };
     match script {
         Script::Run => vec![accepted, head, body, rest, done],
-        Script::Refuse(reason) => vec![refusal(reason)],
-        Script::Large(length) => {
+        Script::Refuse(reason) => vec![not_run(reason)],
+        Script::LargeBody(length) => {
             let bytes = vec![b'x'; length].into();
             vec![accepted, head, Frame::Body { offset: 0, bytes }, done]
         }
@@ -316,7 +326,7 @@
     }
 }
 
-fn frames(frames: Vec<Frame>, script: Script) -> Response<Body> {
+fn frame_response(frames: Vec<Frame>, script: Script) -> Response<Body> {
     let encode = |frame: Frame| {
         let mut bytes = BytesMut::new();
         FrameCodec::default()
@@ -328,9 +338,9 @@
     let end = match script {
         Script::SilentAfter(_) => stream::pending().boxed(),
         Script::StallAfter(_) => heartbeats(1).map(encode).boxed(),
-        Script::IdleAfter(_) => heartbeats(0).map(encode).boxed(),
-        Script::BreakAfter(_) => {
-            stream::iter([Err(std::io::Error::other("the connection breaks"))]).boxed()
+        Script::HeartbeatAfter(_) => heartbeats(0).map(encode).boxed(),
+        Script::DisconnectAfter(_) => {
+            stream::iter([Err(std::io::Error::other("connection broken by the test"))]).boxed()
         }
         _ => stream::empty().boxed(),
     };
@@ -340,7 +350,8 @@
     )))))
 }
 
-/// Heartbeats of an engine that has been quiet for this many intervals more with each of them.
+/// Returns heartbeats, each of which reports the engine as quiet for `growth` more intervals than
+/// the one before.
 fn heartbeats(growth: u32) -> impl futures::Stream<Item = Frame> + Send {
     let interval = Duration::from_millis(150);
     stream::unfold(0, move |count: u32| async move {
@@ -350,7 +361,7 @@
     })
 }
 
-/// A stream that can be shared, as response bodies must be.
+/// A stream that is `Sync`, which response bodies must be.
 struct SyncStream<T>(Mutex<stream::BoxStream<'static, T>>);
 
 impl<T> futures::Stream for SyncStream<T> {
--- a/crates/cyclamenwharf/tests/entry_kit/memory_store.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/memory_store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory whose answers can be lost.
+//! An in-memory key-value store with injected faults.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -16,15 +16,15 @@
 use futures::future::BoxFuture;
 use futures::stream::BoxStream;
 
-/// What becomes of a write.
+/// A fault that is injected into a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It takes effect, and its answer is lost.
-    LostAfter,
-    /// It has no effect, and its answer is lost.
-    LostBefore,
-    /// It takes effect, and no answer ever comes.
-    Stuck,
+    /// The write takes effect, and its response is lost.
+    ResponseLost,
+    /// The write has no effect, and its response is lost.
+    RequestLost,
+    /// The write takes effect, and its call never returns.
+    NoResponse,
 }
 
 #[derive(Debug, Default)]
@@ -35,24 +35,24 @@
     down: bool,
 }
 
-/// A key-value service in memory whose answers can be lost.
+/// An in-memory key-value store with injected faults.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryStore {
     inner: Mutex<Inner>,
 }
 
 impl MemoryStore {
-    /// Sets what becomes of the next writes.
-    pub(crate) fn fail(&self, faults: &[Fault]) {
+    /// Sets the faults of the next writes, of which the last one is used first.
+    pub(crate) fn inject_faults(&self, faults: &[Fault]) {
         self.inner().faults = faults.to_vec();
     }
 
-    /// Sets whether the service is down.
+    /// Sets whether the store is unavailable.
     pub(crate) fn set_down(&self, down: bool) {
         self.inner().down = down;
     }
 
-    /// Returns how many keys there are.
+    /// Returns the number of keys.
     pub(crate) fn len(&self) -> usize {
         self.inner().values.len()
     }
@@ -61,8 +61,8 @@
         self.inner.lock().expect("no test panics here")
     }
 
-    fn check(&self) -> Result<(), StoreError> {
-        let message = "the test says so".to_owned();
+    fn check_available(&self) -> Result<(), StoreError> {
+        let message = "store set down by the test".to_owned();
         match self.inner().down {
             true => Err(StoreError::Unavailable { message }),
             false => Ok(()),
@@ -71,16 +71,16 @@
 
     fn write(&self, key: &str, expected: Option<ModRevision>, value: Bytes) -> Swap {
         let mut inner = self.inner();
-        let held = inner.values.get(key).cloned();
-        if held.as_ref().map(|held| held.modified) != expected {
-            return Swap::Conflict(held);
+        let stored = inner.values.get(key).cloned();
+        if stored.as_ref().map(|stored| stored.modified) != expected {
+            return Swap::Conflict(stored);
         }
         inner.revision += 1;
         let revision = ModRevision(inner.revision);
         let versioned = Versioned {
             key: key.to_owned(),
             value,
-            created: held.map_or(revision, |held| held.created),
+            created: stored.map_or(revision, |stored| stored.created),
             modified: revision,
         };
         inner.values.insert(key.to_owned(), versioned);
@@ -91,7 +91,7 @@
 impl KeyValue for MemoryStore {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
         async move {
-            self.check()?;
+            self.check_available()?;
             Ok(self.inner().values.get(key).cloned())
         }
         .boxed()
@@ -109,15 +109,15 @@
         _lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
         async move {
-            self.check()?;
+            self.check_available()?;
             let fault = self.inner().faults.pop();
             let swap = match fault {
-                Some(Fault::LostBefore) => None,
+                Some(Fault::RequestLost) => None,
                 _ => Some(self.write(key, expected, value)),
             };
-            let message = "the test loses it".to_owned();
+            let message = "response dropped by the test".to_owned();
             match (fault, swap) {
-                (Some(Fault::Stuck), _) => std::future::pending().await,
+                (Some(Fault::NoResponse), _) => std::future::pending().await,
                 (None, Some(swap)) => Ok(swap),
                 _ => Err(StoreError::Lost { message }),
             }
@@ -134,7 +134,7 @@
     }
 
     fn grant(&self, _ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        async move { self.check().map(|()| LeaseId(1)) }.boxed()
+        async move { self.check_available().map(|()| LeaseId(1)) }.boxed()
     }
 
     fn keep_alive(&self, _lease: LeaseId) -> BoxFuture<'_, Result<Duration, StoreError>> {
--- a/crates/cyclamenwharf/tests/entry_kit/mod.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/mod.rs
@@ -1,4 +1,4 @@
-//! An entry on a view made by hand, before small agents that speak frames.
+//! Starts an entry with a fixed view and fake agents.
 
 #![expect(dead_code, reason = "each test file uses a part of the kit")]
 #![expect(unused_imports, reason = "each test file uses a part of the kit")]
@@ -55,30 +55,30 @@
 pub(crate) use fake_agent::token;
 
 /// The API key of the workspace `a`.
-pub(crate) const KEY: &str = "key-of-workspace-a";
+pub(crate) const API_KEY: &str = "key-of-workspace-a";
 
-/// What a test's deployment is.
+/// The deployment of a test.
 pub(crate) struct Setup {
-    /// The agents of the engines, in the order of their names `e0`, `e1`, ….
+    /// The agents of the engines `e0`, `e1`, …, in this order.
     pub(crate) engines: Vec<FakeAgent>,
-    /// The agents of the plain service `loans`, named `s0`, `s1`, ….
+    /// The agents of the targets `s0`, `s1`, … of the plain service `loans`, in this order.
     pub(crate) services: Vec<FakeAgent>,
-    /// How lost attempts are recovered.
+    /// The recovery mode of all routes.
     pub(crate) recovery: Recovery,
-    /// Whether requests may run more than once.
+    /// Whether requests may run more than once, as set in all routes.
     pub(crate) idempotent: bool,
     /// How long a request may wait before its first token.
     pub(crate) patience: Duration,
-    /// How long a caller may be gone.
+    /// How long a caller may be disconnected before its generation is cancelled.
     pub(crate) absence: Duration,
     /// The quota of each workspace.
     pub(crate) quota: Quota,
-    /// The key-value service.
+    /// The key-value store that holds the claims.
     pub(crate) store: Arc<MemoryStore>,
 }
 
 impl Setup {
-    /// Returns a deployment of `count` engines: their dispatches, in order, follow the scripts.
+    /// Creates a deployment of `count` engines whose dispatches, in order, follow the scripts.
     pub(crate) fn engines(count: usize, scripts: &[Script]) -> Self {
         let scripts = Arc::new(Mutex::new(scripts.to_vec()));
         let engine = |_| FakeAgent::start(Arc::clone(&scripts));
@@ -94,20 +94,21 @@
         }
     }
 
-    /// Returns a deployment of `count` plain services: their dispatches follow the scripts.
+    /// Creates a deployment of `count` targets of a plain service whose dispatches, in order,
+    /// follow the scripts.
     pub(crate) fn services(count: usize, scripts: &[Script]) -> Self {
         let mut setup = Self::engines(count, scripts);
         setup.services = std::mem::take(&mut setup.engines);
         setup
     }
 
-    /// Returns how many attempts were dispatched to all agents together.
+    /// Returns the number of dispatches that all agents together have received.
     pub(crate) fn dispatched(&self) -> usize {
         let agents = self.engines.iter().chain(&self.services);
         agents.map(FakeAgent::dispatched).sum()
     }
 
-    /// Starts an entry before these agents.
+    /// Starts an entry whose view has these agents as its targets.
     pub(crate) fn entry(&self) -> EntryHandle {
         let view = SharedView::default();
         view.store(Arc::new(self.view()));
@@ -132,38 +133,42 @@
         let route = |to| Route {
             to,
             workspaces: BTreeSet::new(),
-            priority: name_of("normal"),
+            priority: parse_name("normal"),
             recovery: self.recovery,
             idempotent: self.idempotent,
             patience: self.patience,
         };
         let model = RouteTarget::Model {
-            model: name_of("m"),
-            version: name_of("v1"),
+            model: parse_name("m"),
+            version: parse_name("v1"),
             adapter: None,
         };
         let service = RouteTarget::Service {
             service: "loans".to_owned(),
         };
         config.routes.insert(name("chat"), route(model));
-        config.routes.insert(name_of("loans"), route(service));
+        config.routes.insert(parse_name("loans"), route(service));
         let workspace = |key| Workspace {
             keys: vec![KeyHash::of(key)],
             quota: self.quota.clone(),
             weight: 1,
         };
-        config.workspaces.insert(name_of("a"), workspace(KEY));
-        config.workspaces.insert(name_of("b"), workspace("other"));
+        config
+            .workspaces
+            .insert(parse_name("a"), workspace(API_KEY));
+        config
+            .workspaces
+            .insert(parse_name("b"), workspace("other"));
         let mut targets = BTreeMap::new();
         for (at, agent) in self.engines.iter().enumerate() {
             let target = target(agent, TargetKind::Engine);
-            targets.insert(name_of(&format!("e{at}")), target);
+            targets.insert(parse_name(&format!("e{at}")), target);
         }
         for (at, agent) in self.services.iter().enumerate() {
             let kind = TargetKind::Service {
                 service: "loans".to_owned(),
             };
-            targets.insert(name_of(&format!("s{at}")), target(agent, kind));
+            targets.insert(parse_name(&format!("s{at}")), target(agent, kind));
         }
         View {
             config: Arc::new(config),
@@ -173,7 +178,7 @@
     }
 }
 
-fn name_of<T: std::str::FromStr>(text: &str) -> T {
+fn parse_name<T: std::str::FromStr>(text: &str) -> T {
     text.parse().ok().expect("a name")
 }
 
@@ -181,9 +186,9 @@
     TargetView {
         target: Target {
             agent: agent.address(),
-            host: name_of("h"),
-            zone: name_of("z"),
-            region: name_of("r"),
+            host: parse_name("h"),
+            zone: parse_name("z"),
+            region: parse_name("r"),
             kind,
             fenced: true,
             versions: BTreeMap::new(),
@@ -193,16 +198,16 @@
         load: Load::default(),
         reported: Default::default(),
         returned: Default::default(),
-        versions: BTreeMap::from([(name_of("m"), BTreeSet::from([name_of("v1")]))]),
+        versions: BTreeMap::from([(parse_name("m"), BTreeSet::from([parse_name("v1")]))]),
         crashes: Vec::new(),
     }
 }
 
 fn settings(absence: Duration) -> EntrySettings {
     EntrySettings {
-        host: name_of("entry"),
-        zone: name_of("z"),
-        region: name_of("r"),
+        host: parse_name("entry"),
+        zone: parse_name("z"),
+        region: parse_name("r"),
         listen: EntryListen {
             callers: loopback(),
             peers: loopback(),
