--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -17,7 +17,7 @@
 use super::super::shared_queue::QueueOutcome;
 use super::Driver;
 
-/// The retry delay told to the caller when no target can be chosen.
+/// The retry delay sent to the caller when no target can be chosen.
 const NO_TARGET_RETRY: Duration = Duration::from_secs(1);
 
 /// The interval between checks of the reports for crashes that a request caused.
--- a/crates/cyclamenwharf/src/entry/router.rs
+++ b/crates/cyclamenwharf/src/entry/router.rs
@@ -128,9 +128,9 @@
         self.dispatches().cache_index.forget(target);
     }
 
-    /// Records that an attempt has ended, `held` after it was sent.
-    pub(crate) fn record_end(&self, now: Time, target: &TargetId, held: Duration) {
-        self.dispatches().record_end(now, target, held);
+    /// Records that an attempt has ended, `elapsed` after it was sent.
+    pub(crate) fn record_end(&self, now: Time, target: &TargetId, elapsed: Duration) {
+        self.dispatches().record_end(now, target, elapsed);
     }
 
     /// Records that a target refused an attempt and asked to wait `retry` before the next one.
--- a/crates/cyclamenwharf/tests/entry.rs
+++ b/crates/cyclamenwharf/tests/entry.rs
@@ -228,11 +228,11 @@
     let reply = complete(&entry, &[], STREAM_BODY).await;
     let id = reply.last_id().expect("events have ids");
     let id = id.replacen("/20/", "/3/", 1);
-    let gone = id.replace("/e0/", "/e9/").replace("/e1/", "/e9/");
+    let with_lost_agent = id.replace("/e0/", "/e9/").replace("/e1/", "/e9/");
     let body = r#"{"model":"chat","prompt":"hi","max_tokens":20,"stream":true,
         "output_so_far":[1,8,15]}"#;
 
-    let reply = complete(&entry, &[("last-event-id", &gone)], body).await;
+    let reply = complete(&entry, &[("last-event-id", &with_lost_agent)], body).await;
 
     let rest: String = (3..20).map(|index| entry_kit::token(index).text).collect();
     assert_eq!(reply.streamed_text(), rest);
