--- a/crates/cyclamenwharf/src/agent/agent_handle.rs
+++ b/crates/cyclamenwharf/src/agent/agent_handle.rs
@@ -28,7 +28,7 @@
 use crate::EngineSettings;
 use crate::StartError;
 use crate::Supervisor;
-use crate::clock::incarnation;
+use crate::clock::new_incarnation;
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
@@ -39,8 +39,8 @@
 
 /// Entries are few and known, so their connections have no bound of time.
 const PEER_LIMITS: ServerLimits = ServerLimits {
-    connections: 4096,
-    head: None,
+    max_connections: 4096,
+    header_timeout: None,
 };
 
 /// The agent beside one target.
@@ -126,7 +126,7 @@
 }
 
 fn new_state(settings: AgentSettings) -> Result<AgentState, StartError> {
-    let table = AttemptTable::new(incarnation(), limits(&settings.engine));
+    let table = AttemptTable::new(new_incarnation(), limits(&settings.engine));
     let metrics = Metrics::new(Registry::new()).map_err(|error| StartError {
         message: error.to_string(),
     })?;
@@ -161,17 +161,17 @@
     let supervisor = &state.supervisor;
     let of = |state: &Arc<AgentState>| Arc::clone(state);
     let shared = of(state);
-    supervisor.keep("monitor", move || monitor::run(of(&shared)));
+    supervisor.supervise("monitor", move || monitor::run(of(&shared)));
     let shared = of(state);
-    supervisor.keep("host_watch", move || {
+    supervisor.supervise("host_watch", move || {
         host_watch::run(Arc::clone(&shared), Arc::clone(&list), sender.clone())
     });
     let shared = of(state);
-    supervisor.keep("reporter", move || {
+    supervisor.supervise("reporter", move || {
         reporter::run(Arc::clone(&shared), receiver.clone())
     });
     let shared = of(state);
-    supervisor.keep("tick", move || tick(Arc::clone(&shared)));
+    supervisor.supervise("tick", move || tick(Arc::clone(&shared)));
 }
 
 async fn tick(state: Arc<AgentState>) {
--- a/crates/cyclamenwharf/src/agent/peer_api.rs
+++ b/crates/cyclamenwharf/src/agent/peer_api.rs
@@ -65,7 +65,7 @@
 /// Checks the secret, reads the message and passes it on.
 async fn answer(state: &Arc<AgentState>, request: Request<Body>) -> Answer {
     let (parts, body) = request.into_parts();
-    if !peer_auth::check(&parts.headers, &state.settings.secrets.peers) {
+    if !peer_auth::is_authorized(&parts.headers, &state.settings.secrets.peers) {
         return Err(StatusCode::UNAUTHORIZED);
     }
     if parts.method != Method::POST {
--- a/crates/cyclamenwharf/src/agent/reporter.rs
+++ b/crates/cyclamenwharf/src/agent/reporter.rs
@@ -15,7 +15,7 @@
 
 use super::agent_state::AgentState;
 use crate::PeerClient;
-use crate::host_entry::to_entry;
+use crate::listed_host::live_entry;
 
 /// How long a relay may take to answer.
 const TIMEOUT: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
 
 async fn send(state: &Arc<AgentState>, client: &PeerClient, hosts: &[Host], report: &Report) {
     let settings = &state.settings;
-    let entries: Vec<EntryPeer> = hosts.iter().filter_map(to_entry).collect();
+    let entries: Vec<EntryPeer> = hosts.iter().filter_map(live_entry).collect();
     let relays = relays(&settings.target.id, &settings.region, &entries);
     let calls = relays
         .iter()
--- a/crates/cyclamenwharf/src/clock.rs
+++ b/crates/cyclamenwharf/src/clock.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns the number of this life: the wall clock, since a host keeps nothing.
-pub(crate) fn incarnation() -> Incarnation {
+pub(crate) fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let micros = since.unwrap_or_default().as_micros();
     Incarnation(u64::try_from(micros).unwrap_or(u64::MAX))
--- a/crates/cyclamenwharf/src/control/admin/server.rs
+++ b/crates/cyclamenwharf/src/control/admin/server.rs
@@ -24,7 +24,7 @@
 use super::traces;
 use crate::Health;
 use crate::StartError;
-use crate::TraceBook;
+use crate::TraceStore;
 
 /// The largest message, in bytes: a change of many records.
 const MESSAGE_MAX: usize = 1 << 20;
@@ -36,7 +36,7 @@
 pub(in crate::control) struct AdminContext {
     pub(in crate::control) host: HostId,
     pub(in crate::control) health: Arc<Health>,
-    pub(in crate::control) traces: Arc<TraceBook>,
+    pub(in crate::control) traces: Arc<TraceStore>,
     pub(in crate::control) registry: Registry,
     pub(in crate::control) secrets: Vec<String>,
     pub(in crate::control) desk: Desk,
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -43,8 +43,8 @@
 use super::SharedView;
 use super::StoreUse;
 use crate::Health;
-use crate::host_entry::mark;
-use crate::host_entry::to_entry;
+use crate::listed_host::host_status;
+use crate::listed_host::live_entry;
 
 /// How often the state looks at the clock.
 pub(super) const TICK: Duration = Duration::from_millis(50);
@@ -230,9 +230,12 @@
     }
 
     fn on_hosts(&mut self, hosts: Vec<Host>) {
-        let marks: BTreeMap<_, _> = hosts.iter().map(|h| (h.host.clone(), mark(h))).collect();
+        let marks: BTreeMap<_, _> = hosts
+            .iter()
+            .map(|h| (h.host.clone(), host_status(h)))
+            .collect();
         let own = &self.parts.own;
-        let mut entries: Vec<_> = hosts.iter().filter_map(to_entry).collect();
+        let mut entries: Vec<_> = hosts.iter().filter_map(live_entry).collect();
         entries.retain(|entry| entry.host != own.host);
         entries.push(own.clone());
         entries.sort_by(|a, b| a.host.cmp(&b.host));
--- a/crates/cyclamenwharf/src/control/mod.rs
+++ b/crates/cyclamenwharf/src/control/mod.rs
@@ -41,7 +41,7 @@
 use crate::Health;
 use crate::StartError;
 use crate::Supervisor;
-use crate::TraceBook;
+use crate::TraceStore;
 
 /// The view in force, read by every traffic thread.
 pub type SharedView = Arc<ArcSwap<View>>;
@@ -59,7 +59,7 @@
     /// The entry's health.
     pub health: Arc<Health>,
     /// The entry's traces.
-    pub traces: Arc<TraceBook>,
+    pub traces: Arc<TraceStore>,
 }
 
 /// The running control state, with its servers for peers and operators.
--- a/crates/cyclamenwharf/src/control/peers_server.rs
+++ b/crates/cyclamenwharf/src/control/peers_server.rs
@@ -118,7 +118,7 @@
 
 fn read<T: DeserializeOwned>(context: &Context, body: &UntypedBody) -> Result<T, HttpError> {
     let secrets = &context.context().secrets;
-    if !peer_auth::check(context.request.headers(), secrets) {
+    if !peer_auth::is_authorized(context.request.headers(), secrets) {
         let status = ClientErrorStatusCode::UNAUTHORIZED;
         return Err(HttpError::for_client_error_with_status(None, status));
     }
--- a/crates/cyclamenwharf/src/control/sender.rs
+++ b/crates/cyclamenwharf/src/control/sender.rs
@@ -53,7 +53,7 @@
         let mut outcome = call(self.client.clone()).await;
         if let Err(PeerError::Broken { .. } | PeerError::Timeout { .. }) = outcome {
             // The old connection may have gone silent for good. A batch may come twice.
-            outcome = call(self.client.fresh()).await;
+            outcome = call(self.client.with_new_pool()).await;
         }
         if let Err(error) = outcome {
             debug!("a batch did not reach a peer: {error}");
@@ -69,7 +69,7 @@
             let ask = ConfigRequest { have };
             let call = this
                 .client
-                .fresh()
+                .with_new_pool()
                 .call::<_, ConfigResponse>(peer.peers, path::CONFIG, &ask, WHOLE_LIMIT)
                 .await;
             match call {
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -222,18 +222,18 @@
             task.run()
         }
     };
-    parts.supervisor.keep("store", task);
+    parts.supervisor.supervise("store", task);
     let (list, events) = (services.host_list.clone(), events.clone());
     parts
         .supervisor
-        .keep("hosts", move || follow_hosts(list.clone(), events.clone()));
+        .supervise("hosts", move || follow_hosts(list.clone(), events.clone()));
 }
 
 fn keep_planner(parts: &ControlParts, services: &Services, sender: &Sender, view: &SharedView) {
     let host = parts.settings.host.clone();
     let (clock, sender, view) = (parts.clock, sender.clone(), view.clone());
     let services = services.clone();
-    parts.supervisor.keep("planner", move || {
+    parts.supervisor.supervise("planner", move || {
         let lease_calls = LeaseCalls {
             key_value: services.key_value.clone(),
             host: host.clone(),
@@ -265,7 +265,7 @@
     let receiver = Arc::new(Mutex::new(receiver));
     let seed = Arc::default();
     let (clock, health) = (parts.clock, parts.health.clone());
-    parts.supervisor.keep("core", move || {
+    parts.supervisor.supervise("core", move || {
         let parts = core_parts(Arc::clone(&seed), health.clone());
         run_core(Core::new(parts, clock.now()), clock, receiver.clone())
     });
--- a/crates/cyclamenwharf/src/entry/delivery.rs
+++ b/crates/cyclamenwharf/src/entry/delivery.rs
@@ -99,7 +99,7 @@
             Step::Finish(finish) => {
                 self.front.suspicion.finished(self.job.fingerprint);
                 self.end("finished");
-                self.front.slo.whole(&self.class, true);
+                self.front.slo.record_completion(&self.class, true);
                 self.send(Output::Finish(finish)).await;
             }
             Step::Fail { kind, ran, retry } => self.fail(kind, ran, retry).await,
@@ -109,7 +109,7 @@
             Step::Lost { target } => self.note(&target, "an attempt is lost"),
             Step::Resumed { latency } => {
                 self.front.metrics.resumed(latency);
-                self.front.slo.resume(&self.class, latency);
+                self.front.slo.record_resume(&self.class, latency);
             }
             Step::Dropped(reason) => self.front.metrics.dropped(reason),
             _ => {}
@@ -119,7 +119,7 @@
     async fn answer(&mut self, now: Time, answer: ServiceAnswer) {
         self.front.suspicion.finished(self.job.fingerprint);
         self.end("answered");
-        self.front.slo.whole(&self.class, true);
+        self.front.slo.record_completion(&self.class, true);
         if let Some(KeyUse::Claimed(slot)) = &self.job.key {
             let slot = Arc::clone(slot);
             let kept = KeptAnswer {
@@ -137,8 +137,8 @@
     async fn fail(&mut self, kind: ErrorKind, ran: Ran, retry: Duration) {
         self.end(kind.code());
         match ran {
-            Ran::No => self.front.slo.refusal(&self.class, true),
-            Ran::Partly | Ran::Unknown => self.front.slo.whole(&self.class, false),
+            Ran::No => self.front.slo.record_refusal(&self.class, true),
+            Ran::Partly | Ran::Unknown => self.front.slo.record_completion(&self.class, false),
         }
         let refusal = Refusal::new(kind).with_ran(ran).with_retry(retry);
         self.send(Output::Refusal(refusal)).await;
@@ -157,7 +157,7 @@
         let Some(last) = self.last.replace(now) else {
             let took = now.since(self.started);
             self.front.metrics.first_token(&self.job.route, took);
-            self.front.slo.first_token(&self.class, took);
+            self.front.slo.record_first_token(&self.class, took);
             return;
         };
         let took = now.since(last);
@@ -177,7 +177,7 @@
 
     fn end(&self, outcome: &str) {
         self.front.metrics.ended(&self.job.route, outcome);
-        self.front.slo.token_gaps(&self.class, self.gaps);
+        self.front.slo.record_token_gaps(&self.class, self.gaps);
         info!(
             generation = self.job.generation.to_string(),
             workspace = self.job.workspace.as_str(),
--- a/crates/cyclamenwharf/src/entry/driver/mod.rs
+++ b/crates/cyclamenwharf/src/entry/driver/mod.rs
@@ -15,7 +15,7 @@
 use cw_types::Time;
 use tokio::sync::mpsc;
 
-use crate::Recorder;
+use crate::TraceRecorder;
 
 use super::attempts::Attempts;
 use super::delivery::Delivery;
@@ -33,7 +33,7 @@
     inputs: Inputs,
     attempts: Attempts,
     delivery: Delivery,
-    recorder: Option<Recorder>,
+    recorder: Option<TraceRecorder>,
     request: RouteRequest,
     suspect: bool,
     /// The crashes that were known of the request when it began.
--- a/crates/cyclamenwharf/src/entry/frontend.rs
+++ b/crates/cyclamenwharf/src/entry/frontend.rs
@@ -25,7 +25,7 @@
 use crate::Health;
 use crate::SharedView;
 use crate::SloMetrics;
-use crate::TraceBook;
+use crate::TraceStore;
 
 use super::claims::Claims;
 use super::key_book::KeyBook;
@@ -79,7 +79,7 @@
     /// The choice of targets.
     pub(crate) router: Router,
     /// Recorded decisions.
-    pub(crate) traces: Arc<TraceBook>,
+    pub(crate) traces: Arc<TraceStore>,
     /// The requests in progress.
     pub(crate) progress: TaskTracker,
 }
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/handle.rs
@@ -22,12 +22,12 @@
 use crate::DemandExchange;
 use crate::EntrySettings;
 use crate::Health;
-use crate::SharedSlo;
 use crate::SharedView;
+use crate::SloCollector;
 use crate::SloMetrics;
 use crate::StartError;
 use crate::Supervisor;
-use crate::TraceBook;
+use crate::TraceStore;
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
@@ -58,7 +58,7 @@
     /// The entry's health.
     pub health: Arc<Health>,
     /// The entry's traces.
-    pub traces: Arc<TraceBook>,
+    pub traces: Arc<TraceStore>,
     /// The demands on quotas, to and from the other entries.
     pub demands: Arc<DemandExchange>,
 }
@@ -96,7 +96,7 @@
             store: Arc::new(EtcdGateway::new(settings.platform.key_value.clone())),
             registry: Registry::new(),
             health: Arc::default(),
-            traces: Arc::new(TraceBook::new(settings.trace.clone())),
+            traces: Arc::new(TraceStore::new(settings.trace.clone())),
             demands: Arc::default(),
             settings,
         };
@@ -140,7 +140,7 @@
     let objectives = parts.settings.slo.clone();
     let slo = SloMetrics::new(parts.clock, objectives.clone()).map_err(StartError::new)?;
     let slo = Arc::new(slo);
-    let shown = SharedSlo(Arc::clone(&slo));
+    let shown = SloCollector(Arc::clone(&slo));
     (parts.registry.register(Box::new(shown))).map_err(StartError::new)?;
     let secret = parts.settings.secrets.peers.first();
     let front = Arc::new(Frontend {
@@ -185,10 +185,10 @@
 ) -> Result<StreamServer, StartError> {
     let _inside = traffic.enter();
     let tended = Arc::clone(front);
-    supervisor.keep("upkeep", move || upkeep::run(Arc::clone(&tended)));
+    supervisor.supervise("upkeep", move || upkeep::run(Arc::clone(&tended)));
     let limits = ServerLimits {
-        connections: front.settings.limits.connections as usize,
-        head: Some(front.settings.limits.request),
+        max_connections: front.settings.limits.connections as usize,
+        header_timeout: Some(front.settings.limits.request),
     };
     let api = CallerApi {
         front: Arc::clone(front),
--- a/crates/cyclamenwharf/src/entry/peer_pool.rs
+++ b/crates/cyclamenwharf/src/entry/peer_pool.rs
@@ -28,7 +28,7 @@
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients
             .entry(peer)
-            .or_insert_with(|| self.template.fresh())
+            .or_insert_with(|| self.template.with_new_pool())
             .clone()
     }
 
@@ -36,7 +36,7 @@
     ///
     /// When one connection has gone silent, the others of its age may have too.
     pub(crate) fn renew(&self, peer: SocketAddr) -> PeerClient {
-        let client = self.template.fresh();
+        let client = self.template.with_new_pool();
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients.insert(peer, client.clone());
         client
--- a/crates/cyclamenwharf/src/forward/forward_settings.rs
+++ b/crates/cyclamenwharf/src/forward/forward_settings.rs
@@ -12,7 +12,7 @@
 
 use crate::LogSettings;
 use crate::SettingsError;
-use crate::settings::read;
+use crate::settings::read_settings;
 
 /// Settings of a forwarding entry.
 #[serde_as]
@@ -76,7 +76,7 @@
     ///
     /// Names the file, the key and what is expected.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        let settings: Self = read(file)?;
+        let settings: Self = read_settings(file)?;
         let value = |key, expected| SettingsError::Value {
             file: file.to_owned(),
             key,
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -14,7 +14,7 @@
 
 use crate::StartError;
 use crate::Supervisor;
-use crate::clock::incarnation;
+use crate::clock::new_incarnation;
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
@@ -100,8 +100,8 @@
         follow(&supervisor, &shared, &parts.store);
         exchange(&supervisor, &shared, listen.peers)?;
         let callers = ServerLimits {
-            connections: CALLERS_MAX,
-            head: Some(CALLER_IDLE_MAX),
+            max_connections: CALLERS_MAX,
+            header_timeout: Some(CALLER_IDLE_MAX),
         };
         let front = Arc::new(Front {
             shared: Arc::clone(&shared),
@@ -127,8 +127,8 @@
     registry: Registry,
 ) -> io::Result<Vec<StreamServer>> {
     let limits = ServerLimits {
-        connections: OPERATORS_MAX,
-        head: Some(OPERATOR_IDLE_MAX),
+        max_connections: OPERATORS_MAX,
+        header_timeout: Some(OPERATOR_IDLE_MAX),
     };
     let api = Arc::new(OperatorApi {
         shared: Arc::clone(shared),
@@ -153,7 +153,7 @@
 fn follow(supervisor: &Supervisor, shared: &Arc<Shared>, store: &Arc<dyn KeyValue>) {
     for (name, topic) in [("config", Topic::Config), ("targets", Topic::Targets)] {
         let (shared, store) = (Arc::clone(shared), Arc::clone(store));
-        supervisor.keep(name, move || {
+        supervisor.supervise(name, move || {
             let directory = Directory {
                 shared: Arc::clone(&shared),
                 store: Arc::clone(&store),
@@ -164,7 +164,7 @@
         });
     }
     let (known, held) = (Arc::clone(shared), Arc::clone(store));
-    supervisor.keep("registry", move || {
+    supervisor.supervise("registry", move || {
         let registry = super::registry::Registry {
             shared: Arc::clone(&known),
             store: Arc::clone(&held),
@@ -172,7 +172,7 @@
         registry.run()
     });
     let (known, held) = (Arc::clone(shared), Arc::clone(store));
-    supervisor.keep("ledger", move || {
+    supervisor.supervise("ledger", move || {
         let ledger = Ledger {
             shared: Arc::clone(&known),
             store: Arc::clone(&held),
@@ -180,7 +180,7 @@
         ledger.run()
     });
     let kept = Arc::clone(shared);
-    supervisor.keep("upkeep", move || upkeep(Arc::clone(&kept)));
+    supervisor.supervise("upkeep", move || upkeep(Arc::clone(&kept)));
 }
 
 impl ForwarderHandle {
@@ -213,11 +213,11 @@
     let socket = std::net::UdpSocket::bind(address).map_err(StartError::new)?;
     socket.set_nonblocking(true).map_err(StartError::new)?;
     let socket = Arc::new(UdpSocket::from_std(socket).map_err(StartError::new)?);
-    let incarnation = incarnation();
+    let incarnation = new_incarnation();
     for name in ["peers/tell", "peers/hear"] {
         let shared = Arc::clone(shared);
         let socket = Arc::clone(&socket);
-        supervisor.keep(name, move || {
+        supervisor.supervise(name, move || {
             let exchange = PeerExchange {
                 shared: Arc::clone(&shared),
                 socket: Arc::clone(&socket),
--- a/crates/cyclamenwharf/src/json_log.rs
+++ b/crates/cyclamenwharf/src/json_logger.rs
@@ -25,7 +25,7 @@
 use crate::StartError;
 
 /// A logger that writes one JSON object a line.
-pub struct JsonLog {
+pub struct JsonLogger {
     level: LevelFilter,
     out: Mutex<Box<dyn Write + Send>>,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-impl JsonLog {
+impl JsonLogger {
     /// Returns a logger that writes to `out`.
     pub fn new(level: LevelFilter, out: Box<dyn Write + Send>) -> Box<Self> {
         Box::new(Self {
@@ -75,7 +75,7 @@
     }
 }
 
-impl Log for JsonLog {
+impl Log for JsonLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.level() <= self.level
     }
@@ -98,7 +98,7 @@
     }
 }
 
-impl SharedLogger for JsonLog {
+impl SharedLogger for JsonLogger {
     fn level(&self) -> LevelFilter {
         self.level
     }
--- a/crates/cyclamenwharf/src/host_entry.rs
+++ b/crates/cyclamenwharf/src/listed_host.rs
@@ -7,7 +7,7 @@
 use cw_store::HostState;
 
 /// Returns what the list says of a host.
-pub(crate) fn mark(host: &Host) -> HostMark {
+pub(crate) fn host_status(host: &Host) -> HostMark {
     match host.state {
         HostState::Live => HostMark::Live,
         HostState::Leaving => HostMark::Leaving,
@@ -15,7 +15,7 @@
 }
 
 /// Returns a live entry.
-pub(crate) fn to_entry(host: &Host) -> Option<EntryPeer> {
+pub(crate) fn live_entry(host: &Host) -> Option<EntryPeer> {
     let live = host.role == HostRole::Entry && host.state == HostState::Live;
     live.then(|| EntryPeer {
         host: host.host.clone(),
--- a/crates/cyclamenwharf/src/main.rs
+++ b/crates/cyclamenwharf/src/main.rs
@@ -17,7 +17,7 @@
 use cyclamenwharf::ForwardParts;
 use cyclamenwharf::ForwardSettings;
 use cyclamenwharf::Forwarder;
-use cyclamenwharf::JsonLog;
+use cyclamenwharf::JsonLogger;
 use log::error;
 use log::info;
 use tokio::runtime::Runtime;
@@ -148,7 +148,7 @@
     level: log::LevelFilter,
     work: impl Future<Output = Result<(), String>>,
 ) -> ExitCode {
-    if let Err(error) = JsonLog::install(level) {
+    if let Err(error) = JsonLogger::install(level) {
         return refuse(&error);
     }
     let runtime = match runtime {
--- a/crates/cyclamenwharf/src/peer_auth.rs
+++ b/crates/cyclamenwharf/src/peer_auth.rs
@@ -6,7 +6,7 @@
 use subtle::ConstantTimeEq;
 
 /// Returns whether `headers` carry one of `secrets`, in a time that depends on lengths alone.
-pub(crate) fn check(headers: &HeaderMap, secrets: &[String]) -> bool {
+pub(crate) fn is_authorized(headers: &HeaderMap, secrets: &[String]) -> bool {
     let Some(shown) = headers.get(SECRET_HEADER) else {
         return false;
     };
--- a/crates/cyclamenwharf/src/peer_client.rs
+++ b/crates/cyclamenwharf/src/peer_client.rs
@@ -96,7 +96,7 @@
     ///
     /// An old connection can go silent for good while new ones work.
     #[must_use]
-    pub fn fresh(&self) -> Self {
+    pub fn with_new_pool(&self) -> Self {
         Self::new(&self.secret)
     }
 
--- a/crates/cyclamenwharf/src/settings/entry_settings.rs
+++ b/crates/cyclamenwharf/src/settings/entry_settings.rs
@@ -161,7 +161,7 @@
     ///
     /// Names the file, the key and what is expected.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        let settings: Self = super::read(file)?;
+        let settings: Self = super::read_settings(file)?;
         let error = |key, expected| SettingsError::Value {
             file: file.to_owned(),
             key,
--- a/crates/cyclamenwharf/src/settings/mod.rs
+++ b/crates/cyclamenwharf/src/settings/mod.rs
@@ -20,4 +20,4 @@
 pub use shared_settings::SecretSettings;
 pub use shared_settings::SettingsError;
 pub use shared_settings::TraceSettings;
-pub use shared_settings::read;
+pub use shared_settings::read_settings;
--- a/crates/cyclamenwharf/src/settings/shared_settings.rs
+++ b/crates/cyclamenwharf/src/settings/shared_settings.rs
@@ -133,7 +133,7 @@
 /// # Errors
 ///
 /// Names the file, the key and what is expected.
-pub fn read<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
+pub fn read_settings<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     toml::from_str(&text).context(ParseSnafu { file })
 }
--- a/crates/cyclamenwharf/src/slo_metrics.rs
+++ b/crates/cyclamenwharf/src/slo_metrics.rs
@@ -59,27 +59,27 @@
     }
 
     /// Records how long the first token took.
-    pub fn first_token(&self, class: &Class, took: Duration) {
+    pub fn record_first_token(&self, class: &Class, took: Duration) {
         self.with(|book, clock| book.first_token(clock.now(), class, took));
     }
 
     /// Records gaps between tokens, counted by the stream that saw them.
-    pub fn token_gaps(&self, class: &Class, counts: Counts) {
+    pub fn record_token_gaps(&self, class: &Class, counts: Counts) {
         self.with(|book, clock| book.record(clock.now(), class, Objective::TokenGap, counts));
     }
 
     /// Records how long output stood still after a loss.
-    pub fn resume(&self, class: &Class, took: Duration) {
+    pub fn record_resume(&self, class: &Class, took: Duration) {
         self.with(|book, clock| book.resume(clock.now(), class, took));
     }
 
     /// Records whether an accepted request got its whole answer.
-    pub fn whole(&self, class: &Class, good: bool) {
+    pub fn record_completion(&self, class: &Class, good: bool) {
         self.with(|book, clock| book.whole(clock.now(), class, good));
     }
 
     /// Records whether a refusal is proven.
-    pub fn refusal(&self, class: &Class, proven: bool) {
+    pub fn record_refusal(&self, class: &Class, proven: bool) {
         self.with(|book, clock| book.refusal(clock.now(), class, proven));
     }
 
@@ -150,9 +150,9 @@
 
 /// A handle that a registry can own beside the code that records.
 #[derive(Clone)]
-pub struct SharedSlo(pub std::sync::Arc<SloMetrics>);
+pub struct SloCollector(pub std::sync::Arc<SloMetrics>);
 
-impl Collector for SharedSlo {
+impl Collector for SloCollector {
     fn desc(&self) -> Vec<&Desc> {
         self.0.desc()
     }
--- a/crates/cyclamenwharf/src/stream_server.rs
+++ b/crates/cyclamenwharf/src/stream_server.rs
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerLimits {
     /// The most connections at once; others wait to be accepted.
-    pub(crate) connections: usize,
+    pub(crate) max_connections: usize,
     /// How long the head of a request may take, and how long a connection may be idle.
-    pub(crate) head: Option<Duration>,
+    pub(crate) header_timeout: Option<Duration>,
 }
 
 /// A running server. Dropping it breaks every connection.
@@ -125,7 +125,7 @@
     }
 
     async fn accept(&self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(self.limits.connections));
+        let places = Arc::new(Semaphore::new(self.limits.max_connections));
         loop {
             let place = Arc::clone(&places).acquire_owned().await;
             let Ok((socket, _)) = listener.accept().await else {
@@ -134,7 +134,7 @@
             };
             let connection = serve(
                 socket,
-                self.limits.head,
+                self.limits.header_timeout,
                 Arc::clone(&self.handler),
                 self.close.clone(),
             );
--- a/crates/cyclamenwharf/src/supervisor.rs
+++ b/crates/cyclamenwharf/src/supervisor.rs
@@ -38,7 +38,7 @@
     }
 
     /// Runs a task until the tree stops; a task that panics or returns is started again.
-    pub fn keep<F, T>(&self, name: &str, mut start: F)
+    pub fn supervise<F, T>(&self, name: &str, mut start: F)
     where
         F: FnMut() -> T + Send + 'static,
         T: Future<Output = ()> + Send + 'static,
--- a/crates/cyclamenwharf/src/trace_book.rs
+++ b/crates/cyclamenwharf/src/trace_store.rs
@@ -25,7 +25,7 @@
 
 /// The trace of one generation while it runs.
 #[derive(Debug)]
-pub struct Recorder {
+pub struct TraceRecorder {
     generation: GenerationId,
     bodies: bool,
     room: usize,
@@ -34,7 +34,7 @@
     next: Option<u64>,
 }
 
-impl Recorder {
+impl TraceRecorder {
     /// Adds an event and the steps that it led to. A trace that grows too large is given up.
     pub fn record(&mut self, now: Time, event: Event, steps: &[Step]) {
         for step in steps {
@@ -73,12 +73,12 @@
 
 /// The traces of an entry: only of generations that met a failure, the newest ones.
 #[derive(Debug, Default)]
-pub struct TraceBook {
+pub struct TraceStore {
     settings: TraceSettings,
     traces: Mutex<VecDeque<(GenerationId, String)>>,
 }
 
-impl TraceBook {
+impl TraceStore {
     /// Returns an empty book.
     pub fn new(settings: TraceSettings) -> Self {
         Self {
@@ -93,12 +93,12 @@
         generation: GenerationId,
         plan: &Plan,
         limits: &Limits,
-    ) -> Option<Recorder> {
+    ) -> Option<TraceRecorder> {
         let room = self.settings.kept.as_usize() / SHARE;
         if room == 0 {
             return None;
         }
-        let mut recorder = Recorder {
+        let mut recorder = TraceRecorder {
             generation,
             bodies: self.settings.bodies,
             room,
@@ -117,7 +117,7 @@
     }
 
     /// Keeps a trace that has ended, if it is worth keeping, in place of older ones.
-    pub fn end(&self, recorder: Recorder) {
+    pub fn end(&self, recorder: TraceRecorder) {
         let notable = recorder.is_notable();
         let Some(lines) = recorder.lines.filter(|_| notable) else {
             return;
--- a/crates/cyclamenwharfctl/src/settings.rs
+++ b/crates/cyclamenwharfctl/src/settings.rs
@@ -61,7 +61,7 @@
 }
 
 fn role_of(file: &Path) -> Result<Role, Failure> {
-    let table: toml::Table = cyclamenwharf::read(file).map_err(Failure::input)?;
+    let table: toml::Table = cyclamenwharf::read_settings(file).map_err(Failure::input)?;
     Ok(match table.contains_key(AGENT_TABLE) {
         true => Role::Agent,
         false => Role::Entry,
