--- a/crates/cyclamenwharf/src/clock.rs
+++ b/crates/cyclamenwharf/src/clock.rs
@@ -1,4 +1,4 @@
-//! The present time.
+//! The monotonic clock of the process.
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -22,18 +22,21 @@
 }
 
 impl Clock {
-    /// Returns the present moment.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time::default() + self.origin.elapsed()
     }
 
-    /// Returns the runtime's instant for a moment, to sleep until it.
+    /// Converts `time` to an instant of the async runtime, for timers.
     pub fn instant(&self, time: Time) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.origin + time.since(Time::default()))
     }
 }
 
-/// Returns the number of this life: the wall clock, since a host keeps nothing.
+/// Returns a new incarnation number for this process.
+///
+/// The number is the wall clock time in microseconds, because hosts have no persistent storage for
+/// a counter.
 pub(crate) fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let micros = since.unwrap_or_default().as_micros();
--- a/crates/cyclamenwharf/src/health.rs
+++ b/crates/cyclamenwharf/src/health.rs
@@ -1,9 +1,9 @@
-//! Whether a process wants work.
+//! The readiness of a process.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// Readiness, shared by the threads of one role.
+/// The readiness flags of one role, shared by its threads.
 #[derive(Debug, Default)]
 pub struct Health {
     configured: AtomicBool,
@@ -11,22 +11,22 @@
 }
 
 impl Health {
-    /// Says that a configuration is in force.
+    /// Records that a configuration is active.
     pub fn set_configured(&self) {
         self.configured.store(true, Ordering::Release);
     }
 
-    /// Says that the process takes no new work from now on.
+    /// Stops accepting new work.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
 
-    /// Returns whether the process finishes what it has and takes nothing new.
+    /// Returns whether the process only finishes the work that it has already accepted.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Returns whether the balancer should send work.
+    /// Returns whether the load balancer may send requests.
     pub fn is_ready(&self) -> bool {
         self.configured.load(Ordering::Acquire) && !self.is_draining()
     }
--- a/crates/cyclamenwharf/src/json_logger.rs
+++ b/crates/cyclamenwharf/src/json_logger.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines.
+//! A logger that writes JSON lines.
 //!
-//! `simplelog` cannot write JSON itself, so this is one of its loggers: it takes part in
-//! `simplelog::CombinedLogger` and carries the key-value fields of `log`.
+//! `simplelog` has no JSON output, so [`JsonLogger`] implements its `SharedLogger` trait: it works
+//! with `simplelog::CombinedLogger` and writes the key-value fields of `log` records.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -24,15 +24,15 @@
 use crate::LineQueue;
 use crate::StartError;
 
-/// A logger that writes one JSON object a line.
+/// A logger that writes one JSON object per line.
 pub struct JsonLogger {
     level: LevelFilter,
     out: Mutex<Box<dyn Write + Send>>,
 }
 
-struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
+struct FieldVisitor<'a>(&'a mut Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = value
             .to_u64()
@@ -52,25 +52,25 @@
         })
     }
 
-    /// Makes a logger to standard output the logger of this process. It never waits for the reader.
+    /// Installs a logger to standard output as the logger of this process. Writing never blocks.
     ///
     /// # Errors
     ///
-    /// Fails when the process has a logger already, or can start no thread for it.
+    /// Fails if a logger is already installed or if the writer thread cannot be started.
     pub fn install(level: LevelFilter) -> Result<(), StartError> {
         let queue = LineQueue::start(std::io::stdout()).map_err(StartError::new)?;
         CombinedLogger::init(vec![Self::new(level, Box::new(queue))]).map_err(StartError::new)
     }
 
-    fn line(record: &Record<'_>) -> String {
+    fn format_line(record: &Record<'_>) -> String {
         let mut fields = Map::new();
         let time = Utc::now().to_rfc3339_opts(SecondsFormat::Micros, true);
         fields.insert("time".to_owned(), time.into());
         fields.insert("level".to_owned(), record.level().as_str().into());
         fields.insert("module".to_owned(), record.target().into());
         fields.insert("message".to_owned(), record.args().to_string().into());
-        // A field that cannot be written is left out; the line itself is worth more.
-        let _ = record.key_values().visit(&mut Fields(&mut fields));
+        // A field that cannot be converted is omitted, so that the rest of the line is not lost.
+        let _ = record.key_values().visit(&mut FieldVisitor(&mut fields));
         serde_json::Value::Object(fields).to_string()
     }
 }
@@ -84,9 +84,9 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = Self::line(record) + "\n";
+        let line = Self::format_line(record) + "\n";
         if let Ok(mut out) = self.out.lock() {
-            // A log that cannot be written must not stop the process.
+            // A write error is ignored: a failing log must not stop the process.
             let _ = out.write_all(line.as_bytes());
         }
     }
--- a/crates/cyclamenwharf/src/lib.rs
+++ b/crates/cyclamenwharf/src/lib.rs
@@ -1,9 +1,9 @@
-//! The daemon as a library: an entry, an agent and a forwarding entry, each with its settings.
+//! The daemon as a library: entry, agent and forwarding entry, each with its settings.
 //!
-//! - [`EntrySettings`] and [`AgentSettings`] are read and checked before anything starts.
-//! - [`Entry::start`] and [`Agent::start`] run a role on the present runtime and return a handle.
-//! - [`Forwarder::start`] runs an entry for opaque requests.
-//! - [`Clock`] is the only source of the present time; deciding code gets it as an argument.
+//! - [`EntrySettings`] and [`AgentSettings`] are read and validated before anything starts.
+//! - [`Entry::start`] and [`Agent::start`] run a role on the current runtime and return a handle.
+//! - [`Forwarder::start`] runs an entry that forwards opaque requests.
+//! - [`Clock`] is the only source of the current time; policy code gets the time as an argument.
 
 mod agent;
 mod clock;
--- a/crates/cyclamenwharf/src/line_queue.rs
+++ b/crates/cyclamenwharf/src/line_queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue of log lines before standard output.
+//! A bounded queue of log lines in front of an output such as standard output.
 
 use std::io;
 use std::io::Write;
@@ -13,73 +13,73 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The most lines that wait. A busy entry writes some hundred lines a second, so this is several
-/// seconds of them, and at most a few megabytes.
-const LINES_MAX: usize = 4096;
+/// The capacity of the queue, in lines. A busy entry writes some hundred lines per second, so the
+/// queue holds several seconds of logs and takes at most a few megabytes.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// How long lines are gathered before they are written together.
-const GATHER: Duration = Duration::from_millis(50);
+/// The delay after the first line of a batch, during which further lines are collected.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// How long the end of a process waits for its last lines.
-const FLUSH_MAX: Duration = Duration::from_millis(200);
+/// The longest time that a flush waits for the queued lines, such as at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Takes lines without ever waiting for whoever reads them: what does not fit is counted.
+/// A writer that never blocks: lines beyond the capacity of the queue are dropped and counted.
 #[derive(Debug)]
 pub struct LineQueue {
     sender: SyncSender<Vec<u8>>,
-    waiting: Arc<AtomicUsize>,
+    queued: Arc<AtomicUsize>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LineQueue {
-    /// Starts a thread that writes to `out` what is put into the queue.
+    /// Starts a thread that writes the queued lines to `out`.
     ///
     /// # Errors
     ///
-    /// Fails when no thread can be started.
+    /// Fails if the thread cannot be started.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
-        let (sender, receiver) = sync_channel(LINES_MAX);
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
         let queue = Self {
             sender,
-            waiting: Arc::default(),
+            queued: Arc::default(),
             dropped: Arc::default(),
         };
-        let (waiting, dropped) = (Arc::clone(&queue.waiting), Arc::clone(&queue.dropped));
+        let (queued, dropped) = (Arc::clone(&queue.queued), Arc::clone(&queue.dropped));
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_out(out, &receiver, &waiting, &dropped))?;
+            .spawn(move || write_batches(out, &receiver, &queued, &dropped))?;
         Ok(queue)
     }
 }
 
 impl Write for LineQueue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.waiting.fetch_add(1, Ordering::AcqRel);
+        self.queued.fetch_add(1, Ordering::AcqRel);
         if self.sender.try_send(line.to_vec()).is_err() {
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
+            self.queued.fetch_sub(1, Ordering::AcqRel);
             self.dropped.fetch_add(1, Ordering::AcqRel);
         }
         Ok(line.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        let end = Instant::now() + FLUSH_MAX;
-        while self.waiting.load(Ordering::Acquire) > 0 && Instant::now() < end {
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.queued.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(1));
         }
         Ok(())
     }
 }
 
-fn write_out(
+fn write_batches(
     mut out: impl Write,
     lines: &Receiver<Vec<u8>>,
-    waiting: &AtomicUsize,
+    queued: &AtomicUsize,
     dropped: &AtomicU64,
 ) {
     while let Ok(mut batch) = lines.recv() {
         let mut count = 1;
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         while let Ok(line) = lines.try_recv() {
             batch.extend_from_slice(&line);
             count += 1;
@@ -91,9 +91,9 @@
             );
             batch.extend_from_slice(line.as_bytes());
         }
-        // A log that cannot be written must not stop the process, and there is nowhere to say so.
+        // A write error is ignored: a failing log must not stop the process and cannot be reported.
         let _ = out.write_all(&batch);
         let _ = out.flush();
-        waiting.fetch_sub(count, Ordering::AcqRel);
+        queued.fetch_sub(count, Ordering::AcqRel);
     }
 }
--- a/crates/cyclamenwharf/src/listed_host.rs
+++ b/crates/cyclamenwharf/src/listed_host.rs
@@ -1,4 +1,4 @@
-//! What the host list says, as entries and agents use it.
+//! Conversions from the hosts of the host list to the types of the policies.
 
 use cw_policy::EntryPeer;
 use cw_policy::membership::HostMark;
@@ -6,7 +6,7 @@
 use cw_store::HostRole;
 use cw_store::HostState;
 
-/// Returns what the list says of a host.
+/// Returns the status of a host in the host list.
 pub(crate) fn host_status(host: &Host) -> HostMark {
     match host.state {
         HostState::Live => HostMark::Live,
@@ -14,7 +14,7 @@
     }
 }
 
-/// Returns a live entry.
+/// Returns the host as a peer if it is an entry and live.
 pub(crate) fn live_entry(host: &Host) -> Option<EntryPeer> {
     let live = host.role == HostRole::Entry && host.state == HostState::Live;
     live.then(|| EntryPeer {
--- a/crates/cyclamenwharf/src/main.rs
+++ b/crates/cyclamenwharf/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: `cyclamenwharf entry|agent|forward --settings FILE`.
+//! The command line of the daemon: `cyclamenwharf entry|agent|forward --settings FILE`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -24,7 +24,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// The exit code for settings that cannot be used.
+/// The exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
 fn command() -> Command {
@@ -65,21 +65,21 @@
     }
 }
 
-fn file(args: &ArgMatches) -> &PathBuf {
+fn settings_file(args: &ArgMatches) -> &PathBuf {
     args.get_one("settings").expect("clap requires it")
 }
 
-fn refuse(error: &dyn std::error::Error) -> ExitCode {
+fn exit_with_error(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(EXIT_SETTINGS)
 }
 
 fn run_entry(args: &ArgMatches) -> ExitCode {
-    let settings = match EntrySettings::read(file(args)) {
+    let settings = match EntrySettings::read(settings_file(args)) {
         Ok(settings) => settings,
-        Err(error) => return refuse(&error),
+        Err(error) => return exit_with_error(&error),
     };
-    serve(Runtime::new(), settings.log.level.into(), async {
+    run_on_runtime(Runtime::new(), settings.log.level.into(), async {
         let entry = Entry::start(settings).await.map_err(|e| e.to_string())?;
         info!(callers = entry.callers.to_string(); "the entry has started");
         wait_for_signal().await;
@@ -90,11 +90,11 @@
 }
 
 fn run_agent(args: &ArgMatches) -> ExitCode {
-    let settings = match AgentSettings::read(file(args)) {
+    let settings = match AgentSettings::read(settings_file(args)) {
         Ok(settings) => settings,
-        Err(error) => return refuse(&error),
+        Err(error) => return exit_with_error(&error),
     };
-    serve(Runtime::new(), settings.log.level.into(), async {
+    run_on_runtime(Runtime::new(), settings.log.level.into(), async {
         let agent = Agent::start(settings).await.map_err(|e| e.to_string())?;
         info!(peers = agent.peers.to_string(); "the agent has started");
         wait_for_signal().await;
@@ -105,23 +105,24 @@
 }
 
 fn run_forward(args: &ArgMatches) -> ExitCode {
-    let file = file(args);
+    let file = settings_file(args);
     let settings = match ForwardSettings::read(file) {
         Ok(settings) => settings,
-        Err(error) => return refuse(&error),
+        Err(error) => return exit_with_error(&error),
     };
-    // One thread: such an entry waits far more than it computes, and its hosts have one core.
+    // A single thread suffices: a forwarding entry mostly waits for I/O, and its hosts have one
+    // core.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    serve(runtime, settings.log.level.into(), async {
+    run_on_runtime(runtime, settings.log.level.into(), async {
         let parts = ForwardParts {
             dialect: Arc::new(PlatformDialect),
             store: Arc::new(PlatformStore::new(settings.store)),
         };
         let entry = Forwarder::start(settings, parts).map_err(|e| e.to_string())?;
         info!(callers = entry.callers.to_string(); "the forwarding entry has started");
-        check_on_hangup(file.clone());
+        check_settings_on_hangup(file.clone());
         wait_for_signal().await;
         info!("the forwarding entry is draining");
         entry.drain().await;
@@ -129,31 +130,32 @@
     })
 }
 
-/// Checks the settings on each `SIGHUP`. All of them describe the host, so what has changed holds
-/// from the next start.
-fn check_on_hangup(file: PathBuf) {
+/// Validates the settings file on each `SIGHUP`.
+///
+/// All settings describe the host, so changes take effect only at the next start.
+fn check_settings_on_hangup(file: PathBuf) {
     let mut hangup = signal(SignalKind::hangup()).expect("the runtime handles signals");
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
             match ForwardSettings::read(&file) {
-                Ok(_) => info!("the settings were read again; changes hold from the next start"),
-                Err(error) => error!("the settings have become unusable: {error}"),
+                Ok(_) => info!("settings were read again; changes take effect at the next start"),
+                Err(error) => error!("the settings file is no longer valid: {error}"),
             }
         }
     });
 }
 
-fn serve(
+fn run_on_runtime(
     runtime: std::io::Result<Runtime>,
     level: log::LevelFilter,
     work: impl Future<Output = Result<(), String>>,
 ) -> ExitCode {
     if let Err(error) = JsonLogger::install(level) {
-        return refuse(&error);
+        return exit_with_error(&error);
     }
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return refuse(&error),
+        Err(error) => return exit_with_error(&error),
     };
     let code = match runtime.block_on(work) {
         Ok(()) => {
--- a/crates/cyclamenwharf/src/peer_auth.rs
+++ b/crates/cyclamenwharf/src/peer_auth.rs
@@ -1,20 +1,22 @@
-//! The secret shared by the processes.
+//! Authentication of peers by a shared secret.
 
 use cw_wire::path::SECRET_HEADER;
 use http::HeaderMap;
 use subtle::Choice;
 use subtle::ConstantTimeEq;
 
-/// Returns whether `headers` carry one of `secrets`, in a time that depends on lengths alone.
+/// Returns whether `headers` contain one of `secrets`.
+///
+/// The comparison takes constant time for given lengths.
 pub(crate) fn is_authorized(headers: &HeaderMap, secrets: &[String]) -> bool {
-    let Some(shown) = headers.get(SECRET_HEADER) else {
+    let Some(presented) = headers.get(SECRET_HEADER) else {
         return false;
     };
-    let shown = shown.as_bytes();
-    let matches = |secret: &String| shown.ct_eq(secret.as_bytes());
+    let presented = presented.as_bytes();
+    let matches = |secret: &String| presented.ct_eq(secret.as_bytes());
     secrets
         .iter()
         .map(matches)
-        .fold(Choice::from(0), |found, one| found | one)
+        .fold(Choice::from(0), |found, matching| found | matching)
         .into()
 }
--- a/crates/cyclamenwharf/src/peer_client.rs
+++ b/crates/cyclamenwharf/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes of the system.
+//! The HTTP client for the interfaces between processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,53 +27,53 @@
 use tokio_util::codec::FramedRead;
 use tokio_util::io::StreamReader;
 
-/// How long a connection may take to be made.
+/// The time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A call that failed.
+/// An error of a call to a peer.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// No connection could be made: the call had no effect.
+    /// The connection could not be established, so the call had no effect.
     #[snafu(display("cannot connect to {peer}: {message}"))]
     Connect {
-        /// The process called.
+        /// The address of the peer.
         peer: SocketAddr,
-        /// What happened.
+        /// The text of the underlying error.
         message: String,
     },
-    /// The connection broke after the call may have been read.
+    /// The connection broke after the peer may have received the call.
     #[snafu(display("the connection to {peer} broke: {message}"))]
     Broken {
-        /// The process called.
+        /// The address of the peer.
         peer: SocketAddr,
-        /// What happened.
+        /// The text of the underlying error.
         message: String,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer from {peer} in {limit:?}"))]
+    /// The peer did not respond in time.
+    #[snafu(display("no response from {peer} within {limit:?}"))]
     Timeout {
-        /// The process called.
+        /// The address of the peer.
         peer: SocketAddr,
-        /// The limit.
+        /// The time limit.
         limit: Duration,
     },
-    /// The process refused the call.
-    #[snafu(display("{peer} answered {status}"))]
+    /// The peer responded with an error status.
+    #[snafu(display("{peer} responded with {status}"))]
     Status {
-        /// The process called.
+        /// The address of the peer.
         peer: SocketAddr,
-        /// The HTTP status.
+        /// The HTTP status of the response.
         status: StatusCode,
     },
-    /// A message could not be read or written.
+    /// A message could not be encoded or decoded.
     #[snafu(display("{source}"))]
     Wire {
-        /// The cause.
+        /// The encoding error.
         source: WireError,
     },
 }
 
-/// A client for the interfaces between processes, with its own pool of connections.
+/// A client for the interfaces between processes, with its own connection pool.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -81,7 +81,7 @@
 }
 
 impl PeerClient {
-    /// Returns a client that shows `secret` to its peers.
+    /// Returns a client that authenticates to its peers with `secret`.
     pub fn new(secret: &str) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -92,19 +92,19 @@
         }
     }
 
-    /// Returns a client with a pool of its own, whose first call makes a new connection.
+    /// Returns a client with an empty connection pool, so that its first call opens a connection.
     ///
-    /// An old connection can go silent for good while new ones work.
+    /// This helps when a pooled connection has stopped delivering data while new connections work.
     #[must_use]
     pub fn with_new_pool(&self) -> Self {
         Self::new(&self.secret)
     }
 
-    /// Sends a message and reads the answer.
+    /// Sends a message and reads the response.
     ///
     /// # Errors
     ///
-    /// See [`PeerError`]; only `Connect` and `Status` mean that the call had no effect.
+    /// See [`PeerError`]. Only `Connect` and `Status` guarantee that the call had no effect.
     pub async fn call<M, A>(
         &self,
         peer: SocketAddr,
@@ -129,13 +129,13 @@
             .unwrap_or(Err(PeerError::Timeout { peer, limit }))
     }
 
-    /// Sends a message and returns the frames that answer it.
+    /// Sends a message and returns the frames of the response.
     ///
-    /// The limit is for the head of the answer; the frames themselves have none.
+    /// The limit applies to the head of the response only, not to the frames.
     ///
     /// # Errors
     ///
-    /// See [`PeerError`]; only `Connect` and `Status` mean that the call had no effect.
+    /// See [`PeerError`]. Only `Connect` and `Status` guarantee that the call had no effect.
     pub async fn frames<M: Serialize>(
         &self,
         peer: SocketAddr,
--- a/crates/cyclamenwharf/src/settings/agent_settings.rs
+++ b/crates/cyclamenwharf/src/settings/agent_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! The settings of an agent.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,92 +19,95 @@
 use super::SecretSettings;
 use super::SettingsError;
 
-/// The shortest time between heartbeats.
+/// The shortest period of heartbeats.
 const HEARTBEAT_MIN: Duration = Duration::from_millis(10);
-/// The longest time between heartbeats: entries take a longer silence for a loss.
+/// The longest period of heartbeats; entries treat a longer silence as a failure.
 const HEARTBEAT_MAX: Duration = Duration::from_millis(300);
-/// The shortest time between readings of the target.
+/// The shortest period of reading and reporting the load of the target.
 const REPORT_MIN: Duration = Duration::from_millis(10);
-/// The shortest memory of ended attempts: whole reports, which date the stamps of entries, come
-/// every two minutes and may be lost once.
+/// The shortest retention of the ids of ended attempts.
+///
+/// Entries take the age in their stamps from full reports, which arrive every two minutes, and one
+/// of which may be lost.
 const TOMBSTONE_MIN: Duration = Duration::from_secs(300);
-/// The least output that one running attempt must be able to keep, in bytes.
-const SHARE_MIN: u64 = 4 << 10;
+/// The smallest output buffer for each running attempt, in bytes.
+const OUTPUT_PER_ATTEMPT_MIN: u64 = 4 << 10;
 
-/// Settings of an agent.
+/// The settings of an agent.
 #[data]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// Its availability zone.
+    /// The availability zone of this host.
     pub zone: ZoneId,
-    /// The region of that zone.
+    /// The region of the availability zone.
     pub region: RegionId,
-    /// Where it listens.
+    /// The addresses to listen on.
     pub listen: AgentListen,
-    /// Its target.
+    /// The target of the agent.
     pub target: TargetSettings,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Secrets shared with other processes.
+    /// The secrets shared with other processes.
     pub secrets: SecretSettings,
-    /// Limits on attempts.
+    /// The limits on attempts.
     #[serde(default)]
     pub engine: EngineSettings,
-    /// Logging.
+    /// The log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Where an agent listens.
+/// The addresses on which an agent listens.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct AgentListen {
-    /// For other processes of the system. One process can hold it, so one agent runs per target.
+    /// The address for other processes of the system. Only one process can bind it, which ensures
+    /// that one agent runs per target.
     pub peers: SocketAddr,
-    /// For operators, metrics and health checks.
+    /// The address for operators, metrics and health checks.
     pub admin: SocketAddr,
 }
 
-/// The target beside an agent.
+/// The target of an agent.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Its id, as in its record.
+    /// The id of the target, as in its configuration record.
     pub id: TargetId,
-    /// What it is.
+    /// The kind of the target.
     pub kind: TargetKind,
-    /// Where it listens.
+    /// The address on which the target listens.
     pub address: SocketAddr,
 }
 
-/// Limits on attempts at one target.
+/// The limits on the attempts of one target.
 #[serde_as]
 #[data(Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSettings {
-    /// The most attempts that run at once, whatever the engine says.
+    /// The highest number of running attempts, even if the engine would accept more.
     pub running: u32,
-    /// The most attempts that wait at the agent.
+    /// The highest number of attempts that wait at the agent.
     pub waiting: u32,
-    /// Slots that only resumed attempts may take.
+    /// The number of slots reserved for resumed attempts.
     pub reserve: u32,
-    /// The time between tokens to keep within.
+    /// The highest allowed time between tokens.
     #[serde_as(as = "DurationText")]
     pub step: Duration,
-    /// How often a stream without tokens carries a heartbeat.
+    /// The period of heartbeats on a stream without tokens.
     #[serde_as(as = "DurationText")]
     pub heartbeat: Duration,
-    /// The most output kept for all attempts together.
+    /// The highest total size of the buffered output of all attempts.
     pub kept: ByteSize,
-    /// How long a finished attempt's output is kept for its caller to come back.
+    /// The time for which the output of a finished attempt is kept for a returning caller.
     #[serde_as(as = "DurationText")]
     pub retention: Duration,
-    /// How long the id of an ended attempt is remembered.
+    /// The time for which the id of an ended attempt is kept.
     #[serde_as(as = "DurationText")]
     pub tombstone: Duration,
-    /// How often the target's load is read and reported.
+    /// The period of reading and reporting the target's load.
     #[serde_as(as = "DurationText")]
     pub report: Duration,
 }
@@ -126,34 +129,37 @@
 }
 
 impl AgentSettings {
-    /// Reads and checks an agent's settings.
+    /// Reads and validates the settings of an agent.
     ///
     /// # Errors
     ///
-    /// Names the file, the key and what is expected.
+    /// The error names the file, the key and the expected value.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         let settings: Self = super::read_settings(file)?;
-        let error = |key, expected| SettingsError::Value {
+        let invalid_value = |key, expected| SettingsError::Value {
             file: file.to_owned(),
             key,
             expected,
         };
         if settings.secrets.peers.is_empty() {
-            return Err(error("secrets.peers", "expected one secret or two"));
+            return Err(invalid_value("secrets.peers", "expected one secret or two"));
         }
         if settings.engine.running <= settings.engine.reserve {
-            return Err(error("engine.running", "expected more than engine.reserve"));
+            return Err(invalid_value(
+                "engine.running",
+                "expected more than engine.reserve",
+            ));
         }
-        if let Some((key, expected)) = settings.engine.fault() {
-            return Err(error(key, expected));
+        if let Some((key, expected)) = settings.engine.first_invalid() {
+            return Err(invalid_value(key, expected));
         }
         Ok(settings)
     }
 }
 
 impl EngineSettings {
-    /// Returns the first key whose value cannot be used, and what is expected.
-    fn fault(&self) -> Option<(&'static str, &'static str)> {
+    /// Returns the first key with an invalid value, and the expected value.
+    fn first_invalid(&self) -> Option<(&'static str, &'static str)> {
         if self.heartbeat < HEARTBEAT_MIN || self.heartbeat > HEARTBEAT_MAX {
             return Some(("engine.heartbeat", "expected from 10ms to 300ms"));
         }
@@ -163,7 +169,7 @@
         if self.tombstone < TOMBSTONE_MIN {
             return Some(("engine.tombstone", "expected at least 5m"));
         }
-        if self.kept.0 / u64::from(self.running.max(1)) < SHARE_MIN {
+        if self.kept.0 / u64::from(self.running.max(1)) < OUTPUT_PER_ATTEMPT_MIN {
             return Some((
                 "engine.kept",
                 "expected at least 4KiB for each of engine.running",
--- a/crates/cyclamenwharf/src/settings/entry_settings.rs
+++ b/crates/cyclamenwharf/src/settings/entry_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! The settings of an entry.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,72 +20,72 @@
 use super::SettingsError;
 use super::TraceSettings;
 
-/// Settings of an entry.
+/// The settings of an entry.
 #[data]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// Its availability zone.
+    /// The availability zone of this host.
     pub zone: ZoneId,
-    /// The region of that zone.
+    /// The region of the availability zone.
     pub region: RegionId,
-    /// Where it listens.
+    /// The addresses to listen on.
     pub listen: EntryListen,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Secrets shared with other processes.
+    /// The secrets shared with other processes.
     pub secrets: SecretSettings,
-    /// Limits on callers.
+    /// The limits on callers' requests.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// How lost attempts are noticed.
+    /// The detection and replacement of lost attempts.
     #[serde(default)]
     pub recovery: RecoverySettings,
-    /// How targets are chosen.
+    /// The choice of targets.
     #[serde(default)]
     pub routing: RoutingSettings,
-    /// What is promised to callers, for the report on service-level burn.
+    /// The service-level objectives, from which burn rates are reported.
     #[serde(default)]
     pub slo: Objectives,
-    /// Recording of decisions.
+    /// The recording of decisions.
     #[serde(default)]
     pub trace: TraceSettings,
-    /// Logging.
+    /// The log settings.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Where an entry listens.
+/// The addresses on which an entry listens.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct EntryListen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For other processes of the system.
+    /// The address for other processes of the system.
     pub peers: SocketAddr,
-    /// For operators, metrics and health checks.
+    /// The address for operators, metrics and health checks.
     pub admin: SocketAddr,
 }
 
-/// Limits on callers.
+/// The limits on callers' requests.
 #[serde_as]
 #[data(Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// The largest body.
+    /// The largest body of a request.
     pub body: ByteSize,
-    /// The most connections of callers at once; others wait to be accepted.
+    /// The highest number of concurrent connections; further ones wait to be accepted.
     pub connections: u32,
-    /// How long the head of a request may take, how long its body may take, and how long a
-    /// connection may be idle.
+    /// The time limit for reading the head of a request, for reading its body, and for an idle
+    /// connection.
     #[serde_as(as = "DurationText")]
     pub request: Duration,
-    /// The most requests that wait for a target.
+    /// The highest number of requests that wait for a target.
     pub queue: u32,
-    /// The most bytes of requests that wait for a target.
+    /// The highest total size of the requests that wait for a target.
     pub queue_bytes: ByteSize,
-    /// How long a caller may be gone before its generation is cancelled.
+    /// The time after which the generation of a disconnected caller is cancelled.
     #[serde_as(as = "DurationText")]
     pub absence: Duration,
 }
@@ -103,40 +103,39 @@
     }
 }
 
-/// How targets are chosen.
+/// The choice of targets.
 #[data(Copy, Default, Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingSettings {
-    /// The policy; all but the default are baselines to measure it against.
+    /// The routing policy; all except the default are baselines for comparison.
     pub policy: Policy,
 }
 
-/// How lost attempts are noticed and replaced.
+/// The detection and replacement of lost attempts.
 #[serde_as]
 #[data(Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RecoverySettings {
-    /// Silence after which a route with `recovery = "latency"` acts.
+    /// The time without frames after which recovery starts on a route with `recovery = "latency"`.
     #[serde_as(as = "DurationText")]
     pub latency_silence: Duration,
-    /// Silence after which a route with `recovery = "thrift"` acts.
+    /// The time without frames after which recovery starts on a route with `recovery = "thrift"`.
     #[serde_as(as = "DurationText")]
     pub thrift_silence: Duration,
-    /// How long an engine may produce nothing for an attempt that has begun its output, on a route
-    /// with `recovery = "latency"`.
+    /// The longest pause in an attempt's output, once it has started, on a route with
+    /// `recovery = "latency"`.
     #[serde_as(as = "DurationText")]
     pub latency_stall: Duration,
-    /// How long an engine may produce nothing for an attempt that has begun its output, on other
-    /// routes.
+    /// The longest pause in an attempt's output, once it has started, on other routes.
     #[serde_as(as = "DurationText")]
     pub stall: Duration,
-    /// How long the head of an agent's answer may take.
+    /// The time limit for the head of an agent's response.
     #[serde_as(as = "DurationText")]
     pub head: Duration,
-    /// How long the first frame after a re-attachment over a new connection may take.
+    /// The time limit for the first frame after re-attaching over a new connection.
     #[serde_as(as = "DurationText")]
     pub reattach: Duration,
-    /// The most attempts of one generation.
+    /// The highest number of attempts of one generation.
     pub attempts: u32,
 }
 
@@ -155,30 +154,36 @@
 }
 
 impl EntrySettings {
-    /// Reads and checks an entry's settings.
+    /// Reads and validates the settings of an entry.
     ///
     /// # Errors
     ///
-    /// Names the file, the key and what is expected.
+    /// The error names the file, the key and the expected value.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
         let settings: Self = super::read_settings(file)?;
-        let error = |key, expected| SettingsError::Value {
+        let invalid_value = |key, expected| SettingsError::Value {
             file: file.to_owned(),
             key,
             expected,
         };
         if settings.secrets.peers.is_empty() {
-            return Err(error("secrets.peers", "expected one secret or two"));
+            return Err(invalid_value("secrets.peers", "expected one secret or two"));
         }
         if settings.platform.key_value.is_empty() {
-            return Err(error("platform.key_value", "expected at least one address"));
+            return Err(invalid_value(
+                "platform.key_value",
+                "expected at least one address",
+            ));
         }
         let fractions = [settings.slo.timely, settings.slo.kept];
-        if !fractions.iter().all(|part| (0.0..1.0).contains(part)) {
-            return Err(error("slo", "expected fractions from 0 to below 1"));
+        if !fractions
+            .iter()
+            .all(|fraction| (0.0..1.0).contains(fraction))
+        {
+            return Err(invalid_value("slo", "expected fractions from 0 to below 1"));
         }
         if settings.recovery.attempts == 0 {
-            return Err(error("recovery.attempts", "expected at least 1"));
+            return Err(invalid_value("recovery.attempts", "expected at least 1"));
         }
         Ok(settings)
     }
--- a/crates/cyclamenwharf/src/settings/mod.rs
+++ b/crates/cyclamenwharf/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, read from TOML and checked before anything starts.
+//! Settings, which are read from TOML and validated before anything starts.
 
 mod agent_settings;
 mod entry_settings;
--- a/crates/cyclamenwharf/src/settings/shared_settings.rs
+++ b/crates/cyclamenwharf/src/settings/shared_settings.rs
@@ -1,4 +1,4 @@
-//! Settings that both roles have, and the errors of reading them.
+//! Settings that the roles share, and the errors of reading settings.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,33 +11,33 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Settings that cannot be used.
+/// The settings could not be read or are invalid.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// The path of the settings file.
         file: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file is not what the role expects; the message names the key and what is expected.
+    /// The file could not be parsed; the source names the key and the expected value.
     #[snafu(display("{}: {source}", file.display()))]
     Parse {
-        /// The file.
+        /// The path of the settings file.
         file: PathBuf,
-        /// The cause.
+        /// The TOML error.
         source: toml::de::Error,
     },
     /// A value is out of range.
     #[snafu(display("{}: {key}: {expected}", file.display()))]
     Value {
-        /// The file.
+        /// The path of the settings file.
         file: PathBuf,
-        /// The key.
+        /// The key of the value.
         key: &'static str,
-        /// What is expected.
+        /// The expected value.
         expected: &'static str,
     },
 }
@@ -46,46 +46,46 @@
 #[data(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests from callers.
     Entry,
-    /// Runs attempts on one target.
+    /// Runs attempts on a single target.
     Agent,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The key-value service's JSON gateways, tried in turn.
+    /// The JSON gateways of the key-value service, which are tried in order.
     pub key_value: Vec<SocketAddr>,
-    /// The host list.
+    /// The address of the host list.
     pub host_list: SocketAddr,
-    /// The weight store.
+    /// The address of the weight store.
     pub weight_store: SocketAddr,
 }
 
-/// Secrets that the processes share.
+/// The secrets shared by the processes.
 #[data(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSettings {
-    /// The valid secrets: the first is shown to peers, any is taken from them.
+    /// The valid secrets. The first is sent to peers; any of them is accepted from peers.
     pub peers: Vec<String>,
 }
 
-/// How much is logged.
+/// The log level.
 #[data(Copy, Default, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Only what needs a person.
+    /// Only errors that need an operator.
     Error,
-    /// What may need one.
+    /// Also conditions that may need an operator.
     Warn,
-    /// What happens to processes and targets.
+    /// Also events of processes and targets.
     #[default]
     Info,
-    /// What happens to each request.
+    /// Also events of each request.
     Debug,
-    /// Everything.
+    /// All messages.
     Trace,
 }
 
@@ -101,21 +101,21 @@
     }
 }
 
-/// Logging.
+/// The log settings.
 #[data(Default, Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// How much is logged.
+    /// The log level.
     pub level: LogLevel,
 }
 
-/// Recording of decisions, for replay.
+/// The recording of decisions, for replay.
 #[data(Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct TraceSettings {
-    /// The most bytes of traces kept in memory; `"0B"` records nothing.
+    /// The highest total size of the traces in memory; `"0B"` disables recording.
     pub kept: ByteSize,
-    /// Whether callers' text is recorded too.
+    /// Whether callers' text is also recorded.
     pub bodies: bool,
 }
 
@@ -132,7 +132,7 @@
 ///
 /// # Errors
 ///
-/// Names the file, the key and what is expected.
+/// The error names the file, the key and the expected value.
 pub fn read_settings<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
     toml::from_str(&text).context(ParseSnafu { file })
--- a/crates/cyclamenwharf/src/slo_metrics.rs
+++ b/crates/cyclamenwharf/src/slo_metrics.rs
@@ -1,4 +1,4 @@
-//! Service-level events of this process, as metrics.
+//! Metrics of the service-level events of this process.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -19,9 +19,9 @@
 
 use crate::Clock;
 
-/// The book of service-level events, readable as metrics.
+/// Records service-level events and exposes them as metrics.
 pub struct SloMetrics {
-    book: Mutex<Book>,
+    recorder: Mutex<Book>,
     clock: Clock,
     events: IntGaugeVec,
     covered: IntGaugeVec,
@@ -29,18 +29,18 @@
 }
 
 impl SloMetrics {
-    /// The metric that holds the events of each window.
+    /// The name of the metric with the event counts of each window.
     pub const EVENTS: &'static str = "cyclamenwharf_slo_events";
-    /// The metric that tells how much of each window the process has seen, in seconds.
+    /// The name of the metric with the part of each window that the process has run, in seconds.
     pub const COVERED: &'static str = "cyclamenwharf_slo_covered_seconds";
-    /// The metric that holds the fraction of events that must be good.
+    /// The name of the metric with the required fraction of good events.
     pub const FRACTION: &'static str = "cyclamenwharf_slo_fraction";
 
-    /// Returns an empty book, begun now.
+    /// Returns metrics without events, whose windows start now.
     ///
     /// # Errors
     ///
-    /// Fails only when the metrics' names or labels are not valid.
+    /// Fails only if a metric's name or label is invalid.
     pub fn new(clock: Clock, objectives: Objectives) -> Result<Self, prometheus::Error> {
         let events = Opts::new(Self::EVENTS, "Service-level events over a sliding window.");
         let covered = Opts::new(
@@ -50,7 +50,7 @@
         let fraction = Opts::new(Self::FRACTION, "The fraction of events that must be good.");
         let labels = ["route", "priority", "objective", "window", "outcome"];
         Ok(Self {
-            book: Mutex::new(Book::new(clock.now(), objectives)),
+            recorder: Mutex::new(Book::new(clock.now(), objectives)),
             clock,
             events: IntGaugeVec::new(events, &labels)?,
             covered: IntGaugeVec::new(covered, &["window"])?,
@@ -58,62 +58,64 @@
         })
     }
 
-    /// Records how long the first token took.
-    pub fn record_first_token(&self, class: &Class, took: Duration) {
-        self.with(|book, clock| book.first_token(clock.now(), class, took));
+    /// Records the time to the first token.
+    pub fn record_first_token(&self, class: &Class, duration: Duration) {
+        self.with_recorder(|recorder, clock| recorder.first_token(clock.now(), class, duration));
     }
 
-    /// Records gaps between tokens, counted by the stream that saw them.
+    /// Records gaps between tokens, counted by the stream that observed them.
     pub fn record_token_gaps(&self, class: &Class, counts: Counts) {
-        self.with(|book, clock| book.record(clock.now(), class, Objective::TokenGap, counts));
+        self.with_recorder(|recorder, clock| {
+            recorder.record(clock.now(), class, Objective::TokenGap, counts)
+        });
     }
 
-    /// Records how long output stood still after a loss.
-    pub fn record_resume(&self, class: &Class, took: Duration) {
-        self.with(|book, clock| book.resume(clock.now(), class, took));
+    /// Records how long the output was interrupted after a failure.
+    pub fn record_resume(&self, class: &Class, duration: Duration) {
+        self.with_recorder(|recorder, clock| recorder.resume(clock.now(), class, duration));
     }
 
-    /// Records whether an accepted request got its whole answer.
+    /// Records whether an accepted request was answered completely.
     pub fn record_completion(&self, class: &Class, good: bool) {
-        self.with(|book, clock| book.whole(clock.now(), class, good));
+        self.with_recorder(|recorder, clock| recorder.whole(clock.now(), class, good));
     }
 
-    /// Records whether a refusal is proven.
+    /// Records a refusal, and whether it is certain that the work has not run.
     pub fn record_refusal(&self, class: &Class, proven: bool) {
-        self.with(|book, clock| book.refusal(clock.now(), class, proven));
+        self.with_recorder(|recorder, clock| recorder.refusal(clock.now(), class, proven));
     }
 
-    /// Returns what is promised.
+    /// Returns the service-level objectives.
     pub fn objectives(&self) -> Objectives {
-        self.with(|book, _| book.objectives.clone())
+        self.with_recorder(|recorder, _| recorder.objectives.clone())
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Book, &Clock) -> T) -> T {
-        // A panic elsewhere leaves counts that are still worth reading.
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        work(&mut book, &self.clock)
+    fn with_recorder<T>(&self, apply: impl FnOnce(&mut Book, &Clock) -> T) -> T {
+        // Counts are still usable after a panic in another thread, so a poisoned lock is ignored.
+        let mut recorder = self.recorder.lock().unwrap_or_else(PoisonError::into_inner);
+        apply(&mut recorder, &self.clock)
     }
 
-    fn refresh(&self, book: &mut Book) {
+    fn update_gauges(&self, recorder: &mut Book) {
         let now = self.clock.now();
         self.events.reset();
         for window in Window::ALL {
-            let covered = book.covered(now, window).as_secs();
+            let covered = recorder.covered(now, window).as_secs();
             self.covered
                 .with_label_values(&[window.as_str()])
                 .set(covered.try_into().unwrap_or(i64::MAX));
-            for (class, objective, counts) in book.counts(now, window) {
-                self.set(class, objective, window, counts);
+            for (class, objective, counts) in recorder.counts(now, window) {
+                self.set_counts(class, objective, window, counts);
             }
         }
         for objective in Objective::ALL {
             self.fraction
                 .with_label_values(&[objective.as_str()])
-                .set(book.objectives.fraction(objective));
+                .set(recorder.objectives.fraction(objective));
         }
     }
 
-    fn set(&self, class: &Class, objective: Objective, window: Window, counts: Counts) {
+    fn set_counts(&self, class: &Class, objective: Objective, window: Window, counts: Counts) {
         for (outcome, count) in [("good", counts.good), ("all", counts.total)] {
             let labels = [
                 class.route.as_str(),
@@ -140,7 +142,7 @@
     }
 
     fn collect(&self) -> Vec<MetricFamily> {
-        self.with(|book, _| self.refresh(book));
+        self.with_recorder(|recorder, _| self.update_gauges(recorder));
         let mut families = self.events.collect();
         families.extend(self.covered.collect());
         families.extend(self.fraction.collect());
@@ -148,7 +150,7 @@
     }
 }
 
-/// A handle that a registry can own beside the code that records.
+/// A shared handle to the metrics, to register as a collector.
 #[derive(Clone)]
 pub struct SloCollector(pub std::sync::Arc<SloMetrics>);
 
--- a/crates/cyclamenwharf/src/stream_server.rs
+++ b/crates/cyclamenwharf/src/stream_server.rs
@@ -1,8 +1,9 @@
-//! The server for ports that carry streams of tokens.
+//! The HTTP server for ports that stream tokens.
 //!
-//! `dropshot` serves the operators' ports. It never sets `TCP_NODELAY` and gives no access to its
-//! sockets, so each second small write waits 40 ms for a delayed acknowledgement. This server
-//! also bounds connections and the time that a request's head may take.
+//! `dropshot`, which serves the operators' ports, does not set `TCP_NODELAY` and gives no access to
+//! its sockets, so that every second small write waits 40 ms for a delayed acknowledgement. This
+//! server sets the option, and limits the number of connections and the time to read the head of a
+//! request.
 
 use std::convert::Infallible;
 use std::io;
@@ -26,42 +27,43 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The most bytes of a request's head, and of what is read at once.
+/// The size of the read buffer in bytes, which also limits the head of a request.
 const BUFFER_MAX: usize = 16 << 10;
 
-/// The pause after a connection could not be accepted, as when no file can be opened.
+/// The pause after a failed accept, such as when the process has no free file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What answers requests.
+/// Handles the requests of a server.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers one request. It is dropped when the caller goes away before the answer begins.
+    /// Responds to one request. The future is dropped if the client disconnects before the response
+    /// starts.
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>>;
 }
 
-/// Bounds on connections.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerLimits {
-    /// The most connections at once; others wait to be accepted.
+    /// The highest number of concurrent connections; further ones wait to be accepted.
     pub(crate) max_connections: usize,
-    /// How long the head of a request may take, and how long a connection may be idle.
+    /// The time limit for reading the head of a request, which also limits idle connections.
     pub(crate) header_timeout: Option<Duration>,
 }
 
-/// A running server. Dropping it breaks every connection.
+/// A running server. Dropping it aborts all connections.
 #[derive(Debug)]
 pub(crate) struct StreamServer {
     address: SocketAddr,
-    kill: CancellationToken,
-    close: CancellationToken,
+    abort: CancellationToken,
+    shutdown: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl StreamServer {
-    /// Starts a server on the present runtime.
+    /// Starts a server on the current runtime.
     ///
     /// # Errors
     ///
-    /// Fails when `address` cannot be listened on.
+    /// Fails if `address` cannot be bound.
     pub(crate) fn start(
         address: SocketAddr,
         limits: ServerLimits,
@@ -72,29 +74,29 @@
         let listener = TcpListener::from_std(listener)?;
         let server = Self {
             address: listener.local_addr()?,
-            kill: CancellationToken::new(),
-            close: CancellationToken::new(),
+            abort: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
-        let accepting = Accepting {
+        let acceptor = Acceptor {
             limits,
             handler,
-            kill: server.kill.clone(),
-            close: server.close.clone(),
+            abort: server.abort.clone(),
+            shutdown: server.shutdown.clone(),
             tasks: server.tasks.clone(),
         };
-        server.tasks.spawn(accepting.run(listener));
+        server.tasks.spawn(acceptor.run(listener));
         Ok(server)
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which the server listens.
     pub(crate) fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts nothing more, and returns when the last answer has been written out.
+    /// Stops accepting connections, and returns when the last response has been written.
     pub(crate) async fn close(&self) {
-        self.close.cancel();
+        self.shutdown.cancel();
         self.tasks.close();
         self.tasks.wait().await;
     }
@@ -102,76 +104,76 @@
 
 impl Drop for StreamServer {
     fn drop(&mut self) {
-        self.kill.cancel();
+        self.abort.cancel();
     }
 }
 
-/// What accepts connections and serves them.
-struct Accepting<H> {
+/// Accepts connections and serves them.
+struct Acceptor<H> {
     limits: ServerLimits,
     handler: Arc<H>,
-    kill: CancellationToken,
-    close: CancellationToken,
+    abort: CancellationToken,
+    shutdown: CancellationToken,
     tasks: TaskTracker,
 }
 
-impl<H: Handler> Accepting<H> {
+impl<H: Handler> Acceptor<H> {
     async fn run(self, listener: TcpListener) {
         tokio::select! {
-            () = self.kill.cancelled() => {}
-            () = self.close.cancelled() => {}
+            () = self.abort.cancelled() => {}
+            () = self.shutdown.cancelled() => {}
             () = self.accept(listener) => {}
         }
     }
 
     async fn accept(&self, listener: TcpListener) {
-        let places = Arc::new(Semaphore::new(self.limits.max_connections));
+        let permits = Arc::new(Semaphore::new(self.limits.max_connections));
         loop {
-            let place = Arc::clone(&places).acquire_owned().await;
+            let permit = Arc::clone(&permits).acquire_owned().await;
             let Ok((socket, _)) = listener.accept().await else {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             };
-            let connection = serve(
+            let connection = serve_connection(
                 socket,
                 self.limits.header_timeout,
                 Arc::clone(&self.handler),
-                self.close.clone(),
+                self.shutdown.clone(),
             );
-            let kill = self.kill.clone();
+            let abort = self.abort.clone();
             self.tasks.spawn(async move {
                 tokio::select! {
-                    () = kill.cancelled() => {}
+                    () = abort.cancelled() => {}
                     () = connection => {}
                 }
-                drop(place);
+                drop(permit);
             });
         }
     }
 }
 
-async fn serve(
+async fn serve_connection(
     socket: TcpStream,
-    head: Option<Duration>,
+    header_timeout: Option<Duration>,
     handler: Arc<impl Handler>,
-    close: CancellationToken,
+    shutdown: CancellationToken,
 ) {
-    // Tokens are small and must leave at once; a socket that cannot do so still works.
+    // Tokens are small and must be sent without delay. An error is ignored: the socket still works.
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = Arc::clone(&handler).handle(request.map(Body::wrap));
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = Arc::clone(&handler).handle(request.map(Body::wrap));
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(head)
+        .header_read_timeout(header_timeout)
         .max_buf_size(BUFFER_MAX)
         .serve_connection(TokioIo::new(socket), service);
     let mut connection = pin!(connection);
-    // A connection that breaks is the other side's to notice.
+    // Connection errors are ignored: the client sees them itself.
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = close.cancelled() => {
+        () = shutdown.cancelled() => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
--- a/crates/cyclamenwharf/src/supervisor.rs
+++ b/crates/cyclamenwharf/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! The supervisor tree.
+//! Supervision of background tasks.
 
 use std::future::Future;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// The pause before a failed task is started again.
+/// The delay before a task is restarted.
 const RESTART_PAUSE: Duration = Duration::from_millis(200);
 
-/// A node of the supervisor tree: it restarts its tasks when they fail and stops them together.
+/// A node of the supervisor tree, which restarts its tasks when they end and stops them together.
 #[derive(Clone, Debug, Default)]
 pub struct Supervisor {
     name: String,
@@ -19,7 +19,7 @@
 }
 
 impl Supervisor {
-    /// Returns the root of a tree.
+    /// Returns the root of a supervisor tree.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns a child, which stops when its parent does.
+    /// Returns a child node, which stops together with this node.
     #[must_use]
     pub fn child(&self, name: &str) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Runs a task until the tree stops; a task that panics or returns is started again.
+    /// Runs a task until the node stops, and restarts it when it panics or returns.
     pub fn supervise<F, T>(&self, name: &str, mut start: F)
     where
         F: FnMut() -> T + Send + 'static,
@@ -50,9 +50,9 @@
                 let mut task = tokio::spawn(start());
                 tokio::select! {
                     () = stop.cancelled() => task.abort(),
-                    end = &mut task => {
-                        if let Err(fault) = end {
-                            error!(task = name.as_str(); "a supervised task failed: {fault}");
+                    result = &mut task => {
+                        if let Err(join_error) = result {
+                            error!(task = name.as_str(); "a supervised task failed: {join_error}");
                         }
                         tokio::time::sleep(RESTART_PAUSE).await;
                     }
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Runs a task once; it is dropped when the tree stops.
+    /// Runs a task once, and drops it when the node stops.
     pub fn spawn<T>(&self, task: T)
     where
         T: Future<Output = ()> + Send + 'static,
@@ -75,12 +75,12 @@
         });
     }
 
-    /// Returns the token that is cancelled when the tree stops.
+    /// Returns the token that is cancelled when the node stops.
     pub fn token(&self) -> CancellationToken {
         self.stop.clone()
     }
 
-    /// Stops this node and everything below it.
+    /// Stops the tasks of this node and of all its descendants.
     pub fn stop(&self) {
         self.stop.cancel();
     }
--- a/crates/cyclamenwharf/src/trace_store.rs
+++ b/crates/cyclamenwharf/src/trace_store.rs
@@ -1,4 +1,4 @@
-//! Recorded decisions, kept in memory until an operator fetches them.
+//! Traces of decisions, kept in memory for operators.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -20,22 +20,22 @@
 
 use crate::TraceSettings;
 
-/// The part of the room that one trace may take, as a divisor.
-const SHARE: usize = 8;
+/// The divisor of the store's size that gives the largest size of one trace.
+const TRACE_DIVISOR: usize = 8;
 
-/// The trace of one generation while it runs.
+/// Records the trace of one generation while it runs.
 #[derive(Debug)]
 pub struct TraceRecorder {
     generation: GenerationId,
     bodies: bool,
-    room: usize,
+    max_bytes: usize,
     lines: Option<String>,
     outcome: Outcome,
     next: Option<u64>,
 }
 
 impl TraceRecorder {
-    /// Adds an event and the steps that it led to. A trace that grows too large is given up.
+    /// Appends an event and the resulting steps. A trace that grows too large is discarded.
     pub fn record(&mut self, now: Time, event: Event, steps: &[Step]) {
         for step in steps {
             self.outcome.observe(&mut self.next, step);
@@ -59,19 +59,19 @@
         };
         lines.push_str(&text);
         lines.push('\n');
-        if lines.len() > self.room {
+        if lines.len() > self.max_bytes {
             self.lines = None;
         }
     }
 
-    /// Returns whether a person may want to see it: something was lost or refused on the way.
-    fn is_notable(&self) -> bool {
-        let links = self.outcome.dispatches + self.outcome.attachments;
-        self.outcome.ending != Ending::Whole || links > 1
+    /// Returns whether the generation failed, or needed more than one dispatch or attachment.
+    fn is_worth_keeping(&self) -> bool {
+        let connections = self.outcome.dispatches + self.outcome.attachments;
+        self.outcome.ending != Ending::Whole || connections > 1
     }
 }
 
-/// The traces of an entry: only of generations that met a failure, the newest ones.
+/// The traces of an entry: the newest ones of generations that met a failure.
 #[derive(Debug, Default)]
 pub struct TraceStore {
     settings: TraceSettings,
@@ -79,7 +79,7 @@
 }
 
 impl TraceStore {
-    /// Returns an empty book.
+    /// Returns an empty store.
     pub fn new(settings: TraceSettings) -> Self {
         Self {
             settings,
@@ -87,21 +87,21 @@
         }
     }
 
-    /// Begins the trace of a generation, if traces are recorded.
+    /// Starts the trace of a generation, if traces are enabled.
     pub fn begin(
         &self,
         generation: GenerationId,
         plan: &Plan,
         limits: &Limits,
     ) -> Option<TraceRecorder> {
-        let room = self.settings.kept.as_usize() / SHARE;
-        if room == 0 {
+        let max_bytes = self.settings.kept.as_usize() / TRACE_DIVISOR;
+        if max_bytes == 0 {
             return None;
         }
         let mut recorder = TraceRecorder {
             generation,
             bodies: self.settings.bodies,
-            room,
+            max_bytes,
             lines: Some(String::new()),
             outcome: Outcome::default(),
             next: None,
@@ -116,21 +116,22 @@
         Some(recorder)
     }
 
-    /// Keeps a trace that has ended, if it is worth keeping, in place of older ones.
+    /// Stores a finished trace if the generation met a failure, and evicts the oldest traces if
+    /// needed.
     pub fn end(&self, recorder: TraceRecorder) {
-        let notable = recorder.is_notable();
-        let Some(lines) = recorder.lines.filter(|_| notable) else {
+        let worth_keeping = recorder.is_worth_keeping();
+        let Some(lines) = recorder.lines.filter(|_| worth_keeping) else {
             return;
         };
         let mut traces = self.lock();
         traces.push_back((recorder.generation, lines));
-        let room = self.settings.kept.as_usize();
-        while traces.iter().map(|(_, lines)| lines.len()).sum::<usize>() > room {
+        let max_bytes = self.settings.kept.as_usize();
+        while traces.iter().map(|(_, lines)| lines.len()).sum::<usize>() > max_bytes {
             traces.pop_front();
         }
     }
 
-    /// Returns the generations whose traces are kept, oldest first.
+    /// Returns the generations with a stored trace, oldest first.
     pub fn list(&self) -> Vec<GenerationId> {
         self.lock().iter().map(|(id, _)| *id).collect()
     }
@@ -144,7 +145,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<(GenerationId, String)>> {
-        // A panic elsewhere leaves whole traces.
+        // Traces are complete even after a panic in another thread, so a poisoned lock is ignored.
         self.traces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
