--- a/crates/cyclamenwharf/src/agent/admin_api.rs
+++ b/crates/cyclamenwharf/src/agent/admin_api.rs
@@ -16,11 +16,11 @@
 
 type Context = RequestContext<Arc<AgentState>>;
 
-/// Returns the description of the interface.
+/// Returns the API description.
 ///
 /// # Errors
 ///
-/// Fails when two endpoints clash.
+/// Fails if two endpoints conflict.
 pub(super) fn api() -> Result<ApiDescription<Arc<AgentState>>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(livez)?;
@@ -29,33 +29,37 @@
     Ok(api)
 }
 
-fn text(status: StatusCode, text: String) -> Result<Response<Body>, HttpError> {
+fn text_response(status: StatusCode, text: String) -> Result<Response<Body>, HttpError> {
     let mut response = Response::new(Body::from(text));
     *response.status_mut() = status;
     Ok(response)
 }
 
-/// The process lives.
+/// Liveness: succeeds while the process runs.
 #[endpoint { method = GET, path = "/livez" }]
 async fn livez(_context: Context) -> Result<Response<Body>, HttpError> {
-    text(StatusCode::OK, "live\n".to_owned())
+    text_response(StatusCode::OK, "live\n".to_owned())
 }
 
-/// The target takes new work.
+/// Readiness: succeeds if the target accepts new work.
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readyz(context: Context) -> Result<Response<Body>, HttpError> {
-    let state = context.context().look(|table, _| table.readiness().state());
+    let state = context
+        .context()
+        .read_table(|table, _| table.readiness().state());
     match state {
-        TargetState::Up => text(StatusCode::OK, "up\n".to_owned()),
-        TargetState::Down => text(StatusCode::SERVICE_UNAVAILABLE, "down\n".to_owned()),
-        TargetState::Leaving => text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n".to_owned()),
+        TargetState::Up => text_response(StatusCode::OK, "up\n".to_owned()),
+        TargetState::Down => text_response(StatusCode::SERVICE_UNAVAILABLE, "down\n".to_owned()),
+        TargetState::Leaving => {
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "leaving\n".to_owned())
+        }
     }
 }
 
-/// The metrics.
+/// The metrics in the Prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn metrics(context: Context) -> Result<Response<Body>, HttpError> {
     let state = context.context();
-    let metrics = state.look(|table, now| state.metrics.text(table, now));
-    text(StatusCode::OK, metrics)
+    let metrics = state.read_table(|table, now| state.metrics.encode(table, now));
+    text_response(StatusCode::OK, metrics)
 }
--- a/crates/cyclamenwharf/src/agent/server.rs
+++ b/crates/cyclamenwharf/src/agent/admin_server.rs
@@ -1,4 +1,4 @@
-//! Starts the agent's server for operators.
+//! The agent's HTTP server for operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use super::agent_state::AgentState;
 use crate::StartError;
 
-/// The largest message from an operator, in bytes.
+/// The largest request body from an operator, in bytes.
 const MESSAGE_MAX: usize = 16 << 10;
 
 /// Starts the server.
 ///
 /// # Errors
 ///
-/// Fails when `address` cannot be listened on.
+/// Fails if `address` cannot be bound.
 pub(super) fn start(
     address: SocketAddr,
     api: ApiDescription<Arc<AgentState>>,
@@ -28,7 +28,7 @@
     let config = ConfigDropshot {
         bind_address: address,
         default_request_body_max_bytes: MESSAGE_MAX,
-        // An event is taken in whole even when its sender does not wait for the answer.
+        // A request is handled completely even if the client disconnects before the response.
         default_handler_task_mode: HandlerTaskMode::Detached,
         ..ConfigDropshot::default()
     };
--- a/crates/cyclamenwharf/src/agent/agent_handle.rs
+++ b/crates/cyclamenwharf/src/agent/agent_handle.rs
@@ -1,4 +1,4 @@
-//! Starts and stops an agent.
+//! Starting and stopping an agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,6 +15,7 @@
 use tokio::sync::watch;
 
 use super::admin_api;
+use super::admin_server;
 use super::agent_state::AgentState;
 use super::agent_state::lock;
 use super::host_watch;
@@ -22,7 +23,6 @@
 use super::monitor;
 use super::peer_api::PeerApi;
 use super::reporter;
-use super::server;
 use crate::AgentSettings;
 use crate::Clock;
 use crate::EngineSettings;
@@ -32,26 +32,26 @@
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
-/// How often the table is told that time has passed.
-const TICK: Duration = Duration::from_millis(20);
+/// The period of the attempt table's timer, and of the checks while draining.
+const TICK_PERIOD: Duration = Duration::from_millis(20);
 
 type AdminServer = HttpServer<Arc<AgentState>>;
 
-/// Entries are few and known, so their connections have no bound of time.
+/// The limits on peers' connections. Entries are few and known, so they have no timeout.
 const PEER_LIMITS: ServerLimits = ServerLimits {
     max_connections: 4096,
     header_timeout: None,
 };
 
-/// The agent beside one target.
+/// The agent of a single target.
 #[derive(Debug)]
 pub struct Agent;
 
 /// A running agent.
 pub struct AgentHandle {
-    /// Where it listens for other processes.
+    /// The address on which it listens for other processes.
     pub peers: SocketAddr,
-    /// Where it listens for operators.
+    /// The address on which it listens for operators.
     pub admin: SocketAddr,
     state: Arc<AgentState>,
     servers: Mutex<Option<(StreamServer, AdminServer)>>,
@@ -67,18 +67,18 @@
 }
 
 impl Agent {
-    /// Starts an agent on the present runtime.
+    /// Starts an agent on the current runtime.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails if an address cannot be bound.
     pub async fn start(settings: AgentSettings) -> Result<AgentHandle, StartError> {
         let list = HttpHostList::new(settings.platform.host_list);
         let state = Arc::new(new_state(settings)?);
         let peers = start_peers(&state)?;
-        let admin = server::start(
+        let admin = admin_server::start(
             state.settings.listen.admin,
-            describe(admin_api::api())?,
+            to_start_error(admin_api::api())?,
             &state,
         )?;
         start_tasks(&state, Arc::new(list));
@@ -92,25 +92,25 @@
 }
 
 impl AgentHandle {
-    /// Takes no new work, and returns when all work in progress has ended and has been read.
+    /// Stops accepting work, and returns when all attempts have ended and their output was read.
     pub async fn drain(&self) {
-        self.state.set_leaving(|leaving| leaving.draining = true);
-        while !self.state.look(|table, _| table.is_drained()) {
-            tokio::time::sleep(TICK).await;
+        self.state.update_leaving(|leaving| leaving.draining = true);
+        while !self.state.read_table(|table, _| table.is_drained()) {
+            tokio::time::sleep(TICK_PERIOD).await;
         }
         let servers = lock(&self.servers).take();
         if let Some((peers, admin)) = servers {
             peers.close().await;
-            // A server that fails to close has nothing left to cut.
+            // An error is ignored: no requests are left that it could affect.
             let _ = admin.close().await;
         }
         self.state.supervisor.stop();
     }
 
-    /// Stops at once, as a killed process would.
+    /// Stops immediately, like a killed process.
     pub fn kill(&self) {
         self.state.supervisor.stop();
-        // Servers that are dropped accept nothing more; their streams break with the supervisor.
+        // Dropped servers accept no connections; stopping the supervisor has aborted their streams.
         *lock(&self.servers) = None;
     }
 }
@@ -126,7 +126,7 @@
 }
 
 fn new_state(settings: AgentSettings) -> Result<AgentState, StartError> {
-    let table = AttemptTable::new(new_incarnation(), limits(&settings.engine));
+    let table = AttemptTable::new(new_incarnation(), attempt_limits(&settings.engine));
     let metrics = Metrics::new(Registry::new()).map_err(|error| StartError {
         message: error.to_string(),
     })?;
@@ -135,7 +135,7 @@
     Ok(AgentState::new(settings, clock, supervisor, table, metrics))
 }
 
-fn limits(settings: &EngineSettings) -> AttemptLimits {
+fn attempt_limits(settings: &EngineSettings) -> AttemptLimits {
     AttemptLimits {
         admission: AdmissionLimits {
             max_running: settings.running,
@@ -150,8 +150,8 @@
     }
 }
 
-fn describe<T, E: std::fmt::Display>(api: Result<T, E>) -> Result<T, StartError> {
-    api.map_err(|error| StartError {
+fn to_start_error<T, E: std::fmt::Display>(result: Result<T, E>) -> Result<T, StartError> {
+    result.map_err(|error| StartError {
         message: error.to_string(),
     })
 }
@@ -159,25 +159,25 @@
 fn start_tasks(state: &Arc<AgentState>, list: Arc<dyn HostList>) {
     let (sender, receiver) = watch::channel(Arc::default());
     let supervisor = &state.supervisor;
-    let of = |state: &Arc<AgentState>| Arc::clone(state);
-    let shared = of(state);
-    supervisor.supervise("monitor", move || monitor::run(of(&shared)));
-    let shared = of(state);
+    let shared_state = |state: &Arc<AgentState>| Arc::clone(state);
+    let shared = shared_state(state);
+    supervisor.supervise("monitor", move || monitor::run(shared_state(&shared)));
+    let shared = shared_state(state);
     supervisor.supervise("host_watch", move || {
         host_watch::run(Arc::clone(&shared), Arc::clone(&list), sender.clone())
     });
-    let shared = of(state);
+    let shared = shared_state(state);
     supervisor.supervise("reporter", move || {
         reporter::run(Arc::clone(&shared), receiver.clone())
     });
-    let shared = of(state);
+    let shared = shared_state(state);
     supervisor.supervise("tick", move || tick(Arc::clone(&shared)));
 }
 
 async fn tick(state: Arc<AgentState>) {
     loop {
-        tokio::time::sleep(TICK).await;
-        state.tell(|table, now| table.on_tick(now));
-        state.forget_signals();
+        tokio::time::sleep(TICK_PERIOD).await;
+        state.apply_event(|table, now| table.on_tick(now));
+        state.remove_unused_signals();
     }
 }
--- a/crates/cyclamenwharf/src/agent/agent_state.rs
+++ b/crates/cyclamenwharf/src/agent/agent_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an agent share.
+//! The state shared by the tasks of an agent.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,44 +19,44 @@
 use cw_wire::Work;
 use tokio::sync::Notify;
 
+use super::attempt_signals::AttemptSignals;
 use super::call_runner;
 use super::engine_client::EngineClient;
 use super::generate_runner;
-use super::leaving::Leaving;
+use super::leaving_state::LeavingState;
 use super::metrics::Metrics;
-use super::signal::Signal;
 use crate::AgentSettings;
 use crate::Clock;
 use crate::Supervisor;
 
-/// What the tasks of an agent share.
+/// The state shared by the tasks of an agent.
 pub(super) struct AgentState {
     pub(super) settings: AgentSettings,
     pub(super) clock: Clock,
     pub(super) supervisor: Supervisor,
     pub(super) engine: EngineClient,
     pub(super) metrics: Metrics,
-    /// Asks the monitor to look at the target now.
-    pub(super) check: Notify,
-    /// Asks the reporter to report now.
-    pub(super) report: Notify,
+    /// Requests an immediate reading of the target by the monitor.
+    pub(super) check_target: Notify,
+    /// Requests an immediate report by the reporter.
+    pub(super) report_now: Notify,
     pub(super) orders: Mutex<OrderGuard>,
-    /// The key-value service.
+    /// The client of the key-value service.
     pub(super) store: Box<dyn KeyValue>,
-    /// Whether the planner's lease has been read in this life.
-    pub(super) floored: AtomicBool,
-    leaving: Mutex<Leaving>,
+    /// Whether this process has read the planner's lease.
+    pub(super) lease_read: AtomicBool,
+    leaving: Mutex<LeavingState>,
     table: Mutex<AttemptTable>,
-    signals: Mutex<BTreeMap<AttemptId, Weak<Signal>>>,
+    signals: Mutex<BTreeMap<AttemptId, Weak<AttemptSignals>>>,
 }
 
-/// Locks, also after a panic elsewhere: every change under these locks is whole when made.
+/// Locks a mutex, also after a panic in another thread: no change under these locks is partial.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl AgentState {
-    /// Returns the state of a new life.
+    /// Returns the state of a new agent process.
     pub(super) fn new(
         settings: AgentSettings,
         clock: Clock,
@@ -67,13 +67,13 @@
         Self {
             engine: EngineClient::new(settings.target.address),
             store: Box::new(EtcdGateway::new(settings.platform.key_value.clone())),
-            floored: AtomicBool::new(false),
+            lease_read: AtomicBool::new(false),
             settings,
             clock,
             supervisor,
             metrics,
-            check: Notify::new(),
-            report: Notify::new(),
+            check_target: Notify::new(),
+            report_now: Notify::new(),
             orders: Mutex::default(),
             leaving: Mutex::default(),
             table: Mutex::new(table),
@@ -81,36 +81,36 @@
         }
     }
 
-    /// Looks at the table.
-    pub(super) fn look<T>(&self, look: impl FnOnce(&AttemptTable, Time) -> T) -> T {
-        look(&lock(&self.table), self.clock.now())
+    /// Reads the attempt table.
+    pub(super) fn read_table<T>(&self, read: impl FnOnce(&AttemptTable, Time) -> T) -> T {
+        read(&lock(&self.table), self.clock.now())
     }
 
-    /// Lets the table decide, and does what it says.
+    /// Applies an event to the attempt table, executes the resulting steps and returns the answer.
     ///
-    /// The steps are begun under the lock, so that they are begun in the order of the decisions.
-    pub(super) fn decide<T>(
+    /// The steps are started under the lock, so that they start in the order of the decisions.
+    pub(super) fn update_table<T>(
         self: &Arc<Self>,
         event: impl FnOnce(&mut AttemptTable, Time) -> (T, Vec<AttemptStep>),
     ) -> T {
         let mut table = lock(&self.table);
         let (answer, steps) = event(&mut table, self.clock.now());
         for step in steps {
-            self.begin(step);
+            self.execute(step);
         }
         answer
     }
 
-    /// Lets the table decide where nothing but the steps matters.
-    pub(super) fn tell(
+    /// Applies an event that has no answer to the attempt table, and executes the resulting steps.
+    pub(super) fn apply_event(
         self: &Arc<Self>,
         event: impl FnOnce(&mut AttemptTable, Time) -> Vec<AttemptStep>,
     ) {
-        self.decide(|table, now| ((), event(table, now)));
+        self.update_table(|table, now| ((), event(table, now)));
     }
 
-    /// Changes who says that the target is leaving.
-    pub(super) fn set_leaving(self: &Arc<Self>, change: impl FnOnce(&mut Leaving)) {
+    /// Updates the leaving state, and publishes a change of whether the target is leaving.
+    pub(super) fn update_leaving(self: &Arc<Self>, change: impl FnOnce(&mut LeavingState)) {
         let (before, after) = {
             let mut leaving = lock(&self.leaving);
             let before = leaving.is_leaving();
@@ -118,54 +118,54 @@
             (before, leaving.is_leaving())
         };
         if before != after {
-            // Read under the table's lock, so that the newest change is the last one applied.
-            self.tell(|table, now| table.on_leaving(now, self.leaving().is_leaving()));
-            self.report.notify_one();
+            // The state is read under the table's lock, so that the newest change is applied last.
+            self.apply_event(|table, now| table.on_leaving(now, self.leaving().is_leaving()));
+            self.report_now.notify_one();
         }
     }
 
-    /// Returns who says that the target is leaving.
-    pub(super) fn leaving(&self) -> Leaving {
+    /// Returns the leaving state.
+    pub(super) fn leaving(&self) -> LeavingState {
         *lock(&self.leaving)
     }
 
     /// Returns the signals of an attempt.
-    pub(super) fn signal(&self, id: AttemptId) -> Arc<Signal> {
+    pub(super) fn signals(&self, id: AttemptId) -> Arc<AttemptSignals> {
         let mut signals = lock(&self.signals);
         if let Some(signal) = signals.get(&id).and_then(Weak::upgrade) {
             return signal;
         }
-        let signal = Arc::new(Signal::default());
+        let signal = Arc::new(AttemptSignals::default());
         signals.insert(id, Arc::downgrade(&signal));
         signal
     }
 
-    /// Forgets the signals that nobody holds.
-    pub(super) fn forget_signals(&self) {
+    /// Removes the signals that no task uses.
+    pub(super) fn remove_unused_signals(&self) {
         lock(&self.signals).retain(|_, signal| signal.strong_count() > 0);
     }
 
-    fn begin(self: &Arc<Self>, step: AttemptStep) {
+    fn execute(self: &Arc<Self>, step: AttemptStep) {
         match step {
-            AttemptStep::Start(dispatch) => self.run(*dispatch),
-            AttemptStep::Abort(id) => self.signal(id).abort.cancel(),
-            AttemptStep::Resume(id) => self.signal(id).resume.notify_one(),
+            AttemptStep::Start(dispatch) => self.spawn_runner(*dispatch),
+            AttemptStep::Abort(id) => self.signals(id).abort.cancel(),
+            AttemptStep::Resume(id) => self.signals(id).resume.notify_one(),
             AttemptStep::Wake(id) => {
-                self.signal(id).output.send_replace(());
+                self.signals(id).output.send_replace(());
             }
         }
     }
 
-    fn run(self: &Arc<Self>, dispatch: Dispatch) {
+    fn spawn_runner(self: &Arc<Self>, dispatch: Dispatch) {
         let state = Arc::clone(self);
-        let signal = self.signal(dispatch.id);
+        let signals = self.signals(dispatch.id);
         let Dispatch { id, rank, work, .. } = dispatch;
         match work {
             Work::Generate(work) => self.supervisor.spawn(async move {
-                generate_runner::run(&state, id, rank, work, &signal).await;
+                generate_runner::run(&state, id, rank, work, &signals).await;
             }),
             Work::Call(call) => self.supervisor.spawn(async move {
-                call_runner::run(&state, id, call, &signal).await;
+                call_runner::run(&state, id, call, &signals).await;
             }),
         }
     }
--- a/crates/cyclamenwharf/src/agent/call_runner.rs
+++ b/crates/cyclamenwharf/src/agent/call_runner.rs
@@ -1,4 +1,4 @@
-//! Runs one attempt on a plain service.
+//! Running an attempt on a plain service.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,9 +23,9 @@
 use log::debug;
 
 use super::agent_state::AgentState;
-use super::signal::Signal;
+use super::attempt_signals::AttemptSignals;
 
-/// Headers that concern one connection only, and those that the client sets itself.
+/// Headers that apply to a single connection, and those that the HTTP client sets itself.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
@@ -39,27 +39,32 @@
     "upgrade",
 ];
 
-/// Runs one attempt to its end, or until it is aborted.
-pub(super) async fn run(state: &Arc<AgentState>, id: AttemptId, call: Call, signal: &Signal) {
+/// Runs an attempt until it ends or is aborted.
+pub(super) async fn run(
+    state: &Arc<AgentState>,
+    id: AttemptId,
+    call: Call,
+    signals: &AttemptSignals,
+) {
     tokio::select! {
-        end = send(state, id, call, signal) => match end {
-            Some(end) => state.tell(|table, now| table.on_end(now, id, end)),
+        end = send(state, id, call, signals) => match end {
+            Some(end) => state.apply_event(|table, now| table.on_end(now, id, end)),
             None => {
-                state.tell(|table, now| table.on_disconnect(now, id));
-                state.check.notify_one();
+                state.apply_event(|table, now| table.on_disconnect(now, id));
+                state.check_target.notify_one();
             }
         },
-        // The table has ended it already; the dropped connection tells the service.
-        () = signal.abort.cancelled() => {}
+        // The table has already ended the attempt; the service sees the closed connection.
+        () = signals.abort.cancelled() => {}
     }
 }
 
-/// Returns how the call ended; none if its connection broke.
+/// Sends the call and returns how it ended, or `None` if its connection broke.
 async fn send(
     state: &Arc<AgentState>,
     id: AttemptId,
     call: Call,
-    signal: &Signal,
+    signals: &AttemptSignals,
 ) -> Option<AttemptEnd> {
     let Some((method, headers)) = request_head(&call.head) else {
         return Some(AttemptEnd::Failed {
@@ -73,8 +78,8 @@
         .await;
     let response = match sent {
         Ok(response) => response,
-        Err(error) if error.is_harmless() => {
-            state.check.notify_one();
+        Err(error) if error.had_no_effect() => {
+            state.check_target.notify_one();
             return Some(AttemptEnd::NotRun(NotRunReason::TargetDown));
         }
         Err(error) => {
@@ -82,29 +87,29 @@
             return None;
         }
     };
-    state.tell(|table, now| table.on_accepted(now, id, TokenCount(0)));
+    state.apply_event(|table, now| table.on_accepted(now, id, TokenCount(0)));
     let head = Chunk::Head {
         status: response.status().as_u16(),
-        headers: answer_headers(response.headers()),
+        headers: response_headers(response.headers()),
     };
-    state.decide(|table, now| table.on_output(now, id, head));
-    read(state, id, response.into_body(), signal).await
+    state.update_table(|table, now| table.on_output(now, id, head));
+    read_body(state, id, response.into_body(), signals).await
 }
 
-async fn read(
+async fn read_body(
     state: &Arc<AgentState>,
     id: AttemptId,
     mut body: Incoming,
-    signal: &Signal,
+    signals: &AttemptSignals,
 ) -> Option<AttemptEnd> {
     while let Some(frame) = body.frame().await {
         let Ok(bytes) = frame.ok()?.into_data() else {
             continue;
         };
         let chunk = Chunk::Body(bytes);
-        match state.decide(|table, now| table.on_output(now, id, chunk)) {
+        match state.update_table(|table, now| table.on_output(now, id, chunk)) {
             FlowControl::Continue => {}
-            FlowControl::Pause => signal.resume.notified().await,
+            FlowControl::Pause => signals.resume.notified().await,
             FlowControl::Stop => break,
         }
     }
@@ -117,7 +122,7 @@
 
 fn request_head(head: &CallHead) -> Option<(Method, HeaderMap)> {
     if !head.path.starts_with('/') {
-        // It would change the address that the call goes to.
+        // A path without a leading slash could change the address of the request.
         return None;
     }
     let method = head.method.parse().ok()?;
@@ -132,8 +137,8 @@
     Some((method, headers))
 }
 
-fn answer_headers(headers: &HeaderMap) -> BTreeMap<String, String> {
-    let mut kept: BTreeMap<String, String> = BTreeMap::new();
+fn response_headers(headers: &HeaderMap) -> BTreeMap<String, String> {
+    let mut joined: BTreeMap<String, String> = BTreeMap::new();
     for (name, value) in headers {
         let Ok(value) = value.to_str() else {
             continue;
@@ -141,12 +146,13 @@
         if !is_end_to_end(name.as_str()) {
             continue;
         }
-        kept.entry(name.to_string())
+        joined
+            .entry(name.to_string())
             .and_modify(|before| {
                 before.push_str(", ");
                 before.push_str(value);
             })
             .or_insert_with(|| value.to_owned());
     }
-    kept
+    joined
 }
--- a/crates/cyclamenwharf/src/agent/engine_client.rs
+++ b/crates/cyclamenwharf/src/agent/engine_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the target.
+//! The HTTP client of the target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,41 +21,41 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// How long a connection to the target may take to be made.
+/// The time limit for establishing a connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest answer to a control call, in bytes.
-const ANSWER_MAX: usize = 4 << 20;
+/// The largest response to a control call, in bytes.
+const RESPONSE_MAX: usize = 4 << 20;
 
-/// A call to the target that failed.
+/// An error of a call to the target.
 #[derive(Debug, Snafu)]
 pub(super) enum EngineError {
-    /// Nobody listens at the target's address: the call had no effect.
+    /// The target's address refuses connections, so the call had no effect.
     #[snafu(display("the target refuses connections"))]
     Refused,
-    /// No connection could be made: the call had no effect.
+    /// The connection could not be established, so the call had no effect.
     #[snafu(display("cannot connect to the target: {message}"))]
     Connect {
-        /// What happened.
+        /// The text of the underlying error.
         message: String,
     },
-    /// The connection broke after the call may have been read.
+    /// The connection broke after the target may have received the call.
     #[snafu(display("the connection to the target broke: {message}"))]
     Broken {
-        /// What happened.
+        /// The text of the underlying error.
         message: String,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer from the target in {limit:?}"))]
+    /// The target did not respond in time.
+    #[snafu(display("no response from the target within {limit:?}"))]
     Timeout {
-        /// The limit.
+        /// The time limit.
         limit: Duration,
     },
 }
 
-/// A client of the one target.
+/// A client of a single target.
 ///
-/// Each call makes a connection of its own: a broken one then says something about its call alone,
-/// and a call that never had a connection is known not to have been read.
+/// Each call opens its own connection, so that a broken connection affects its call only, and a
+/// call whose connection was never established has certainly not been received.
 #[derive(Clone, Debug)]
 pub(super) struct EngineClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -63,14 +63,14 @@
 }
 
 impl EngineError {
-    /// Returns whether the call is known to have had no effect.
-    pub(super) fn is_harmless(&self) -> bool {
+    /// Returns whether the call certainly had no effect.
+    pub(super) fn had_no_effect(&self) -> bool {
         matches!(self, EngineError::Refused | EngineError::Connect { .. })
     }
 }
 
 impl EngineClient {
-    /// Returns a client of the target at `address`.
+    /// Returns a client for the target at `address`.
     pub(super) fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -82,11 +82,11 @@
         Self { client, address }
     }
 
-    /// Sends a call and returns the head of the answer, with its body to be read.
+    /// Sends a call and returns the response, whose body is still to be read.
     ///
     /// # Errors
     ///
-    /// Only `Refused` and `Connect` mean that the call had no effect.
+    /// Only `Refused` and `Connect` guarantee that the call had no effect.
     pub(super) async fn send(
         &self,
         method: Method,
@@ -112,11 +112,11 @@
         })
     }
 
-    /// Posts JSON and returns the head of the answer, with its body to be read.
+    /// Posts JSON and returns the response, whose body is still to be read.
     ///
     /// # Errors
     ///
-    /// Only `Refused` and `Connect` mean that the call had no effect.
+    /// Only `Refused` and `Connect` guarantee that the call had no effect.
     pub(super) async fn post<M: Serialize>(
         &self,
         path: &str,
@@ -130,11 +130,11 @@
         self.send(Method::POST, path, headers, body.into()).await
     }
 
-    /// Sends a control call and reads the whole answer.
+    /// Sends a control call and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Only `Refused` and `Connect` mean that the call had no effect.
+    /// Only `Refused` and `Connect` guarantee that the call had no effect.
     pub(super) async fn control<M: Serialize>(
         &self,
         path: &str,
@@ -147,7 +147,7 @@
                 None => self.get(path).await?,
             };
             let status = response.status();
-            let body = Limited::new(response.into_body(), ANSWER_MAX)
+            let body = Limited::new(response.into_body(), RESPONSE_MAX)
                 .collect()
                 .await
                 .map_err(|error| EngineError::Broken {
@@ -160,9 +160,9 @@
             .unwrap_or(Err(EngineError::Timeout { limit }))
     }
 
-    /// Tells the engine to stop an attempt.
+    /// Requests that the engine stops an attempt.
     pub(super) async fn abort(&self, id: AttemptId, limit: Duration) -> Result<(), EngineError> {
-        let message = super::engine_json::Abort {
+        let message = super::engine_json::AbortRequest {
             request_id: id.to_string(),
         };
         self.control("/v1/abort", Some(&message), limit)
@@ -170,8 +170,8 @@
             .map(drop)
     }
 
-    /// Returns whether the target takes connections.
-    pub(super) async fn connect(&self) -> Result<(), EngineError> {
+    /// Checks that the target accepts connections.
+    pub(super) async fn check_connection(&self) -> Result<(), EngineError> {
         let connection = tokio::net::TcpStream::connect(self.address);
         match tokio::time::timeout(CONNECT_TIMEOUT, connection).await {
             Ok(Ok(_)) => Ok(()),
@@ -191,9 +191,10 @@
     }
 }
 
-/// Returns whether an error comes from a connection that was refused.
+/// Returns whether an error was caused by a refused connection.
 ///
-/// One that is only not made in time may be to a target that is paused or overloaded.
+/// A connection that only times out does not count, because the target may be paused or
+/// overloaded.
 fn is_refused(error: &(dyn std::error::Error + 'static)) -> bool {
     let refused = |error: &std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
     std::iter::successors(Some(error), |error| error.source())
--- a/crates/cyclamenwharf/src/agent/engine_json.rs
+++ b/crates/cyclamenwharf/src/agent/engine_json.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface in JSON.
+//! The JSON messages of the engine's HTTP interface.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,10 +20,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The engine's priority of rank 0; a lower number goes first there, a higher rank here.
+/// The engine's priority for rank 0. The engine prefers lower numbers, dispatches higher ranks.
 const LOWEST_PRIORITY: u8 = u8::MAX;
 
-/// A prompt as the engine takes it.
+/// A prompt in the engine's format.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum PromptField<'a> {
@@ -31,9 +31,9 @@
     Ids(&'a [TokenId]),
 }
 
-/// The body of a completion.
+/// The body of a completion request.
 #[derive(Serialize)]
-pub(super) struct Completion<'a> {
+pub(super) struct CompletionRequest<'a> {
     model: &'a ModelName,
     version: &'a VersionName,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -54,8 +54,8 @@
     output_so_far: &'a [TokenId],
 }
 
-impl<'a> Completion<'a> {
-    /// Returns the path and body that ask for `work`.
+impl<'a> CompletionRequest<'a> {
+    /// Returns the path and the body of the request for `work`.
     pub(super) fn new(id: AttemptId, rank: u8, work: &'a Generate) -> (&'static str, Self) {
         let (path, prompt, messages) = match &work.prompt {
             Prompt::Text(text) => ("/v1/completions", Some(PromptField::Text(text)), None),
@@ -68,7 +68,7 @@
             adapter: work.adapter.as_ref().map(|adapter| adapter.as_str()),
             prompt,
             messages,
-            max_tokens: remaining(work),
+            max_tokens: remaining_tokens(work),
             seed: work.sampling.seed,
             temperature: work.sampling.temperature,
             top_p: work.sampling.top_p,
@@ -83,18 +83,18 @@
     }
 }
 
-/// Returns how many tokens are still to be produced.
-pub(super) fn remaining(work: &Generate) -> u64 {
+/// Returns the number of tokens still to be generated.
+pub(super) fn remaining_tokens(work: &Generate) -> u64 {
     work.max_tokens.0.saturating_sub(work.so_far.len() as u64)
 }
 
-/// The body of an abort.
+/// The body of an abort request.
 #[derive(Serialize)]
-pub(super) struct Abort {
+pub(super) struct AbortRequest {
     pub(super) request_id: String,
 }
 
-/// One choice of an event.
+/// A choice of a completion event.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Choice {
@@ -104,29 +104,29 @@
     finish_reason: Option<FinishReason>,
 }
 
-/// How many prompt tokens there were, and how many of them were cached.
+/// The token usage of a completion.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Usage {
     cached_tokens: TokenCount,
 }
 
-/// One event of a completion.
+/// An event of a completion's stream.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-pub(super) struct Event {
+pub(super) struct CompletionEvent {
     choices: Vec<Choice>,
     usage: Option<Usage>,
 }
 
-impl Event {
-    /// Returns how many prompt tokens were cached, if the event says so.
-    pub(super) fn cached(&self) -> Option<TokenCount> {
+impl CompletionEvent {
+    /// Returns the number of cached prompt tokens, if the event contains it.
+    pub(super) fn cached_tokens(&self) -> Option<TokenCount> {
         self.usage.as_ref().map(|usage| usage.cached_tokens)
     }
 
-    /// Returns the tokens and how the output ended, if it did; none if texts and tokens differ in
-    /// number.
+    /// Returns the tokens and the finish reason, if the output has ended, or `None` if the numbers
+    /// of texts and token ids differ.
     pub(super) fn output(self) -> Option<(Vec<Token>, Option<FinishReason>)> {
         let Some(choice) = self.choices.into_iter().next() else {
             return Some((Vec::new(), None));
@@ -145,10 +145,10 @@
     }
 }
 
-/// The engine's load.
+/// The engine's response to a load request.
 #[derive(Deserialize)]
 pub(super) struct EngineLoad {
-    /// The engine's life.
+    /// The boot number of the engine, which changes when the engine restarts.
     pub(super) boot: u64,
     running: u32,
     waiting: u32,
@@ -156,12 +156,12 @@
     capacity_tokens: u64,
     prefill_tokens: u64,
     step_micros: u64,
-    /// The versions it holds.
+    /// The versions that the engine has loaded, by model.
     pub(super) versions: BTreeMap<ModelName, BTreeSet<VersionName>>,
 }
 
 impl EngineLoad {
-    /// Returns the load; the agent adds what it knows itself.
+    /// Returns the engine's part of the load; the agent fills in the other fields.
     pub(super) fn load(&self) -> Load {
         Load {
             running: self.running,
@@ -175,31 +175,31 @@
     }
 }
 
-/// The body of an order.
+/// The body of an order request.
 #[derive(Serialize)]
-pub(super) struct OrderBody<'a> {
+pub(super) struct OrderRequest<'a> {
     pub(super) fencing: FencingNumber,
     pub(super) sequence: u64,
     pub(super) order: &'a OrderKind,
 }
 
-/// Whether an order is done.
+/// The state of an accepted order.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum OrderState {
-    /// It is done.
+    /// The order is complete.
     Done,
-    /// It is begun.
+    /// The order has started.
     Begun,
 }
 
-/// The engine's answer to an order that it takes.
+/// The engine's response to an accepted order.
 #[derive(Deserialize)]
-pub(super) struct OrderTaken {
+pub(super) struct OrderAccepted {
     pub(super) state: OrderState,
 }
 
-/// The engine's answer to an order with an old fencing number.
+/// The engine's response to an order with an outdated fencing number.
 #[derive(Deserialize)]
 pub(super) struct OrderFenced {
     pub(super) highest: FencingNumber,
--- a/crates/cyclamenwharf/src/agent/frame_stream.rs
+++ b/crates/cyclamenwharf/src/agent/frame_stream.rs
@@ -1,4 +1,4 @@
-//! The body that carries an attempt's frames to an entry.
+//! The response body that streams an attempt's frames to an entry.
 
 use std::io;
 use std::sync::Arc;
@@ -21,9 +21,9 @@
 use tokio_util::sync::CancellationToken;
 
 use super::agent_state::AgentState;
-use super::signal::Signal;
+use super::attempt_signals::AttemptSignals;
 
-/// A reader that leaves its attempt when its stream is dropped.
+/// A reader that detaches from its attempt when dropped.
 struct ReaderGuard {
     state: Arc<AgentState>,
     reader: Reader,
@@ -32,22 +32,22 @@
 impl Drop for ReaderGuard {
     fn drop(&mut self) {
         let reader = self.reader;
-        self.state.tell(|table, now| {
+        self.state.apply_event(|table, now| {
             table.on_detach(now, &reader);
             Vec::new()
         });
     }
 }
 
-/// A stream in progress.
-struct Source {
+/// The state of a frame stream.
+struct FrameSource {
     guard: ReaderGuard,
-    signal: Arc<Signal>,
+    signals: Arc<AttemptSignals>,
     heartbeat: Interval,
     stop: CancellationToken,
 }
 
-/// Returns the body for an answer of the attempt table.
+/// Returns the response body for an answer of the attempt table.
 pub(super) fn body(state: &Arc<AgentState>, answer: AttemptAnswer) -> Body {
     let reader = match answer {
         AttemptAnswer::Read(reader) => reader,
@@ -58,8 +58,8 @@
     let period = state.settings.engine.heartbeat;
     let mut heartbeat = interval_at(Instant::now() + period, period);
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let source = Source {
-        signal: state.signal(reader.id),
+    let source = FrameSource {
+        signals: state.signals(reader.id),
         stop: state.supervisor.token(),
         guard: ReaderGuard {
             state: Arc::clone(state),
@@ -75,16 +75,18 @@
             Err(error) => Some((Err(error), None)),
         }
     });
-    Body::wrap(StreamBody::new(to_frames(frames)))
+    Body::wrap(StreamBody::new(to_body_frames(frames)))
 }
 
-/// Returns a body that breaks its connection, as a killed process would.
-pub(super) fn broken_body() -> Body {
-    let error = async { Err::<Bytes, io::Error>(killed()) };
-    Body::wrap(StreamBody::new(to_frames(futures::stream::once(error))))
+/// Returns a body that breaks its connection, like a killed process.
+pub(super) fn failing_body() -> Body {
+    let error = async { Err::<Bytes, io::Error>(killed_error()) };
+    Body::wrap(StreamBody::new(to_body_frames(futures::stream::once(
+        error,
+    ))))
 }
 
-fn to_frames<S>(
+fn to_body_frames<S>(
     bytes: S,
 ) -> impl Stream<Item = Result<http_body::Frame<Bytes>, io::Error>> + Send + Sync
 where
@@ -94,14 +96,14 @@
     bytes.map_ok(http_body::Frame::data)
 }
 
-impl Source {
-    /// Returns the next frame; none at the end of the stream.
+impl FrameSource {
+    /// Returns the next encoded frame, or `None` at the end of the stream.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
-        let mut output = self.signal.output.subscribe();
+        let mut output = self.signals.output.subscribe();
         let stop = self.stop.clone();
         loop {
             if stop.is_cancelled() {
-                return Err(killed());
+                return Err(killed_error());
             }
             match self.read() {
                 ReadStep::Frame(frame) => return encode(&frame).map(Some),
@@ -109,8 +111,8 @@
                 ReadStep::Wait => {}
             }
             tokio::select! {
-                () = stop.cancelled() => return Err(killed()),
-                _ = self.heartbeat.tick() => return encode(&self.beat()).map(Some),
+                () = stop.cancelled() => return Err(killed_error()),
+                _ = self.heartbeat.tick() => return encode(&self.heartbeat_frame()).map(Some),
                 _ = output.changed() => {}
             }
         }
@@ -120,12 +122,14 @@
         let reader = &mut self.guard.reader;
         self.guard
             .state
-            .decide(|table, now| table.read(now, reader))
+            .update_table(|table, now| table.read(now, reader))
     }
 
-    fn beat(&self) -> Frame {
+    fn heartbeat_frame(&self) -> Frame {
         let id = self.guard.reader.id;
-        self.guard.state.look(|table, now| table.heartbeat(now, id))
+        self.guard
+            .state
+            .read_table(|table, now| table.heartbeat(now, id))
     }
 }
 
@@ -137,6 +141,6 @@
     Ok(buffer.freeze())
 }
 
-fn killed() -> io::Error {
-    io::Error::other("the process has been killed")
+fn killed_error() -> io::Error {
+    io::Error::other("the process was killed")
 }
--- a/crates/cyclamenwharf/src/agent/generate_runner.rs
+++ b/crates/cyclamenwharf/src/agent/generate_runner.rs
@@ -1,4 +1,4 @@
-//! Runs one attempt on a model engine.
+//! Running an attempt on a model engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,61 +19,61 @@
 use log::warn;
 
 use super::agent_state::AgentState;
-use super::engine_json::Completion;
-use super::engine_json::Event;
-use super::engine_json::remaining;
-use super::signal::Signal;
+use super::attempt_signals::AttemptSignals;
+use super::engine_json::CompletionEvent;
+use super::engine_json::CompletionRequest;
+use super::engine_json::remaining_tokens;
 use super::sse;
 
-/// How long the engine may take to answer an abort.
+/// The time limit for an abort request.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The data of the event that closes a stream.
-const CLOSING: &str = "[DONE]";
+/// The data of the last event of a stream.
+const DONE_MARKER: &str = "[DONE]";
 
-/// How an attempt ends whose engine sends what makes no sense.
-const NONSENSE: AttemptEnd = AttemptEnd::Failed {
+/// The end of an attempt whose engine sends an invalid event.
+const INVALID_EVENT: AttemptEnd = AttemptEnd::Failed {
     failure: Failure::TargetError,
     ran: Ran::Partly,
 };
 
-/// How a run came to its end.
+/// The outcome of a run.
 enum Outcome {
-    /// The engine ended it, or refused it.
+    /// The engine finished or refused the attempt.
     End(AttemptEnd),
-    /// The connection broke.
-    Break,
-    /// The table has ended it already.
+    /// The connection to the engine broke.
+    Disconnected,
+    /// The attempt table has already ended the attempt.
     Stopped,
 }
 
-/// Runs one attempt to its end, or until it is aborted.
+/// Runs an attempt until it ends or is aborted.
 pub(super) async fn run(
     state: &Arc<AgentState>,
     id: AttemptId,
     rank: u8,
     work: Generate,
-    signal: &Signal,
+    signals: &AttemptSignals,
 ) {
     let outcome = tokio::select! {
-        outcome = generate(state, id, rank, work, signal) => outcome,
-        () = signal.abort.cancelled() => Outcome::Stopped,
+        outcome = generate(state, id, rank, work, signals) => outcome,
+        () = signals.abort.cancelled() => Outcome::Stopped,
     };
     match outcome {
-        Outcome::End(end) => state.tell(|table, now| table.on_end(now, id, end)),
-        Outcome::Break => {
-            state.tell(|table, now| table.on_disconnect(now, id));
-            state.check.notify_one();
+        Outcome::End(end) => state.apply_event(|table, now| table.on_end(now, id, end)),
+        Outcome::Disconnected => {
+            state.apply_event(|table, now| table.on_disconnect(now, id));
+            state.check_target.notify_one();
         }
         Outcome::Stopped => abort(state, id),
     }
 }
 
-/// Tells the engine too: it may not notice the closed connection while it is paused.
+/// Sends an abort to the engine, which may not notice the closed connection while it is paused.
 fn abort(state: &Arc<AgentState>, id: AttemptId) {
     let engine = state.engine.clone();
     state.supervisor.spawn(async move {
         if let Err(error) = engine.abort(id, ABORT_TIMEOUT).await {
-            debug!(generation = id.generation.to_string(), attempt = id.attempt.0; "the engine was not told of an abort: {error}");
+            debug!(generation = id.generation.to_string(), attempt = id.attempt.0; "cannot send an abort to the engine: {error}");
         }
     });
 }
@@ -83,33 +83,33 @@
     id: AttemptId,
     rank: u8,
     work: Generate,
-    signal: &Signal,
+    signals: &AttemptSignals,
 ) -> Outcome {
-    if remaining(&work) == 0 {
+    if remaining_tokens(&work) == 0 {
         return Outcome::End(AttemptEnd::Done(FinishReason::Length));
     }
-    let (path, body) = Completion::new(id, rank, &work);
+    let (path, body) = CompletionRequest::new(id, rank, &work);
     let sent = state.engine.post(path, &body).await;
-    // A long run must not keep its prompt.
+    // The prompt is not needed during a long run, so its memory is released.
     drop(work);
     let response = match sent {
         Ok(response) => response,
-        Err(error) if error.is_harmless() => {
-            state.check.notify_one();
+        Err(error) if error.had_no_effect() => {
+            state.check_target.notify_one();
             return Outcome::End(AttemptEnd::NotRun(NotRunReason::TargetDown));
         }
         Err(error) => {
             warn!(generation = id.generation.to_string(), attempt = id.attempt.0; "{error}");
-            return Outcome::Break;
+            return Outcome::Disconnected;
         }
     };
-    match refusal(response.status()) {
+    match status_error(response.status()) {
         Some(end) => Outcome::End(end),
-        None => read(state, id, response.into_body(), signal).await,
+        None => read_events(state, id, response.into_body(), signals).await,
     }
 }
 
-fn refusal(status: StatusCode) -> Option<AttemptEnd> {
+fn status_error(status: StatusCode) -> Option<AttemptEnd> {
     let failed = |ran| AttemptEnd::Failed {
         failure: Failure::TargetError,
         ran,
@@ -123,42 +123,47 @@
     }
 }
 
-async fn read(state: &Arc<AgentState>, id: AttemptId, body: Incoming, signal: &Signal) -> Outcome {
+async fn read_events(
+    state: &Arc<AgentState>,
+    id: AttemptId,
+    body: Incoming,
+    signals: &AttemptSignals,
+) -> Outcome {
     let mut events = sse::events(body);
     while let Some(Ok(data)) = events.next().await {
-        if data == CLOSING {
+        if data == DONE_MARKER {
             break;
         }
         let Ok(event) = serde_json::from_str(&data) else {
-            warn!(generation = id.generation.to_string(), attempt = id.attempt.0; "the engine sent an event that makes no sense");
-            return Outcome::End(NONSENSE);
+            warn!(generation = id.generation.to_string(), attempt = id.attempt.0; "the engine sent an event that cannot be parsed");
+            return Outcome::End(INVALID_EVENT);
         };
-        if let Some(outcome) = take(state, id, event, signal).await {
+        if let Some(outcome) = handle_event(state, id, event, signals).await {
             return outcome;
         }
     }
-    // A stream that ends before its finish was cut off.
-    Outcome::Break
+    // The stream ended without a finish reason.
+    Outcome::Disconnected
 }
 
-/// Passes an event on; returns how the run ended, if it did.
-async fn take(
+/// Applies an event to the attempt table, and returns the outcome if the run has ended.
+async fn handle_event(
     state: &Arc<AgentState>,
     id: AttemptId,
-    event: Event,
-    signal: &Signal,
+    event: CompletionEvent,
+    signals: &AttemptSignals,
 ) -> Option<Outcome> {
-    if let Some(cached) = event.cached() {
-        state.tell(|table, now| table.on_accepted(now, id, cached));
+    if let Some(cached) = event.cached_tokens() {
+        state.apply_event(|table, now| table.on_accepted(now, id, cached));
     }
     let Some((tokens, finish)) = event.output() else {
-        return Some(Outcome::End(NONSENSE));
+        return Some(Outcome::End(INVALID_EVENT));
     };
     if !tokens.is_empty() {
         let chunk = Chunk::Tokens(tokens);
-        match state.decide(|table, now| table.on_output(now, id, chunk)) {
+        match state.update_table(|table, now| table.on_output(now, id, chunk)) {
             FlowControl::Continue => {}
-            FlowControl::Pause => signal.resume.notified().await,
+            FlowControl::Pause => signals.resume.notified().await,
             FlowControl::Stop => return Some(Outcome::Stopped),
         }
     }
--- a/crates/cyclamenwharf/src/agent/host_watch.rs
+++ b/crates/cyclamenwharf/src/agent/host_watch.rs
@@ -1,4 +1,4 @@
-//! Reads the host list.
+//! Polling of the host list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use super::agent_state::AgentState;
 
-/// How often the host list is read.
-const PERIOD: Duration = Duration::from_secs(2);
+/// The period of reading the host list.
+const POLL_PERIOD: Duration = Duration::from_secs(2);
 
-/// Reads the host list for as long as the agent lives, and publishes it.
+/// Reads the host list periodically and publishes it to `hosts`.
 pub(super) async fn run(
     state: Arc<AgentState>,
     list: Arc<dyn HostList>,
@@ -22,21 +22,21 @@
 ) {
     loop {
         match list.hosts().await {
-            Ok(found) => {
-                take(&state, &found);
-                hosts.send_replace(Arc::new(found));
+            Ok(listed_hosts) => {
+                update_leaving_state(&state, &listed_hosts);
+                hosts.send_replace(Arc::new(listed_hosts));
             }
-            // The last list is better than none.
-            Err(error) => debug!("the host list cannot be read: {error}"),
+            // The previous list stays in use.
+            Err(error) => debug!("cannot read the host list: {error}"),
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
-fn take(state: &Arc<AgentState>, hosts: &[Host]) {
+fn update_leaving_state(state: &Arc<AgentState>, hosts: &[Host]) {
     let own = hosts.iter().find(|host| host.host == state.settings.host);
     if let Some(own) = own {
-        let listed = own.state == HostState::Leaving;
-        state.set_leaving(|leaving| leaving.listed = listed);
+        let host_leaving = own.state == HostState::Leaving;
+        state.update_leaving(|leaving| leaving.host_leaving = host_leaving);
     }
 }
--- a/crates/cyclamenwharf/src/agent/metrics.rs
+++ b/crates/cyclamenwharf/src/agent/metrics.rs
@@ -1,4 +1,4 @@
-//! The agent's metrics.
+//! The metrics of an agent.
 
 use cw_policy::AttemptTable;
 use cw_types::Time;
@@ -8,7 +8,7 @@
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// The agent's metrics.
+/// The metrics of an agent.
 #[derive(Debug)]
 pub(super) struct Metrics {
     registry: Registry,
@@ -22,11 +22,11 @@
 }
 
 impl Metrics {
-    /// Returns registered metrics.
+    /// Creates the metrics and registers them.
     ///
     /// # Errors
     ///
-    /// Fails when `registry` has one of the names already.
+    /// Fails if a metric name is already registered.
     pub(super) fn new(registry: Registry) -> Result<Self, prometheus::Error> {
         let gauge = |name: &str, help: &str| {
             let gauge = IntGauge::new(format!("cyclamenwharf_agent_{name}"), help)?;
@@ -51,16 +51,16 @@
         })
     }
 
-    /// Counts the answer to a dispatch if it is a refusal.
-    pub(super) fn count(&self, frame: &Frame) {
+    /// Counts the response to a dispatch if it is a refusal.
+    pub(super) fn count_refusal(&self, frame: &Frame) {
         if let Frame::NotRun { reason, .. } = frame {
             let reason = format!("{reason:?}").to_lowercase();
             self.refused.with_label_values(&[reason.as_str()]).inc();
         }
     }
 
-    /// Returns the metrics as text.
-    pub(super) fn text(&self, table: &AttemptTable, now: Time) -> String {
+    /// Returns the metrics in the Prometheus text format.
+    pub(super) fn encode(&self, table: &AttemptTable, now: Time) -> String {
         let load = table.load(now);
         self.running.set(load.running.into());
         self.waiting.set(load.waiting.into());
--- a/crates/cyclamenwharf/src/agent/mod.rs
+++ b/crates/cyclamenwharf/src/agent/mod.rs
@@ -1,26 +1,26 @@
-//! The agent beside one target.
+//! The agent of a single target.
 //!
-//! [`Agent::start`] wires the parts together: servers for peers and operators, the attempt table
-//! of `cw_policy` with one task per running attempt, a monitor of the target and a reporter.
+//! [`Agent::start`] connects the parts: servers for peers and operators, the attempt table of
+//! `cw_policy` with one task per running attempt, a monitor of the target and a reporter.
 
 mod admin_api;
+mod admin_server;
 mod agent_handle;
 mod agent_state;
+mod attempt_signals;
 mod call_runner;
 mod engine_client;
 mod engine_json;
 mod frame_stream;
 mod generate_runner;
 mod host_watch;
-mod lease_floor;
-mod leaving;
+mod leaving_state;
 mod metrics;
 mod monitor;
 mod order_runner;
 mod peer_api;
+mod planner_lease;
 mod reporter;
-mod server;
-mod signal;
 mod sse;
 
 pub use agent_handle::Agent;
--- a/crates/cyclamenwharf/src/agent/monitor.rs
+++ b/crates/cyclamenwharf/src/agent/monitor.rs
@@ -1,4 +1,4 @@
-//! Watches the target: whether it lives, in which life, and how loaded it is.
+//! Monitoring of the target: whether it is running, whether it restarted, and its load.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,43 +14,43 @@
 use super::engine_client::EngineError;
 use super::engine_json::EngineLoad;
 
-/// How long a reading may take.
+/// The time limit for reading the load.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause after a reading without an answer: nothing starts until the target is known to live.
+/// The delay after a failed reading. It is short, as nothing starts before the target responds.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// After how many readings without an answer the target counts as down.
-const MISSES_MAX: u32 = 2;
+/// The number of consecutive failed readings after which the target counts as down.
+const FAILURES_MAX: u32 = 2;
 
-/// What is remembered between readings.
+/// The state that is kept between readings.
 #[derive(Default)]
-struct Memory {
+struct MonitorState {
     boot: Option<u64>,
-    misses: u32,
+    failures: u32,
 }
 
-/// Reads the target's load for as long as the agent lives.
+/// Reads the target's load periodically, and on request.
 pub(super) async fn run(state: Arc<AgentState>) {
-    let mut memory = Memory::default();
+    let mut monitor = MonitorState::default();
     loop {
-        let before = state.look(|table, _| table.readiness().state());
-        observe(&state, &mut memory).await;
-        let after = state.look(|table, _| table.readiness().state());
+        let before = state.read_table(|table, _| table.readiness().state());
+        check_target(&state, &mut monitor).await;
+        let after = state.read_table(|table, _| table.readiness().state());
         if before != after {
-            info!(target = state.settings.target.id.as_str(); "the target is {}", word(after));
-            state.report.notify_one();
+            info!(target = state.settings.target.id.as_str(); "the target is {}", label(after));
+            state.report_now.notify_one();
         }
-        let pause = match memory.misses {
+        let pause = match monitor.failures {
             0 => state.settings.engine.report,
             _ => RETRY_PAUSE.min(state.settings.engine.report),
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = state.check.notified() => {}
+            () = state.check_target.notified() => {}
         }
     }
 }
 
-fn word(state: TargetState) -> &'static str {
+fn label(state: TargetState) -> &'static str {
     match state {
         TargetState::Up => "up",
         TargetState::Down => "down",
@@ -58,24 +58,24 @@
     }
 }
 
-async fn observe(state: &Arc<AgentState>, memory: &mut Memory) {
-    let asked = state.clock.now();
-    match read(state).await {
-        Ok(reading) => alive(state, memory, asked, reading),
-        Err(EngineError::Refused) => dead(state, memory),
+async fn check_target(state: &Arc<AgentState>, monitor: &mut MonitorState) {
+    let requested_at = state.clock.now();
+    match read_load(state).await {
+        Ok(reading) => on_reading(state, monitor, requested_at, reading),
+        Err(EngineError::Refused) => on_refused(state, monitor),
         Err(_) => {
-            memory.misses += 1;
-            if memory.misses >= MISSES_MAX {
-                state.tell(|table, now| table.on_down(now));
+            monitor.failures += 1;
+            if monitor.failures >= FAILURES_MAX {
+                state.apply_event(|table, now| table.on_down(now));
             }
         }
     }
 }
 
-/// A plain service tells nothing but that it takes connections.
-async fn read(state: &Arc<AgentState>) -> Result<Option<EngineLoad>, EngineError> {
+/// Reads the load of an engine. A plain service only shows that it accepts connections.
+async fn read_load(state: &Arc<AgentState>) -> Result<Option<EngineLoad>, EngineError> {
     if state.settings.target.kind != TargetKind::Engine {
-        return state.engine.connect().await.map(|()| None);
+        return state.engine.check_connection().await.map(|()| None);
     }
     let none: Option<&()> = None;
     let (_, body) = state.engine.control("/v1/load", none, READ_TIMEOUT).await?;
@@ -86,27 +86,32 @@
         })
 }
 
-fn alive(state: &Arc<AgentState>, memory: &mut Memory, asked: Time, reading: Option<EngineLoad>) {
-    memory.misses = 0;
+fn on_reading(
+    state: &Arc<AgentState>,
+    monitor: &mut MonitorState,
+    requested_at: Time,
+    reading: Option<EngineLoad>,
+) {
+    monitor.failures = 0;
     let boot = reading.as_ref().map(|reading| reading.boot);
-    let reborn = memory.boot.is_some() && memory.boot != boot;
-    memory.boot = boot;
+    let restarted = monitor.boot.is_some() && monitor.boot != boot;
+    monitor.boot = boot;
     let (load, versions) = match reading {
         Some(reading) => (reading.load(), reading.versions),
         None => (Load::default(), BTreeMap::new()),
     };
-    state.tell(|table, now| {
-        if reborn {
+    state.apply_event(|table, now| {
+        if restarted {
             table.on_crash(now);
         }
-        table.on_load(now, asked, load, versions)
+        table.on_load(now, requested_at, load, versions)
     });
 }
 
-/// A target that refuses connections is not there.
-fn dead(state: &Arc<AgentState>, memory: &mut Memory) {
-    memory.misses = 0;
-    state.tell(|table, now| {
+/// Handles a target that refuses connections: its process is not running.
+fn on_refused(state: &Arc<AgentState>, monitor: &mut MonitorState) {
+    monitor.failures = 0;
+    state.apply_event(|table, now| {
         table.on_crash(now);
         table.on_down(now)
     });
--- a/crates/cyclamenwharf/src/agent/order_runner.rs
+++ b/crates/cyclamenwharf/src/agent/order_runner.rs
@@ -1,4 +1,4 @@
-//! Passes orders on to the engine.
+//! Forwarding of orders to the engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 
 use super::agent_state::AgentState;
 use super::agent_state::lock;
-use super::engine_json::OrderBody;
+use super::engine_json::OrderAccepted;
 use super::engine_json::OrderFenced;
+use super::engine_json::OrderRequest;
 use super::engine_json::OrderState;
-use super::engine_json::OrderTaken;
-use super::lease_floor;
+use super::planner_lease;
 
-/// How long the engine may take to answer an order.
+/// The time limit for the engine's response to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What became of an order that was passed on.
-struct Passed {
+/// The result of an order that was sent to the engine.
+struct SentOrder {
     answer: OrderResponse,
-    /// Whether the order may still take effect although the answer says otherwise.
-    open: bool,
+    /// Whether the order may still take effect although `answer` reports a failure.
+    may_apply: bool,
 }
 
-/// Runs an order, or answers why not.
+/// Forwards an order to the engine, unless it must be refused or was answered before.
 pub(super) async fn run(state: &Arc<AgentState>, order: &Order) -> OrderResponse {
-    if let Err(error) = lease_floor::ensure(state).await {
+    if let Err(error) = planner_lease::ensure_read(state).await {
         return OrderResponse::Failed {
             message: error.to_string(),
         };
@@ -40,41 +40,41 @@
     if let OrderStep::Answer(answer) = admit(state, order) {
         return answer;
     }
-    let Passed { answer, open } = pass(state, order).await;
+    let SentOrder { answer, may_apply } = send_order(state, order).await;
     lock(&state.orders).on_answer(order, &answer);
     let failed = matches!(
         answer,
         OrderResponse::Failed { .. } | OrderResponse::Fenced { .. }
     );
     match &order.kind {
-        // A version that may vanish any time stays closed to new work.
-        OrderKind::Unload { model, version } if failed && !open => {
-            reopen(state, model, version);
+        // A version that may still be unloaded stays closed to new work.
+        OrderKind::Unload { model, version } if failed && !may_apply => {
+            allow_new_work(state, model, version);
         }
-        OrderKind::Load { model, version, .. } if !failed => reopen(state, model, version),
+        OrderKind::Load { model, version, .. } if !failed => allow_new_work(state, model, version),
         _ => {}
     }
-    state.check.notify_one();
+    state.check_target.notify_one();
     info!(
         target = state.settings.target.id.as_str(),
         fencing = order.fencing.0,
         sequence = order.sequence;
-        "an order was passed on: {answer:?}"
+        "the engine answered an order: {answer:?}"
     );
     answer
 }
 
-fn reopen(state: &Arc<AgentState>, model: &ModelName, version: &VersionName) {
-    state.tell(|table, _| {
+fn allow_new_work(state: &Arc<AgentState>, model: &ModelName, version: &VersionName) {
+    state.apply_event(|table, _| {
         table.on_unloading(model, version, false);
         Vec::new()
     });
 }
 
-/// Decides, and closes the version to new work in the same moment in which nothing is pinned.
+/// Decides whether to send an order, and atomically closes an unpinned version to new work.
 fn admit(state: &Arc<AgentState>, order: &Order) -> OrderStep {
     let mut orders = lock(&state.orders);
-    state.decide(|table, _| {
+    state.update_table(|table, _| {
         let OrderKind::Unload { model, version } = &order.kind else {
             return (orders.on_order(order, 0), Vec::new());
         };
@@ -86,8 +86,8 @@
     })
 }
 
-async fn pass(state: &Arc<AgentState>, order: &Order) -> Passed {
-    let body = OrderBody {
+async fn send_order(state: &Arc<AgentState>, order: &Order) -> SentOrder {
+    let body = OrderRequest {
         fencing: order.fencing,
         sequence: order.sequence,
         order: &order.kind,
@@ -97,12 +97,12 @@
         .control("/v1/orders", Some(&body), ORDER_TIMEOUT)
         .await;
     match sent {
-        Ok((status, bytes)) => Passed {
-            answer: read(state, status, &bytes),
-            open: false,
+        Ok((status, bytes)) => SentOrder {
+            answer: read_answer(state, status, &bytes),
+            may_apply: false,
         },
-        Err(error) => Passed {
-            open: !error.is_harmless(),
+        Err(error) => SentOrder {
+            may_apply: !error.had_no_effect(),
             answer: OrderResponse::Failed {
                 message: error.to_string(),
             },
@@ -110,13 +110,13 @@
     }
 }
 
-fn read(state: &Arc<AgentState>, status: StatusCode, bytes: &[u8]) -> OrderResponse {
+fn read_answer(state: &Arc<AgentState>, status: StatusCode, bytes: &[u8]) -> OrderResponse {
     let failed = || OrderResponse::Failed {
         message: String::from_utf8_lossy(bytes).into_owned(),
     };
     match status {
-        StatusCode::OK => match serde_json::from_slice::<OrderTaken>(bytes) {
-            Ok(taken) => match taken.state {
+        StatusCode::OK => match serde_json::from_slice::<OrderAccepted>(bytes) {
+            Ok(accepted) => match accepted.state {
                 OrderState::Done => OrderResponse::Done,
                 OrderState::Begun => OrderResponse::Begun,
             },
--- a/crates/cyclamenwharf/src/agent/peer_api.rs
+++ b/crates/cyclamenwharf/src/agent/peer_api.rs
@@ -34,36 +34,36 @@
 /// The largest message from a peer, in bytes.
 const MESSAGE_MAX: usize = 16 << 20;
 
-/// An answer, or the status of a refusal.
-type Answer = Result<Response<Body>, StatusCode>;
+/// A response, or the status of a refused request.
+type HandlerResult = Result<Response<Body>, StatusCode>;
 
-/// Answers other processes of the system.
+/// Handles requests from other processes of the system.
 pub(super) struct PeerApi {
-    /// The agent.
+    /// The state of the agent.
     pub(super) state: Arc<AgentState>,
 }
 
 impl Handler for PeerApi {
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>> {
-        // An event is taken in whole even when its sender does not wait for the answer.
-        let work = tokio::spawn(async move { answer(&self.state, request).await });
+        // The request is handled completely even if the peer disconnects before the response.
+        let work = tokio::spawn(async move { handle_request(&self.state, request).await });
         Box::pin(async move {
             let answer = work.await;
             answer
                 .unwrap_or(Err(StatusCode::INTERNAL_SERVER_ERROR))
-                .unwrap_or_else(refusal)
+                .unwrap_or_else(error_response)
         })
     }
 }
 
-fn refusal(status: StatusCode) -> Response<Body> {
+fn error_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
 }
 
-/// Checks the secret, reads the message and passes it on.
-async fn answer(state: &Arc<AgentState>, request: Request<Body>) -> Answer {
+/// Authenticates a request, decodes its message and dispatches it to its handler.
+async fn handle_request(state: &Arc<AgentState>, request: Request<Body>) -> HandlerResult {
     let (parts, body) = request.into_parts();
     if !peer_auth::is_authorized(&parts.headers, &state.settings.secrets.peers) {
         return Err(StatusCode::UNAUTHORIZED);
@@ -74,50 +74,52 @@
     let body = Limited::new(body, MESSAGE_MAX).collect().await;
     let bytes = body.map_err(|_| StatusCode::BAD_REQUEST)?.to_bytes();
     match parts.uri.path() {
-        path::ATTEMPTS => attempts(state, receive(&bytes)?),
-        path::ATTACH => attach(state, &receive(&bytes)?),
-        path::ACK => ack(state, &receive(&bytes)?),
-        path::CANCEL => cancel(state, &receive(&bytes)?),
-        path::ORDERS => orders(state, &receive(&bytes)?).await,
+        path::ATTEMPTS => attempts(state, decode(&bytes)?),
+        path::ATTACH => attach(state, &decode(&bytes)?),
+        path::ACK => ack(state, &decode(&bytes)?),
+        path::CANCEL => cancel(state, &decode(&bytes)?),
+        path::ORDERS => orders(state, &decode(&bytes)?).await,
         _ => Err(StatusCode::NOT_FOUND),
     }
 }
 
-fn receive<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, StatusCode> {
+fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, StatusCode> {
     cw_wire::decode(bytes).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
-fn send<M: Serialize>(state: &AgentState, message: &M) -> Answer {
+fn respond_message<M: Serialize>(state: &AgentState, message: &M) -> HandlerResult {
     let bytes = cw_wire::encode(message).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)?;
-    Ok(respond(state, Body::from(bytes)))
+    Ok(respond_body(state, Body::from(bytes)))
 }
 
-fn respond(state: &AgentState, body: Body) -> Response<Body> {
+fn respond_body(state: &AgentState, body: Body) -> Response<Body> {
     let killed = state.supervisor.token().is_cancelled();
     match killed {
-        true => Response::new(frame_stream::broken_body()),
+        true => Response::new(frame_stream::failing_body()),
         false => Response::new(body),
     }
 }
 
-fn respond_frames(state: &Arc<AgentState>, answer: AttemptAnswer) -> Answer {
+fn respond_frames(state: &Arc<AgentState>, answer: AttemptAnswer) -> HandlerResult {
     if let AttemptAnswer::Frame(frame) = &answer {
-        state.metrics.count(frame);
+        state.metrics.count_refusal(frame);
     }
-    Ok(respond(state, frame_stream::body(state, answer)))
+    Ok(respond_body(state, frame_stream::body(state, answer)))
 }
 
-/// Returns whether work is of the target's kind.
+/// Returns whether `work` matches the kind of the target.
 ///
-/// A call must never reach an engine, whose control interface is at the same address.
-fn is_served(state: &AgentState, work: &Work) -> bool {
+/// A call must never reach an engine, which serves its control interface at the same address.
+fn matches_kind(state: &AgentState, work: &Work) -> bool {
     let engine = state.settings.target.kind == TargetKind::Engine;
     matches!(work, Work::Generate(_)) == engine
 }
 
-/// Refuses for good without a tombstone: a target's kind never changes.
-fn wrong_kind(state: &AgentState) -> AttemptAnswer {
-    let frame = state.look(|table, now| Frame::NotRun {
+/// Returns the refusal of work of another kind.
+///
+/// It needs no tombstone, because the kind of a target never changes.
+fn refuse_kind(state: &AgentState) -> AttemptAnswer {
+    let frame = state.read_table(|table, now| Frame::NotRun {
         reason: NotRunReason::WrongVersion,
         retry: Duration::ZERO,
         load: table.load(now),
@@ -125,35 +127,35 @@
     AttemptAnswer::Frame(Box::new(frame))
 }
 
-/// Runs an attempt, or attaches to it.
-fn attempts(state: &Arc<AgentState>, dispatch: Dispatch) -> Answer {
-    let answer = match is_served(state, &dispatch.work) {
-        true => state.decide(|table, now| table.on_dispatch(now, dispatch)),
-        false => wrong_kind(state),
+/// Starts an attempt, or attaches to a running one.
+fn attempts(state: &Arc<AgentState>, dispatch: Dispatch) -> HandlerResult {
+    let answer = match matches_kind(state, &dispatch.work) {
+        true => state.update_table(|table, now| table.on_dispatch(now, dispatch)),
+        false => refuse_kind(state),
     };
     respond_frames(state, answer)
 }
 
-/// Attaches to an attempt of a generation.
-fn attach(state: &Arc<AgentState>, attach: &Attach) -> Answer {
-    let answer = state.decide(|table, now| (table.on_attach(now, attach), Vec::new()));
+/// Attaches to an existing attempt.
+fn attach(state: &Arc<AgentState>, attach: &Attach) -> HandlerResult {
+    let answer = state.update_table(|table, now| (table.on_attach(now, attach), Vec::new()));
     respond_frames(state, answer)
 }
 
-/// Forgets output that is safe with the entry.
-fn ack(state: &Arc<AgentState>, ack: &Ack) -> Answer {
-    state.tell(|table, now| table.on_ack(now, ack));
-    send(state, &())
+/// Discards output that the entry has received.
+fn ack(state: &Arc<AgentState>, ack: &Ack) -> HandlerResult {
+    state.apply_event(|table, now| table.on_ack(now, ack));
+    respond_message(state, &())
 }
 
-/// Ends an attempt.
-fn cancel(state: &Arc<AgentState>, cancel: &Cancel) -> Answer {
-    let answer = state.decide(|table, now| table.on_cancel(now, cancel));
-    send(state, &answer)
+/// Cancels an attempt.
+fn cancel(state: &Arc<AgentState>, cancel: &Cancel) -> HandlerResult {
+    let answer = state.update_table(|table, now| table.on_cancel(now, cancel));
+    respond_message(state, &answer)
 }
 
-/// Passes an order on to the engine.
-async fn orders(state: &Arc<AgentState>, order: &Order) -> Answer {
+/// Forwards an order to the engine.
+async fn orders(state: &Arc<AgentState>, order: &Order) -> HandlerResult {
     let answer = order_runner::run(state, order).await;
-    send(state, &answer)
+    respond_message(state, &answer)
 }
--- a/crates/cyclamenwharf/src/agent/reporter.rs
+++ b/crates/cyclamenwharf/src/agent/reporter.rs
@@ -1,4 +1,4 @@
-//! Reports the target's state to relays.
+//! Reporting of the target's state to relays.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use crate::PeerClient;
 use crate::listed_host::live_entry;
 
-/// How long a relay may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(1);
+/// The time limit for a relay's response.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reports for as long as the agent lives, and at once when something changes.
+/// Sends reports periodically, and immediately on changes.
 pub(super) async fn run(state: Arc<AgentState>, mut hosts: watch::Receiver<Arc<Vec<Host>>>) {
     let secret = state.settings.secrets.peers.first();
     let client = PeerClient::new(secret.map(String::as_str).unwrap_or_default());
@@ -28,18 +28,18 @@
     loop {
         sequence += 1;
         let list = hosts.borrow_and_update().clone();
-        send(&state, &client, &list, &report(&state, sequence)).await;
+        send_report(&state, &client, &list, &new_report(&state, sequence)).await;
         tokio::select! {
             () = tokio::time::sleep(state.settings.engine.report) => {}
-            () = state.report.notified() => {}
+            () = state.report_now.notified() => {}
             Ok(()) = hosts.changed() => {}
         }
     }
 }
 
-fn report(state: &AgentState, sequence: u64) -> Report {
+fn new_report(state: &AgentState, sequence: u64) -> Report {
     let revision = state.leaving().revision();
-    state.look(|table, now| Report {
+    state.read_table(|table, now| Report {
         target: state.settings.target.id.clone(),
         host: state.settings.host.clone(),
         incarnation: table.incarnation(),
@@ -53,19 +53,24 @@
     })
 }
 
-async fn send(state: &Arc<AgentState>, client: &PeerClient, hosts: &[Host], report: &Report) {
+async fn send_report(
+    state: &Arc<AgentState>,
+    client: &PeerClient,
+    hosts: &[Host],
+    report: &Report,
+) {
     let settings = &state.settings;
     let entries: Vec<EntryPeer> = hosts.iter().filter_map(live_entry).collect();
     let relays = relays(&settings.target.id, &settings.region, &entries);
     let calls = relays
         .iter()
-        .map(|entry| client.call(entry.peers, path::REPORTS, report, TIMEOUT));
+        .map(|entry| client.call(entry.peers, path::REPORTS, report, REPORT_TIMEOUT));
     for answer in join_all(calls).await {
         match answer {
             Ok(ReportResponse { revision, drained }) => {
-                state.set_leaving(|leaving| leaving.on_relay(revision, drained));
+                state.update_leaving(|leaving| leaving.on_relay(revision, drained));
             }
-            Err(error) => debug!("a relay did not take a report: {error}"),
+            Err(error) => debug!("cannot send a report to a relay: {error}"),
         }
     }
 }
--- a/crates/cyclamenwharf/src/agent/sse.rs
+++ b/crates/cyclamenwharf/src/agent/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events.
+//! Parsing of server-sent events.
 
 use futures::Stream;
 use futures::StreamExt;
@@ -9,12 +9,12 @@
 use tokio_util::codec::LinesCodecError;
 use tokio_util::io::StreamReader;
 
-/// The longest line of an event, in bytes.
+/// The longest line of an event stream, in bytes.
 const LINE_MAX: usize = 1 << 20;
 
-/// Returns the data of each event of a body.
+/// Returns the data of each event of a response body.
 ///
-/// Only `data` fields are read; an event ends at an empty line, as the standard says.
+/// Only `data` fields are read. As the standard requires, an empty line ends an event.
 pub(super) fn events(
     body: Incoming,
 ) -> impl Stream<Item = Result<String, LinesCodecError>> + Send + Unpin {
