--- a/crates/cyclamenwharf/examples/version_change.rs
+++ b/crates/cyclamenwharf/examples/version_change.rs
@@ -1,7 +1,8 @@
-//! A change of version over many engines under load: errors, mixed answers and the time to the
-//! first token before, during and after it.
+//! Measures a model version change on many engines under load.
 //!
-//! `cargo run --release --example version_change` writes JSON to standard output.
+//! The report contains errors, answers that mix versions, and the time to the first token before,
+//! during and after the change. `cargo run --release --example version_change` writes it as JSON to
+//! standard output.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,24 +29,24 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// The engines.
+/// The number of engines.
 const ENGINES: usize = 36;
 
-/// The callers that ask all the time.
+/// The number of callers, each of which sends one request after another.
 const CALLERS: usize = 48;
 
-/// The tokens of each answer.
+/// The number of tokens per answer.
 const TOKENS: u64 = 40;
 
-/// How long load runs before the change and after it.
-const AROUND: Duration = Duration::from_secs(8);
+/// The time for which the load runs before the change, and again after it.
+const LOAD_DURATION: Duration = Duration::from_secs(8);
 
-/// The phases: before, loading the new version, routed to it, and with the old one gone.
+/// The phases: before the change, loading, routed to the new version, and old version unloaded.
 const PHASES: [&str; 4] = ["before", "loading", "routed", "after"];
 
-/// What callers saw.
+/// The callers' observations, and the control of the load.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     stop: AtomicBool,
     phase: AtomicUsize,
     errors: AtomicUsize,
@@ -64,96 +65,96 @@
         ..RigSpec::default()
     };
     let rig = Arc::new(Rig::start(spec).await.expect("a deployment"));
-    let seen = Arc::<Seen>::default();
+    let observations = Arc::<Observations>::default();
     let callers: Vec<_> = (0..CALLERS)
-        .map(|n| tokio::spawn(ask_until(rig.clone(), n, seen.clone())))
+        .map(|n| tokio::spawn(run_caller(rig.clone(), n, observations.clone())))
         .collect();
-    tokio::time::sleep(AROUND).await;
-    let spans = change(&rig, &seen).await;
-    tokio::time::sleep(AROUND).await;
-    seen.stop.store(true, Ordering::SeqCst);
+    tokio::time::sleep(LOAD_DURATION).await;
+    let durations = change_version(&rig, &observations).await;
+    tokio::time::sleep(LOAD_DURATION).await;
+    observations.stop.store(true, Ordering::SeqCst);
     for caller in callers {
         caller.await.expect("no panic");
     }
-    let report = report(&seen, spans);
+    let report = report(&observations, durations);
     let text = serde_json::to_string_pretty(&report).expect("JSON");
     println!("{text}");
     rig.stop().await;
 }
 
-async fn ask_until(rig: Arc<Rig>, number: usize, seen: Arc<Seen>) {
+async fn run_caller(rig: Arc<Rig>, number: usize, observations: Arc<Observations>) {
     let caller = rig.caller(number % rig.entries.len());
     let mut seed = number as u64 * 1_000_000;
-    while !seen.stop.load(Ordering::SeqCst) {
+    while !observations.stop.load(Ordering::SeqCst) {
         seed += 1;
         let ask = Ask::new(ROUTE_LATENCY, "a settlement", TOKENS).with_seed(seed);
-        let (start, phase) = (Instant::now(), seen.phase.load(Ordering::SeqCst));
+        let (start, phase) = (Instant::now(), observations.phase.load(Ordering::SeqCst));
         let answer = match caller.ask(&ask).await {
             Ok(answer) if answer.is_whole() => answer,
             _ => {
-                seen.errors.fetch_add(1, Ordering::SeqCst);
+                observations.errors.fetch_add(1, Ordering::SeqCst);
                 continue;
             }
         };
         let versions = ["v1", "v2"].map(|version| ask.expected(MODEL, version));
         match versions.iter().position(|ids| *ids == answer.ids) {
-            Some(index) => seen.versions[index].fetch_add(1, Ordering::SeqCst),
-            None => seen.mixed.fetch_add(1, Ordering::SeqCst),
+            Some(index) => observations.versions[index].fetch_add(1, Ordering::SeqCst),
+            None => observations.mixed.fetch_add(1, Ordering::SeqCst),
         };
         if let Some(first) = answer.first_at() {
-            let mut times = seen.first_tokens.lock().expect("no panic");
+            let mut times = observations.first_tokens.lock().expect("no panic");
             times.push((phase, first - start));
         }
     }
 }
 
-async fn change(rig: &Rig, seen: &Seen) -> [Duration; 2] {
+async fn change_version(rig: &Rig, observations: &Observations) -> [Duration; 2] {
     let start = Instant::now();
-    seen.phase.store(1, Ordering::SeqCst);
+    observations.phase.store(1, Ordering::SeqCst);
     let version = json!({
         "model": MODEL, "version": "v2", "weights": "settlement-v1", "targets": ENGINES,
     });
-    accept(
+    propose_and_accept(
         rig,
         "load",
-        json!([put("model_version", "settlement-v2", version)]),
+        json!([put_edit("model_version", "settlement-v2", version)]),
     )
     .await;
-    while holders(rig, "v2").await < ENGINES {
+    while count_holders(rig, "v2").await < ENGINES {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let loaded = start.elapsed();
-    seen.phase.store(2, Ordering::SeqCst);
+    observations.phase.store(2, Ordering::SeqCst);
     let routes = [(ROUTE_LATENCY, "latency"), (ROUTE_THRIFT, "thrift")].map(|(name, recovery)| {
         let to = json!({ "model": { "model": MODEL, "version": "v2", "adapter": null } });
-        put(
+        put_edit(
             "route",
             name,
             json!({ "to": to, "priority": "normal", "recovery": recovery }),
         )
     });
-    accept(rig, "route", json!(routes)).await;
-    accept(
+    propose_and_accept(rig, "route", json!(routes)).await;
+    propose_and_accept(
         rig,
         "drop",
         json!([{ "remove": "model_version/settlement-v1" }]),
     )
     .await;
-    while holders(rig, "v1").await > 0 {
+    while count_holders(rig, "v1").await > 0 {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    seen.phase.store(3, Ordering::SeqCst);
+    observations.phase.store(3, Ordering::SeqCst);
     [loaded, start.elapsed()]
 }
 
-fn put(kind: &str, name: &str, body: Value) -> Value {
+fn put_edit(kind: &str, name: &str, body: Value) -> Value {
     json!({ "put": { "kind": kind, "name": name, "body": body } })
 }
 
-async fn accept(rig: &Rig, id: &str, edits: Value) {
+async fn propose_and_accept(rig: &Rig, id: &str, edits: Value) {
     let proposal = json!({ "id": id, "edits": edits });
-    call(rig, "POST", "/v1/proposals", &proposal).await;
-    call(
+    call_admin(rig, "POST", "/v1/proposals", &proposal).await;
+    call_admin(
         rig,
         "POST",
         &format!("/v1/proposals/{id}/accept"),
@@ -162,8 +163,8 @@
     .await;
 }
 
-async fn holders(rig: &Rig, version: &str) -> usize {
-    let status = call(rig, "GET", "/v1/status", &Value::Null).await;
+async fn count_holders(rig: &Rig, version: &str) -> usize {
+    let status = call_admin(rig, "GET", "/v1/status", &Value::Null).await;
     let status: StatusMessage = serde_json::from_slice(&status).expect("a status");
     let holds = |held: &Vec<String>| held.iter().any(|held| held == version);
     let targets = status.targets.iter();
@@ -172,7 +173,7 @@
         .count()
 }
 
-async fn call(rig: &Rig, method: &str, path: &str, body: &Value) -> Bytes {
+async fn call_admin(rig: &Rig, method: &str, path: &str, body: &Value) -> Bytes {
     let settings = &rig.entries[0].settings;
     let admin: SocketAddr = settings.listen.admin;
     let request = Request::builder()
@@ -194,8 +195,8 @@
     bytes
 }
 
-fn report(seen: &Seen, [loaded, done]: [Duration; 2]) -> Value {
-    let times = seen.first_tokens.lock().expect("no panic");
+fn report(observations: &Observations, [loaded, done]: [Duration; 2]) -> Value {
+    let times = observations.first_tokens.lock().expect("no panic");
     let phases = PHASES.iter().enumerate().map(|(index, name)| {
         let mut of: Vec<_> = times.iter().filter(|(p, _)| *p == index).collect();
         of.sort();
@@ -206,9 +207,9 @@
     json!({
         "engines": ENGINES,
         "callers": CALLERS,
-        "errors": count(&seen.errors),
-        "mixed": count(&seen.mixed),
-        "answers_by_version": [count(&seen.versions[0]), count(&seen.versions[1])],
+        "errors": count(&observations.errors),
+        "mixed": count(&observations.mixed),
+        "answers_by_version": [count(&observations.versions[0]), count(&observations.versions[1])],
         "loaded_everywhere_ms": loaded.as_millis(),
         "old_gone_ms": done.as_millis(),
         "first_token": phases.collect::<Vec<_>>(),
--- a/crates/cyclamenwharf/tests/agent/attempts.rs
+++ b/crates/cyclamenwharf/tests/agent/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on an engine.
+//! Tests of attempts on an engine.
 
 use std::time::Duration;
 
@@ -25,14 +25,14 @@
 use serde_json::json;
 
 use super::fake_engine::FakeEngine;
-use super::fixtures::HANG;
-use super::fixtures::Rig;
+use super::fixtures::Fixture;
+use super::fixtures::TEST_TIMEOUT;
 use super::fixtures::attempt;
 use super::fixtures::generate;
 use super::fixtures::next;
 use super::fixtures::tokens;
-use super::fixtures::until;
-use super::fixtures::within;
+use super::fixtures::wait_until;
+use super::fixtures::with_timeout;
 
 fn is_not_run(frame: Option<Frame>, expected: NotRunReason) -> bool {
     matches!(frame, Some(Frame::NotRun { reason, .. }) if reason == expected)
@@ -42,15 +42,15 @@
 #[tokio::test]
 async fn tokens_pass_from_the_engine_to_the_entry() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
     let mut work = generate();
     work.so_far = vec![TokenId(50), TokenId(51)];
-    let mut dispatch = rig.dispatch(attempt(1, 2));
+    let mut dispatch = fixture.dispatch(attempt(1, 2));
     dispatch.from = TokenIndex(2);
     dispatch.work = Work::Generate(work);
 
-    let mut frames = rig.send(&dispatch).await;
-    let call = engine.received().await;
+    let mut frames = fixture.send(&dispatch).await;
+    let call = engine.next_call().await;
     call.accept(4);
     call.token(52);
     let accepted = next(&mut frames).await;
@@ -75,10 +75,10 @@
 #[tokio::test]
 async fn a_repeated_dispatch_attaches_and_replays() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let mut dispatch = rig.dispatch(attempt(1, 1));
-    let mut first = rig.send(&dispatch).await;
-    let call = engine.received().await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut dispatch = fixture.dispatch(attempt(1, 1));
+    let mut first = fixture.send(&dispatch).await;
+    let call = engine.next_call().await;
     call.token(1);
     call.token(2);
     next(&mut first).await;
@@ -87,7 +87,7 @@
 
     dispatch.repeat = true;
     dispatch.from = TokenIndex(1);
-    let mut second = rig.send(&dispatch).await;
+    let mut second = fixture.send(&dispatch).await;
     let accepted = next(&mut second).await;
     let replayed = tokens(&mut second).await;
     call.token(3);
@@ -102,9 +102,9 @@
 #[tokio::test]
 async fn a_generation_is_found_by_its_workspace_only() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let _frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
-    let call = engine.received().await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let _frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
+    let call = engine.next_call().await;
     call.token(1);
     let attach = |workspace: &str| Attach {
         generation: attempt(1, 1).generation,
@@ -113,8 +113,8 @@
         from: TokenIndex(0),
     };
 
-    let mut own = rig.frames(path::ATTACH, &attach("partagez")).await;
-    let mut foreign = rig.frames(path::ATTACH, &attach("office")).await;
+    let mut own = fixture.frames(path::ATTACH, &attach("partagez")).await;
+    let mut foreign = fixture.frames(path::ATTACH, &attach("office")).await;
 
     assert!(matches!(next(&mut own).await, Some(Frame::Accepted { .. })));
     assert_eq!(tokens(&mut own).await, (0, vec![1]));
@@ -125,12 +125,12 @@
 #[tokio::test]
 async fn an_attempt_cancelled_before_it_was_seen_never_runs() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
     let id = attempt(1, 1);
-    let stamp = rig.stamp();
+    let stamp = fixture.stamp();
 
-    let cancelled: Cancelled = rig.call(path::CANCEL, &Cancel { id, stamp }).await;
-    let mut frames = rig.send(&rig.dispatch(id)).await;
+    let cancelled: Cancelled = fixture.call(path::CANCEL, &Cancel { id, stamp }).await;
+    let mut frames = fixture.send(&fixture.dispatch(id)).await;
 
     assert_eq!(cancelled.ran, Ran::No);
     assert!(is_not_run(next(&mut frames).await, NotRunReason::Cancelled));
@@ -141,13 +141,13 @@
 #[tokio::test]
 async fn a_cancel_reaches_the_engine() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
     let id = attempt(1, 1);
-    let stamp = rig.stamp();
-    let mut frames = rig.send(&rig.dispatch(id)).await;
-    let call = engine.received().await;
+    let stamp = fixture.stamp();
+    let mut frames = fixture.send(&fixture.dispatch(id)).await;
+    let call = engine.next_call().await;
 
-    let cancelled: Cancelled = rig.call(path::CANCEL, &Cancel { id, stamp }).await;
+    let cancelled: Cancelled = fixture.call(path::CANCEL, &Cancel { id, stamp }).await;
 
     assert_eq!(cancelled.ran, Ran::Partly);
     let frame = next(&mut frames).await;
@@ -159,22 +159,22 @@
         })
     ));
     let shared = engine.shared.clone();
-    until(|| *shared.aborted.lock().unwrap() == [id.to_string()]).await;
-    until(|| call.is_closed()).await;
+    wait_until(|| *shared.aborted.lock().unwrap() == [id.to_string()]).await;
+    wait_until(|| call.is_closed()).await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn the_death_of_the_engine_is_told_at_once() {
+async fn a_crash_of_the_engine_is_reported_at_once() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
-    let call = engine.received().await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
+    let call = engine.next_call().await;
     call.token(1);
     next(&mut frames).await;
     tokens(&mut frames).await;
 
-    call.break_off();
+    call.break_connection();
 
     let failed = Frame::Failed {
         failure: Failure::TargetLost,
@@ -186,34 +186,34 @@
 
 #[rstest]
 #[tokio::test]
-async fn heartbeats_tell_how_long_the_engine_is_quiet() {
+async fn heartbeats_contain_how_long_the_engine_is_quiet() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
-    let _call = engine.received().await;
-
-    let mut beats = Vec::new();
-    while beats.len() < 3 {
-        match within(frames.next()).await.flatten() {
-            Some(Frame::Heartbeat { quiet }) => beats.push(quiet),
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
+    let _call = engine.next_call().await;
+
+    let mut quiet_times = Vec::new();
+    while quiet_times.len() < 3 {
+        match with_timeout(frames.next()).await.flatten() {
+            Some(Frame::Heartbeat { quiet }) => quiet_times.push(quiet),
             other => panic!("expected a heartbeat, found {other:?}"),
         }
     }
 
-    assert!(beats.is_sorted(), "{beats:?}");
-    assert!(beats[2] > beats[0], "{beats:?}");
+    assert!(quiet_times.is_sorted(), "{quiet_times:?}");
+    assert!(quiet_times[2] > quiet_times[0], "{quiet_times:?}");
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_wrong_secret_is_refused() {
     let engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let stranger = PeerClient::new("guess");
-    let dispatch = rig.dispatch(attempt(1, 1));
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let client = PeerClient::new("guess");
+    let dispatch = fixture.dispatch(attempt(1, 1));
 
-    let answer = stranger
-        .frames(rig.agent.peers, path::ATTEMPTS, &dispatch, HANG)
+    let answer = client
+        .frames(fixture.agent.peers, path::ATTEMPTS, &dispatch, TEST_TIMEOUT)
         .await;
 
     assert!(matches!(answer.err(), Some(PeerError::Status { status, .. }) if status == 401));
@@ -221,12 +221,12 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_attempt_of_an_earlier_life_is_not_run_and_its_outcome_is_open() {
+async fn an_attempt_of_an_earlier_incarnation_is_not_run_and_its_outcome_is_unknown() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let mut late = rig.dispatch(attempt(1, 1));
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut late = fixture.dispatch(attempt(1, 1));
     late.stamp.incarnation.0 -= 1;
-    let mut repeated = rig.dispatch(attempt(2, 1));
+    let mut repeated = fixture.dispatch(attempt(2, 1));
     repeated.stamp.incarnation.0 -= 1;
     repeated.repeat = true;
     let cancel = Cancel {
@@ -234,9 +234,9 @@
         stamp: late.stamp,
     };
 
-    let mut first = rig.send(&late).await;
-    let mut second = rig.send(&repeated).await;
-    let cancelled: Cancelled = rig.call(path::CANCEL, &cancel).await;
+    let mut first = fixture.send(&late).await;
+    let mut second = fixture.send(&repeated).await;
+    let cancelled: Cancelled = fixture.call(path::CANCEL, &cancel).await;
 
     assert!(is_not_run(next(&mut first).await, NotRunReason::Unknown));
     let frame = next(&mut second).await;
@@ -253,23 +253,23 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_slow_entry_holds_the_engine_back_and_gets_everything() {
+async fn a_slow_entry_applies_backpressure_and_gets_all_tokens() {
     let mut engine = FakeEngine::start();
     let kind = TargetKind::Engine;
-    let rig = Rig::start_with(engine.server.local_addr(), kind, |settings| {
+    let fixture = Fixture::start_with(engine.server.local_addr(), kind, |settings| {
         settings.engine.running = 8;
         settings.engine.kept = ByteSize::kib(64);
     })
     .await;
-    let mut frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
-    let call = engine.received().await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
+    let call = engine.next_call().await;
     let count = 20_000;
     for id in 0..count {
         call.token(id);
     }
     call.finish();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert!(kept_bytes(&rig).await < 64 << 10);
+    assert!(kept_bytes(&fixture).await < 64 << 10);
 
     let mut received = Vec::new();
     while let Some(frame) = next(&mut frames).await {
@@ -279,7 +279,7 @@
             if received.len().is_multiple_of(100) {
                 let id = attempt(1, 1);
                 let next = TokenIndex(received.len() as u64);
-                rig.call::<_, ()>(path::ACK, &Ack { id, next }).await;
+                fixture.call::<_, ()>(path::ACK, &Ack { id, next }).await;
             }
         }
     }
@@ -287,8 +287,8 @@
     assert!(received.iter().copied().eq(0..count));
 }
 
-async fn kept_bytes(rig: &Rig) -> u64 {
-    let text = super::reports::text(rig.agent.admin, "/metrics").await;
+async fn kept_bytes(fixture: &Fixture) -> u64 {
+    let text = super::reports::get_text(fixture.agent.admin, "/metrics").await;
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix("cyclamenwharf_agent_kept_bytes "));
--- a/crates/cyclamenwharf/tests/agent/calls.rs
+++ b/crates/cyclamenwharf/tests/agent/calls.rs
@@ -1,4 +1,4 @@
-//! Attempts on a plain service.
+//! Tests of attempts on a plain service.
 
 use bytes::Bytes;
 use cw_types::Ran;
@@ -13,20 +13,20 @@
 use serde_json::json;
 
 use super::fake_engine::FakeEngine;
-use super::fixtures::Rig;
+use super::fixtures::Fixture;
 use super::fixtures::attempt;
 use super::fixtures::call;
 use super::fixtures::dispatch;
 use super::fixtures::next;
 
-async fn start(engine: &FakeEngine) -> Rig {
+async fn start(engine: &FakeEngine) -> Fixture {
     let service = "notices".to_owned();
     let kind = TargetKind::Service { service };
-    Rig::start_with(engine.server.local_addr(), kind, |_| {}).await
+    Fixture::start_with(engine.server.local_addr(), kind, |_| {}).await
 }
 
-fn notice(rig: &Rig) -> Dispatch {
-    let mut dispatch = dispatch(attempt(1, 1), rig.stamp(), Work::Call(call()));
+fn notice(fixture: &Fixture) -> Dispatch {
+    let mut dispatch = dispatch(attempt(1, 1), fixture.stamp(), Work::Call(call()));
     dispatch.idempotent = false;
     dispatch
 }
@@ -35,12 +35,12 @@
 #[tokio::test]
 async fn an_answer_passes_from_the_service_to_the_entry() {
     let mut service = FakeEngine::start();
-    let rig = start(&service).await;
+    let fixture = start(&service).await;
 
-    let mut frames = rig.send(&notice(&rig)).await;
-    let call = service.received().await;
+    let mut frames = fixture.send(&notice(&fixture)).await;
+    let call = service.next_call().await;
     call.bytes(Bytes::from_static(b"sent"));
-    drop_after(call);
+    check_and_drop(call);
 
     assert!(matches!(
         next(&mut frames).await,
@@ -60,20 +60,20 @@
     assert_eq!(next(&mut frames).await, Some(done));
 }
 
-/// Ends the answer of a call.
-fn drop_after(call: super::fake_engine::Received) {
+/// Checks the body of a call, and ends its response by dropping it.
+fn check_and_drop(call: super::fake_engine::ReceivedCall) {
     assert_eq!(call.body, json!({"amount": 12}));
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_service_lost_after_the_call_was_sent_leaves_the_outcome_open() {
+async fn a_service_lost_after_the_call_was_sent_leaves_the_outcome_unknown() {
     let mut service = FakeEngine::start();
-    let rig = start(&service).await;
+    let fixture = start(&service).await;
 
-    let mut frames = rig.send(&notice(&rig)).await;
-    let call = service.received().await;
-    call.break_off();
+    let mut frames = fixture.send(&notice(&fixture)).await;
+    let call = service.next_call().await;
+    call.break_connection();
 
     let mut last = None;
     while let Some(frame) = next(&mut frames).await {
@@ -91,13 +91,13 @@
 #[tokio::test]
 async fn a_repeated_call_reaches_the_service_once() {
     let mut service = FakeEngine::start();
-    let rig = start(&service).await;
-    let mut again = notice(&rig);
-    again.repeat = true;
+    let fixture = start(&service).await;
+    let mut repeated = notice(&fixture);
+    repeated.repeat = true;
 
-    let _first = rig.send(&notice(&rig)).await;
-    let call = service.received().await;
-    let mut second = rig.send(&again).await;
+    let _first = fixture.send(&notice(&fixture)).await;
+    let call = service.next_call().await;
+    let mut second = fixture.send(&repeated).await;
     call.bytes(Bytes::from_static(b"sent"));
     drop(call);
 
@@ -115,13 +115,13 @@
 #[tokio::test]
 async fn a_call_never_reaches_the_control_interface_of_an_engine() {
     let engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let mut dispatch = notice(&rig);
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut dispatch = notice(&fixture);
     let mut call = call();
     call.head.path = "/v1/orders".to_owned();
     dispatch.work = Work::Call(call);
 
-    let mut frames = rig.send(&dispatch).await;
+    let mut frames = fixture.send(&dispatch).await;
 
     let frame = next(&mut frames).await;
     assert!(matches!(frame, Some(Frame::NotRun { .. })), "{frame:?}");
@@ -135,13 +135,13 @@
 #[tokio::test]
 async fn a_path_cannot_change_where_a_call_goes(#[case] path: &str) {
     let mut service = FakeEngine::start();
-    let rig = start(&service).await;
-    let mut dispatch = notice(&rig);
+    let fixture = start(&service).await;
+    let mut dispatch = notice(&fixture);
     let mut call = call();
     call.head.path = path.to_owned();
     dispatch.work = Work::Call(call);
 
-    let mut frames = rig.send(&dispatch).await;
+    let mut frames = fixture.send(&dispatch).await;
 
     let failed = Frame::Failed {
         failure: Failure::TargetError,
--- a/crates/cyclamenwharf/tests/agent/fake_engine.rs
+++ b/crates/cyclamenwharf/tests/agent/fake_engine.rs
@@ -1,4 +1,4 @@
-//! An engine whose every answer is given by the test.
+//! A fake engine whose responses are controlled by the test.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -23,48 +23,48 @@
 use serde_json::json;
 use tokio::sync::watch;
 
-type Piece = Result<Bytes, std::io::Error>;
+type BodyChunk = Result<Bytes, std::io::Error>;
 
-/// One call that the engine has received, to be answered by the test.
-pub(crate) struct Received {
-    /// Its body.
+/// A call that the engine has received and that the test responds to.
+pub(crate) struct ReceivedCall {
+    /// The JSON body of the call.
     pub(crate) body: Value,
-    answer: mpsc::UnboundedSender<Piece>,
+    answer: mpsc::UnboundedSender<BodyChunk>,
 }
 
-impl Received {
+impl ReceivedCall {
     /// Sends the event that accepts the call.
     pub(crate) fn accept(&self, cached: u64) {
-        self.event(&json!({
+        self.send_event(&json!({
             "choices": [],
             "usage": {"prompt_tokens": 9, "cached_tokens": cached},
         }));
     }
 
-    /// Sends one token, whose text is its number.
+    /// Sends one token, whose text is its id.
     pub(crate) fn token(&self, id: u32) {
         let text = id.to_string();
-        self.event(&json!({
+        self.send_event(&json!({
             "choices": [{"index": 0, "text": text, "token_ids": [id], "finish_reason": null}],
         }));
     }
 
-    /// Sends the end of the output.
+    /// Sends the finish reason and the end of the stream.
     pub(crate) fn finish(&self) {
-        self.event(&json!({
+        self.send_event(&json!({
             "choices": [{"index": 0, "text": "", "token_ids": [], "finish_reason": "stop"}],
         }));
-        self.piece(Ok(Bytes::from_static(b"data: [DONE]\n\n")));
+        self.send_chunk(Ok(Bytes::from_static(b"data: [DONE]\n\n")));
     }
 
     /// Sends raw bytes.
     pub(crate) fn bytes(&self, bytes: Bytes) {
-        self.piece(Ok(bytes));
+        self.send_chunk(Ok(bytes));
     }
 
-    /// Breaks the connection.
-    pub(crate) fn break_off(&self) {
-        self.piece(Err(std::io::Error::other("the engine has died")));
+    /// Breaks the connection during the response.
+    pub(crate) fn break_connection(&self) {
+        self.send_chunk(Err(std::io::Error::other("the engine crashed")));
     }
 
     /// Returns whether the agent has closed the connection.
@@ -72,40 +72,40 @@
         self.answer.is_closed()
     }
 
-    fn event(&self, event: &Value) {
-        self.piece(Ok(Bytes::from(format!("data: {event}\n\n"))));
+    fn send_event(&self, event: &Value) {
+        self.send_chunk(Ok(Bytes::from(format!("data: {event}\n\n"))));
     }
 
-    fn piece(&self, piece: Piece) {
-        // A closed connection is what some tests are about.
-        let _ = self.answer.unbounded_send(piece);
+    fn send_chunk(&self, chunk: BodyChunk) {
+        // The agent may have closed the connection, which some tests check.
+        let _ = self.answer.unbounded_send(chunk);
     }
 }
 
-/// What the handlers share.
+/// The state shared by the handlers.
 pub(crate) struct Shared {
-    /// The engine's life.
+    /// The boot number of the engine.
     pub(crate) boot: AtomicU64,
-    /// Whether the engine is paused and says nothing of its load.
+    /// Whether the engine is paused and does not answer load requests.
     pub(crate) paused: watch::Sender<bool>,
     /// The ids of aborted attempts.
     pub(crate) aborted: Mutex<Vec<String>>,
-    /// The orders received.
+    /// The received orders.
     pub(crate) orders: Mutex<Vec<Value>>,
-    calls: mpsc::UnboundedSender<Received>,
+    calls: mpsc::UnboundedSender<ReceivedCall>,
 }
 
-/// An engine, or a plain service, whose every answer is given by the test.
+/// A fake engine or plain service whose responses are controlled by the test.
 pub(crate) struct FakeEngine {
-    /// What the handlers share.
+    /// The state shared by the handlers.
     pub(crate) shared: Arc<Shared>,
-    /// Its server.
+    /// The HTTP server of the engine.
     pub(crate) server: HttpServer<Arc<Shared>>,
-    calls: mpsc::UnboundedReceiver<Received>,
+    calls: mpsc::UnboundedReceiver<ReceivedCall>,
 }
 
 impl FakeEngine {
-    /// Starts an engine.
+    /// Starts a fake engine.
     pub(crate) fn start() -> Self {
         let (sender, calls) = mpsc::unbounded();
         let shared = Arc::new(Shared {
@@ -138,55 +138,55 @@
         }
     }
 
-    /// Waits for the next call.
-    pub(crate) async fn received(&mut self) -> Received {
-        self.calls.next().await.expect("the engine lives")
+    /// Waits for the next received call.
+    pub(crate) async fn next_call(&mut self) -> ReceivedCall {
+        self.calls.next().await.expect("the engine is running")
     }
 
-    /// Returns whether a call has come that the test has not looked at.
+    /// Returns whether there is a received call that the test has not taken.
     pub(crate) fn has_call(&mut self) -> bool {
         self.calls.try_recv().is_ok()
     }
 }
 
-type Answer = Result<Response<Body>, HttpError>;
+type HandlerResult = Result<Response<Body>, HttpError>;
 
-fn stream(context: &RequestContext<Arc<Shared>>, body: &UntypedBody) -> Answer {
-    let (answer, pieces) = mpsc::unbounded::<Piece>();
+fn respond_streaming(context: &RequestContext<Arc<Shared>>, body: &UntypedBody) -> HandlerResult {
+    let (answer, chunks) = mpsc::unbounded::<BodyChunk>();
     let body = serde_json::from_slice(body.as_bytes()).unwrap_or(Value::Null);
-    let received = Received { body, answer };
+    let received = ReceivedCall { body, answer };
     context.context().calls.unbounded_send(received).unwrap();
-    let frames = pieces.map(|piece| piece.map(http_body::Frame::data));
+    let frames = chunks.map(|chunk| chunk.map(http_body::Frame::data));
     Ok(Response::new(Body::wrap(StreamBody::new(frames))))
 }
 
-fn answer(value: &Value) -> Answer {
+fn respond(value: &Value) -> HandlerResult {
     Ok(Response::new(Body::from(value.to_string())))
 }
 
 #[endpoint { method = POST, path = "/v1/completions" }]
-async fn completions(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> Answer {
-    stream(&context, &body)
+async fn completions(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> HandlerResult {
+    respond_streaming(&context, &body)
 }
 
 #[endpoint { method = POST, path = "/notices" }]
-async fn notices(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> Answer {
-    stream(&context, &body)
+async fn notices(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> HandlerResult {
+    respond_streaming(&context, &body)
 }
 
 #[endpoint { method = POST, path = "/v1/abort" }]
-async fn abort(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> Answer {
+async fn abort(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> HandlerResult {
     let body: Value = serde_json::from_slice(body.as_bytes()).unwrap();
     let id = body["request_id"].as_str().unwrap().to_owned();
     context.context().aborted.lock().unwrap().push(id);
-    answer(&json!({}))
+    respond(&json!({}))
 }
 
 #[endpoint { method = GET, path = "/v1/load" }]
-async fn load(context: RequestContext<Arc<Shared>>) -> Answer {
+async fn load(context: RequestContext<Arc<Shared>>) -> HandlerResult {
     let mut paused = context.context().paused.subscribe();
     paused.wait_for(|paused| !paused).await.unwrap();
-    answer(&json!({
+    respond(&json!({
         "boot": context.context().boot.load(Ordering::Relaxed),
         "running": 0,
         "waiting": 0,
@@ -199,8 +199,8 @@
 }
 
 #[endpoint { method = POST, path = "/v1/orders" }]
-async fn orders(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> Answer {
+async fn orders(context: RequestContext<Arc<Shared>>, body: UntypedBody) -> HandlerResult {
     let body = serde_json::from_slice(body.as_bytes()).unwrap();
     context.context().orders.lock().unwrap().push(body);
-    answer(&json!({"state": "done"}))
+    respond(&json!({"state": "done"}))
 }
--- a/crates/cyclamenwharf/tests/agent/fixtures.rs
+++ b/crates/cyclamenwharf/tests/agent/fixtures.rs
@@ -1,4 +1,4 @@
-//! Agents, messages and helpers that the tests share.
+//! Fixtures, messages and helpers shared by the tests.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -38,16 +38,16 @@
 
 use super::reports::FakeRelay;
 
-/// The secret that agents take.
+/// The secret that agents accept.
 pub(crate) const SECRET: &str = "secret";
-/// How long a test waits for something before it counts as hung.
-pub(crate) const HANG: Duration = Duration::from_secs(30);
+/// The time after which a waiting test counts as hung.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn loopback() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// Returns settings of an agent of the engine at `engine`, which reports to `relay`.
+/// Returns the settings of an agent for the engine at `engine`, which reports to `relay`.
 pub(crate) fn settings(engine: SocketAddr, kind: TargetKind, relay: &FakeRelay) -> AgentSettings {
     AgentSettings {
         host: "h1".parse().unwrap(),
@@ -79,25 +79,25 @@
     }
 }
 
-/// An agent with its relay, and the last report of it.
-pub(crate) struct Rig {
-    /// The agent.
+/// A running agent with its fake relay.
+pub(crate) struct Fixture {
+    /// The agent under test.
     pub(crate) agent: AgentHandle,
-    /// Where it reports.
+    /// The relay to which the agent reports.
     pub(crate) relay: FakeRelay,
-    /// A report in which it is up.
+    /// The first report in which the target is up.
     pub(crate) report: Report,
-    /// A client with the right secret.
+    /// A client with a valid secret.
     pub(crate) client: PeerClient,
 }
 
-impl Rig {
-    /// Starts an agent of the engine at `engine` and waits until its target is up.
+impl Fixture {
+    /// Starts an agent for the engine at `engine` and waits until the target is up.
     pub(crate) async fn start(engine: SocketAddr) -> Self {
         Self::start_with(engine, TargetKind::Engine, |_| {}).await
     }
 
-    /// Starts an agent with changed settings and waits until its target is up.
+    /// Starts an agent with changed settings and waits until the target is up.
     pub(crate) async fn start_with(
         engine: SocketAddr,
         kind: TargetKind,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the stamp of an attempt made now.
+    /// Returns the stamp of a new attempt.
     pub(crate) fn stamp(&self) -> Stamp {
         Stamp {
             incarnation: self.report.incarnation,
@@ -124,38 +124,42 @@
         }
     }
 
-    /// Returns a dispatch of a generation.
+    /// Returns a dispatch of an attempt on an engine.
     pub(crate) fn dispatch(&self, attempt: AttemptId) -> Dispatch {
         dispatch(attempt, self.stamp(), Work::Generate(generate()))
     }
 
-    /// Sends a dispatch and returns the frames of its answer.
+    /// Sends a dispatch and returns the frames of the response.
     pub(crate) async fn send(&self, dispatch: &Dispatch) -> Frames {
         self.frames(path::ATTEMPTS, dispatch).await
     }
 
-    /// Sends a message and returns the frames of its answer.
+    /// Sends a message and returns the frames of the response.
     pub(crate) async fn frames<M: serde::Serialize + 'static>(
         &self,
         path: &str,
         message: &M,
     ) -> Frames {
-        let frames = self.client.frames(self.agent.peers, path, message, HANG);
+        let frames = self
+            .client
+            .frames(self.agent.peers, path, message, TEST_TIMEOUT);
         Box::pin(frames.await.unwrap().map(Result::ok))
     }
 
-    /// Sends a message and returns its answer.
+    /// Sends a message and returns the response.
     pub(crate) async fn call<M, A>(&self, path: &str, message: &M) -> A
     where
         M: serde::Serialize,
         A: serde::de::DeserializeOwned,
     {
-        let call = self.client.call(self.agent.peers, path, message, HANG);
+        let call = self
+            .client
+            .call(self.agent.peers, path, message, TEST_TIMEOUT);
         call.await.unwrap()
     }
 }
 
-/// Frames of an answer; a broken stream yields `None`.
+/// The frames of a response; a broken stream yields `None`.
 pub(crate) type Frames = std::pin::Pin<Box<dyn Stream<Item = Option<Frame>> + Send>>;
 
 /// Returns the id of an attempt.
@@ -166,7 +170,7 @@
     }
 }
 
-/// Returns work for an engine.
+/// Returns the work of an attempt on an engine.
 pub(crate) fn generate() -> Generate {
     Generate {
         model: "ledger".parse().unwrap(),
@@ -184,7 +188,7 @@
     }
 }
 
-/// Returns a call of a plain service.
+/// Returns a call to a plain service.
 pub(crate) fn call() -> Call {
     Call {
         head: CallHead {
@@ -196,7 +200,7 @@
     }
 }
 
-/// Returns a dispatch.
+/// Returns a dispatch of an attempt with `work`.
 pub(crate) fn dispatch(id: AttemptId, stamp: Stamp, work: Work) -> Dispatch {
     Dispatch {
         id,
@@ -214,7 +218,7 @@
     }
 }
 
-/// Waits for the next frame other than a heartbeat; `None` when the stream broke or ended.
+/// Waits for the next frame except heartbeats; returns `None` if the stream ended or broke.
 pub(crate) async fn next(frames: &mut Frames) -> Option<Frame> {
     let next = async {
         loop {
@@ -224,10 +228,10 @@
             }
         }
     };
-    within(next).await
+    with_timeout(next).await
 }
 
-/// Waits for the next tokens and returns the first index and the ids.
+/// Waits for the next tokens and returns the index of the first one and the token ids.
 pub(crate) async fn tokens(frames: &mut Frames) -> (u64, Vec<u32>) {
     match next(frames).await {
         Some(Frame::Tokens { first, tokens }) => {
@@ -238,16 +242,16 @@
     }
 }
 
-/// Waits for a future, which a hung test does not for ever.
-pub(crate) async fn within<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(HANG, future)
+/// Waits for a future, and fails the test if it hangs.
+pub(crate) async fn with_timeout<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TEST_TIMEOUT, future)
         .await
         .expect("the test hangs")
 }
 
-/// Waits until a condition holds.
-pub(crate) async fn until(mut condition: impl FnMut() -> bool) {
-    within(async {
+/// Waits until `condition` holds.
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
+    with_timeout(async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
--- a/crates/cyclamenwharf/tests/agent/main.rs
+++ b/crates/cyclamenwharf/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! The agent over real sockets, before a fake engine that does what a test tells it.
+//! Tests of the agent over real sockets, with a fake engine that each test controls.
 
 mod fake_engine;
 mod fixtures;
--- a/crates/cyclamenwharf/tests/agent/orders.rs
+++ b/crates/cyclamenwharf/tests/agent/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine that ignores fencing numbers.
+//! Tests of orders to an engine that ignores fencing numbers.
 
 use cw_types::FencingNumber;
 use cw_wire::Frame;
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 use super::fake_engine::FakeEngine;
-use super::fixtures::Rig;
+use super::fixtures::Fixture;
 use super::fixtures::attempt;
 use super::fixtures::generate;
 use super::fixtures::next;
@@ -29,16 +29,16 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_deposed_planner_is_refused_and_a_repeat_is_not_passed_on() {
+async fn a_deposed_planner_is_refused_and_a_repeated_order_is_not_forwarded() {
     let engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
 
-    let done: OrderResponse = rig.call(path::ORDERS, &unload(5, 1)).await;
-    let again: OrderResponse = rig.call(path::ORDERS, &unload(5, 1)).await;
-    let fenced: OrderResponse = rig.call(path::ORDERS, &unload(4, 9)).await;
+    let done: OrderResponse = fixture.call(path::ORDERS, &unload(5, 1)).await;
+    let repeated: OrderResponse = fixture.call(path::ORDERS, &unload(5, 1)).await;
+    let fenced: OrderResponse = fixture.call(path::ORDERS, &unload(4, 9)).await;
 
     assert_eq!(done, OrderResponse::Done);
-    assert_eq!(again, OrderResponse::Done);
+    assert_eq!(repeated, OrderResponse::Done);
     let highest = FencingNumber(5);
     assert_eq!(fenced, OrderResponse::Fenced { highest });
     assert_eq!(engine.shared.orders.lock().unwrap().len(), 1);
@@ -46,23 +46,23 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_version_is_not_unloaded_under_a_generation() {
+async fn a_version_is_not_unloaded_while_a_generation_uses_it() {
     let mut engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
-    let call = engine.received().await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
+    let call = engine.next_call().await;
 
-    let pinned: OrderResponse = rig.call(path::ORDERS, &unload(5, 1)).await;
+    let pinned: OrderResponse = fixture.call(path::ORDERS, &unload(5, 1)).await;
     call.finish();
     while next(&mut frames).await.is_some() {}
-    let done: OrderResponse = rig.call(path::ORDERS, &unload(5, 2)).await;
-    let mut late = rig.send(&rig.dispatch(attempt(2, 1))).await;
+    let done: OrderResponse = fixture.call(path::ORDERS, &unload(5, 2)).await;
+    let mut late = fixture.send(&fixture.dispatch(attempt(2, 1))).await;
     let mut other = generate();
     other.version = "v2".parse().unwrap();
-    let mut dispatch = rig.dispatch(attempt(3, 1));
+    let mut dispatch = fixture.dispatch(attempt(3, 1));
     dispatch.work = Work::Generate(other);
-    let _other = rig.send(&dispatch).await;
-    engine.received().await;
+    let _other = fixture.send(&dispatch).await;
+    engine.next_call().await;
 
     assert_eq!(pinned, OrderResponse::Pinned { generations: 1 });
     assert_eq!(done, OrderResponse::Done);
@@ -77,34 +77,34 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_restarted_agent_learns_from_the_lease_who_was_deposed() {
+async fn a_restarted_agent_refuses_deposed_planners_by_the_lease() {
     let engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    rig.relay.plan(Some(5));
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    fixture.relay.set_planner(Some(5));
 
-    let late: OrderResponse = rig.call(path::ORDERS, &unload(4, 1)).await;
-    let due: OrderResponse = rig.call(path::ORDERS, &unload(5, 1)).await;
+    let late: OrderResponse = fixture.call(path::ORDERS, &unload(4, 1)).await;
+    let current: OrderResponse = fixture.call(path::ORDERS, &unload(5, 1)).await;
 
     let highest = FencingNumber(5);
     assert_eq!(late, OrderResponse::Fenced { highest });
-    assert_eq!(due, OrderResponse::Done);
+    assert_eq!(current, OrderResponse::Done);
     assert_eq!(engine.shared.orders.lock().unwrap().len(), 1);
 }
 
 #[rstest]
 #[tokio::test]
-async fn without_a_planner_no_order_is_taken() {
+async fn without_a_planner_no_order_is_accepted() {
     let engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
-    rig.relay.plan(None);
+    let fixture = Fixture::start(engine.server.local_addr()).await;
+    fixture.relay.set_planner(None);
 
-    let refused: OrderResponse = rig.call(path::ORDERS, &unload(4, 1)).await;
-    rig.relay.plan(Some(4));
-    let taken: OrderResponse = rig.call(path::ORDERS, &unload(4, 1)).await;
+    let refused: OrderResponse = fixture.call(path::ORDERS, &unload(4, 1)).await;
+    fixture.relay.set_planner(Some(4));
+    let accepted: OrderResponse = fixture.call(path::ORDERS, &unload(4, 1)).await;
 
     assert!(
         matches!(refused, OrderResponse::Failed { .. }),
         "{refused:?}"
     );
-    assert_eq!(taken, OrderResponse::Done);
+    assert_eq!(accepted, OrderResponse::Done);
 }
--- a/crates/cyclamenwharf/tests/agent/overloads.rs
+++ b/crates/cyclamenwharf/tests/agent/overloads.rs
@@ -1,4 +1,4 @@
-//! A target that is too busy even for connections.
+//! Tests of a target that is too busy to accept connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,25 +11,26 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use super::fixtures::Rig;
+use super::fixtures::Fixture;
 use super::fixtures::attempt;
 use super::fixtures::call;
 use super::fixtures::dispatch;
-use super::fixtures::within;
+use super::fixtures::with_timeout;
 
-/// How long a connection may take on loopback unless the queue of the listener is full.
-const QUEUED: Duration = Duration::from_millis(300);
+/// The time after which a connection on loopback shows that the listener's backlog is full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Fills the queue of a listener that accepts nothing.
-async fn fill(address: SocketAddr) -> Vec<TcpStream> {
+/// Fills the backlog of a listener that does not accept connections.
+async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut queued = Vec::new();
-    while let Ok(stream) = tokio::time::timeout(QUEUED, TcpStream::connect(address)).await {
+    while let Ok(stream) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await
+    {
         queued.push(stream.unwrap());
     }
     queued
 }
 
-/// Returns a listener with a short queue.
+/// Returns a listener that never accepts a connection.
 fn listener() -> TcpListener {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -38,19 +39,21 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_target_that_accepts_nothing_is_down_but_accuses_nobody() {
+async fn a_target_that_accepts_no_connections_is_down_without_a_crash() {
     let service = listener();
     let address = service.local_addr().unwrap();
     let kind = TargetKind::Service {
         service: "notices".to_owned(),
     };
-    let mut rig = Rig::start_with(address, kind, |_| {}).await;
+    let mut fixture = Fixture::start_with(address, kind, |_| {}).await;
     let work = Work::Call(call());
-    let _frames = rig.send(&dispatch(attempt(1, 1), rig.stamp(), work)).await;
+    let _frames = fixture
+        .send(&dispatch(attempt(1, 1), fixture.stamp(), work))
+        .await;
 
-    let _queued = within(fill(address)).await;
+    let _queued = with_timeout(fill_backlog(address)).await;
     let down = |report: &Report| report.state == TargetState::Down;
-    let report = rig.relay.report(down).await;
+    let report = fixture.relay.report(down).await;
 
     assert_eq!(report.crashes, Vec::new());
 }
--- a/crates/cyclamenwharf/tests/agent/reports.rs
+++ b/crates/cyclamenwharf/tests/agent/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to relays, and what relays answer.
+//! Tests of reports to relays and of their responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,13 +31,13 @@
 use serde_json::json;
 
 use super::fake_engine::FakeEngine;
-use super::fixtures::Rig;
+use super::fixtures::Fixture;
 use super::fixtures::attempt;
 use super::fixtures::next;
 use super::fixtures::tokens;
-use super::fixtures::within;
+use super::fixtures::with_timeout;
 
-/// What the handlers share.
+/// The state shared by the handlers.
 struct Shared {
     reports: mpsc::UnboundedSender<Report>,
     answer: Mutex<ReportResponse>,
@@ -45,7 +45,7 @@
     planner: Mutex<Option<u64>>,
 }
 
-/// A relay that is also the host list which names it, and the key-value service.
+/// A fake relay that also serves the host list, which contains it, and the key-value service.
 pub(crate) struct FakeRelay {
     server: HttpServer<Arc<Shared>>,
     shared: Arc<Shared>,
@@ -53,7 +53,7 @@
 }
 
 impl FakeRelay {
-    /// Starts a relay.
+    /// Starts a fake relay.
     pub(crate) fn start() -> Self {
         let (sender, reports) = mpsc::unbounded();
         let shared = Arc::new(Shared {
@@ -64,7 +64,7 @@
         });
         let mut api = ApiDescription::new();
         api.register(hosts).unwrap();
-        api.register(take).unwrap();
+        api.register(receive_report).unwrap();
         api.register(range).unwrap();
         let config = ConfigDropshot {
             bind_address: "127.0.0.1:0".parse().unwrap(),
@@ -83,16 +83,16 @@
         }
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which it listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
     /// Waits for a report that satisfies `condition`.
     pub(crate) async fn report(&mut self, condition: impl Fn(&Report) -> bool) -> Report {
-        within(async {
+        with_timeout(async {
             loop {
-                let report = self.reports.next().await.expect("the relay lives");
+                let report = self.reports.next().await.expect("the relay is running");
                 if condition(&report) {
                     return report;
                 }
@@ -106,21 +106,21 @@
         self.report(|report| report.state == TargetState::Up).await
     }
 
-    /// Answers reports so from now on.
-    pub(crate) fn answer(&self, revision: u64, drained: bool) {
+    /// Sets the response to further reports.
+    pub(crate) fn set_response(&self, revision: u64, drained: bool) {
         *self.shared.answer.lock().unwrap() = ReportResponse {
             revision: Revision(revision),
             drained,
         };
     }
 
-    /// Lets the planner's lease have this fencing number from now on.
-    pub(crate) fn plan(&self, fencing: Option<u64>) {
+    /// Sets the fencing number of the planner's lease, or removes the lease.
+    pub(crate) fn set_planner(&self, fencing: Option<u64>) {
         *self.shared.planner.lock().unwrap() = fencing;
     }
 
-    /// Lists the target's host so from now on.
-    pub(crate) fn list(&self, state: HostState) {
+    /// Sets the state of the target's host in the host list.
+    pub(crate) fn set_host_state(&self, state: HostState) {
         *self.shared.state.lock().unwrap() = state;
     }
 }
@@ -145,7 +145,7 @@
 }
 
 #[endpoint { method = POST, path = "/peer/v1/reports" }]
-async fn take(
+async fn receive_report(
     context: RequestContext<Arc<Shared>>,
     body: UntypedBody,
 ) -> Result<Response<Body>, HttpError> {
@@ -176,15 +176,18 @@
 #[tokio::test]
 async fn a_crash_is_reported_with_the_requests_in_flight() {
     let mut engine = FakeEngine::start();
-    let mut rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(5, 1))).await;
-    let call = engine.received().await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(5, 1))).await;
+    let call = engine.next_call().await;
     call.token(1);
     tokens_after_accepted(&mut frames).await;
 
     engine.shared.boot.store(2, Ordering::Relaxed);
-    call.break_off();
-    let report = rig.relay.report(|report| !report.crashes.is_empty()).await;
+    call.break_connection();
+    let report = fixture
+        .relay
+        .report(|report| !report.crashes.is_empty())
+        .await;
 
     assert_eq!(report.crashes.len(), 1);
     assert_eq!(report.crashes[0].suspects, vec![Fingerprint(5)]);
@@ -192,21 +195,24 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_engine_killed_for_good_has_crashed_and_its_streams_fail_at_once() {
+async fn a_killed_engine_counts_as_crashed_and_its_streams_fail_at_once() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let mut engine = {
         let _guard = runtime.enter();
         FakeEngine::start()
     };
-    let mut rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(5, 1))).await;
-    let call = engine.received().await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(5, 1))).await;
+    let call = engine.next_call().await;
     call.token(1);
     tokens_after_accepted(&mut frames).await;
 
     runtime.shutdown_background();
     let failed = next(&mut frames).await;
-    let report = rig.relay.report(|report| !report.crashes.is_empty()).await;
+    let report = fixture
+        .relay
+        .report(|report| !report.crashes.is_empty())
+        .await;
 
     let lost = matches!(
         failed,
@@ -222,34 +228,38 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_broken_connection_of_a_living_engine_is_no_crash() {
+async fn a_broken_connection_of_a_running_engine_is_no_crash() {
     let mut engine = FakeEngine::start();
-    let mut rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(5, 1))).await;
-    let call = engine.received().await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(5, 1))).await;
+    let call = engine.next_call().await;
 
-    call.break_off();
+    call.break_connection();
     assert!(matches!(
         next(&mut frames).await,
         Some(Frame::Failed { .. })
     ));
-    let last = rig.relay.up().await.sequence;
-    let report = rig.relay.report(|report| report.sequence > last + 2).await;
+    let last = fixture.relay.up().await.sequence;
+    let report = fixture
+        .relay
+        .report(|report| report.sequence > last + 2)
+        .await;
 
     assert_eq!(report.crashes, Vec::new());
 }
 
 #[rstest]
 #[tokio::test]
-async fn an_engine_that_is_gone_is_reported_down_and_gets_nothing() {
+async fn a_closed_engine_is_reported_down_and_gets_no_attempts() {
     let engine = FakeEngine::start();
-    let mut rig = Rig::start(engine.server.local_addr()).await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
 
     engine.server.close().await.unwrap();
-    rig.relay
+    fixture
+        .relay
         .report(|report| report.state == TargetState::Down)
         .await;
-    let mut frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
 
     let frame = next(&mut frames).await;
     assert!(matches!(
@@ -263,19 +273,19 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_paused_engine_gets_nothing_new_and_keeps_what_it_has() {
+async fn a_paused_engine_gets_no_new_attempts_and_keeps_its_running_ones() {
     let mut engine = FakeEngine::start();
-    let mut rig = Rig::start(engine.server.local_addr()).await;
-    let mut frames = rig.send(&rig.dispatch(attempt(1, 1))).await;
-    let call = engine.received().await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
+    let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
+    let call = engine.next_call().await;
 
     engine.shared.paused.send_replace(true);
     let down = |report: &Report| report.state == TargetState::Down;
-    let report = rig.relay.report(down).await;
-    let mut late = rig.send(&rig.dispatch(attempt(2, 1))).await;
+    let report = fixture.relay.report(down).await;
+    let mut late = fixture.send(&fixture.dispatch(attempt(2, 1))).await;
     let refused = next(&mut late).await;
     engine.shared.paused.send_replace(false);
-    rig.relay.up().await;
+    fixture.relay.up().await;
     call.token(1);
 
     assert!(matches!(refused, Some(Frame::NotRun { .. })));
@@ -287,45 +297,45 @@
 #[tokio::test]
 async fn operators_drain_through_relays_and_an_older_relay_does_not_undo_it() {
     let engine = FakeEngine::start();
-    let mut rig = Rig::start(engine.server.local_addr()).await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
 
-    rig.relay.answer(7, true);
+    fixture.relay.set_response(7, true);
     let leaving = |report: &Report| report.state == TargetState::Leaving;
-    let report = rig.relay.report(leaving).await;
-    rig.relay.answer(6, false);
+    let report = fixture.relay.report(leaving).await;
+    fixture.relay.set_response(6, false);
     let later = report.sequence + 3;
-    let report = rig.relay.report(|report| report.sequence > later).await;
+    let report = fixture.relay.report(|report| report.sequence > later).await;
     assert_eq!(report.state, TargetState::Leaving);
 
-    rig.relay.answer(8, false);
-    rig.relay.up().await;
+    fixture.relay.set_response(8, false);
+    fixture.relay.up().await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_host_listed_as_leaving_takes_no_new_work() {
     let engine = FakeEngine::start();
-    let mut rig = Rig::start(engine.server.local_addr()).await;
+    let mut fixture = Fixture::start(engine.server.local_addr()).await;
 
-    rig.relay.list(HostState::Leaving);
+    fixture.relay.set_host_state(HostState::Leaving);
 
     let leaving = |report: &Report| report.state == TargetState::Leaving;
-    rig.relay.report(leaving).await;
+    fixture.relay.report(leaving).await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn the_agent_says_whether_it_is_ready() {
+async fn the_agent_reports_readiness() {
     let engine = FakeEngine::start();
-    let rig = Rig::start(engine.server.local_addr()).await;
+    let fixture = Fixture::start(engine.server.local_addr()).await;
 
-    let ready = status(rig.agent.admin, "/readyz").await;
-    rig.relay.answer(1, true);
+    let ready = status(fixture.agent.admin, "/readyz").await;
+    fixture.relay.set_response(1, true);
 
     assert_eq!(ready, 200);
-    within(async { while status(rig.agent.admin, "/readyz").await != 503 {} }).await;
-    assert_eq!(status(rig.agent.admin, "/livez").await, 200);
-    assert_eq!(status(rig.agent.admin, "/metrics").await, 200);
+    with_timeout(async { while status(fixture.agent.admin, "/readyz").await != 503 {} }).await;
+    assert_eq!(status(fixture.agent.admin, "/livez").await, 200);
+    assert_eq!(status(fixture.agent.admin, "/metrics").await, 200);
 }
 
 async fn get(address: SocketAddr, path: &str) -> Response<hyper::body::Incoming> {
@@ -334,18 +344,18 @@
     let client: Client<_, http_body_util::Empty<bytes::Bytes>> =
         Client::builder(TokioExecutor::new()).build_http();
     let uri = format!("http://{address}{path}").parse().unwrap();
-    within(client.get(uri)).await.unwrap()
+    with_timeout(client.get(uri)).await.unwrap()
 }
 
 async fn status(address: SocketAddr, path: &str) -> u16 {
     get(address, path).await.status().as_u16()
 }
 
-/// Reads a page as text.
-pub(crate) async fn text(address: SocketAddr, path: &str) -> String {
+/// Returns the body of a response as text.
+pub(crate) async fn get_text(address: SocketAddr, path: &str) -> String {
     use http_body_util::BodyExt;
     let body = get(address, path).await.into_body();
-    let bytes = within(body.collect()).await.unwrap().to_bytes();
+    let bytes = with_timeout(body.collect()).await.unwrap().to_bytes();
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
--- a/crates/cyclamenwharf/tests/agent_settings.rs
+++ b/crates/cyclamenwharf/tests/agent_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent that cannot be used are refused by name.
+//! Tests that invalid settings of an agent are refused with the name of the key.
 
 use std::path::Path;
 
@@ -38,7 +38,7 @@
 }
 
 #[rstest]
-fn the_defaults_can_be_used() {
+fn the_defaults_are_valid() {
     assert!(read("").is_ok());
 }
 
--- a/crates/cyclamenwharf/tests/line_queue.rs
+++ b/crates/cyclamenwharf/tests/line_queue.rs
@@ -1,4 +1,4 @@
-//! Logs never hold up the process that writes them.
+//! Tests that writing logs never blocks the process.
 
 use std::io;
 use std::io::Write;
@@ -9,17 +9,17 @@
 
 use cyclamenwharf::LineQueue;
 
-/// A reader of logs that takes nothing until it is let go.
-struct Stuck {
+/// An output that blocks until it is released.
+struct BlockedOutput {
     release: Receiver<()>,
-    taken: Arc<Mutex<Vec<u8>>>,
+    written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Whoever lets go drops the sender, which ends the wait for good.
+        // Dropping the sender releases this output permanently.
         let _ = self.release.recv();
-        self.taken.lock().unwrap().extend_from_slice(bytes);
+        self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn lines_beyond_the_queue_are_counted_not_waited_for() {
-    let (release, stuck) = channel();
-    let taken = Arc::<Mutex<Vec<u8>>>::default();
-    let out = Stuck {
-        release: stuck,
-        taken: Arc::clone(&taken),
+fn lines_beyond_the_capacity_are_dropped_and_counted() {
+    let (release, blocked) = channel();
+    let written = Arc::<Mutex<Vec<u8>>>::default();
+    let out = BlockedOutput {
+        release: blocked,
+        written: Arc::clone(&written),
     };
     let mut queue = LineQueue::start(out).unwrap();
 
@@ -45,7 +45,7 @@
     queue.write_all(b"last\n").unwrap();
     let text = loop {
         queue.flush().unwrap();
-        let text = String::from_utf8(taken.lock().unwrap().clone()).unwrap();
+        let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
         if text.contains("log lines were dropped") {
             break text;
         }
--- a/crates/cyclamenwharf/tests/settings.rs
+++ b/crates/cyclamenwharf/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked before anything starts, and their page names each of them.
+//! Tests that settings are validated when read, and that the documentation lists each of them.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -52,16 +52,16 @@
 peers = ["one"]
 "#;
 
-const PAGE: &str = include_str!("../../../docs/SETTINGS.md");
+const DOCUMENTATION: &str = include_str!("../../../docs/SETTINGS.md");
 
-fn file(text: &str) -> NamedTempFile {
+fn settings_file(text: &str) -> NamedTempFile {
     let mut file = NamedTempFile::new().expect("a temporary file");
     file.write_all(text.as_bytes()).expect("room for the file");
     file
 }
 
 fn entry_error(text: &str) -> String {
-    let file = file(text);
+    let file = settings_file(text);
     let name = file.path().display().to_string();
     let error = EntrySettings::read(file.path()).expect_err("the settings are wrong");
     let message = error.to_string();
@@ -69,20 +69,20 @@
     message
 }
 
-fn keys(prefix: &str, table: &Table, out: &mut BTreeSet<String>) {
+fn collect_keys(prefix: &str, table: &Table, found: &mut BTreeSet<String>) {
     for (key, value) in table {
         match value {
-            Value::Table(inner) => keys(&format!("{prefix}{key}."), inner, out),
+            Value::Table(inner) => collect_keys(&format!("{prefix}{key}."), inner, found),
             _ => {
-                out.insert(format!("{prefix}{key}"));
+                found.insert(format!("{prefix}{key}"));
             }
         }
     }
 }
 
-fn documented(section: &str) -> BTreeSet<String> {
-    let start = PAGE.find(section).expect("the section is there") + section.len();
-    let rest = &PAGE[start..];
+fn documented_keys(section: &str) -> BTreeSet<String> {
+    let start = DOCUMENTATION.find(section).expect("the section is there") + section.len();
+    let rest = &DOCUMENTATION[start..];
     let end = rest.find("\n## ").unwrap_or(rest.len());
     let rows = rest[..end].lines().filter(|line| line.starts_with("| `"));
     rows.filter_map(|row| row.split('`').nth(1))
@@ -92,8 +92,10 @@
 
 #[rstest]
 fn a_complete_file_is_read() {
-    let entry = EntrySettings::read(file(ENTRY).path()).expect("the entry's settings are right");
-    let agent = AgentSettings::read(file(AGENT).path()).expect("the agent's settings are right");
+    let entry =
+        EntrySettings::read(settings_file(ENTRY).path()).expect("the entry's settings are right");
+    let agent =
+        AgentSettings::read(settings_file(AGENT).path()).expect("the agent's settings are right");
 
     assert_eq!(entry.host.to_string(), "entry-1");
     assert_eq!(agent.target.id.to_string(), "engine-1");
@@ -126,14 +128,16 @@
 }
 
 #[rstest]
-fn the_page_names_each_setting_and_no_other() {
-    let entry = EntrySettings::read(file(ENTRY).path()).expect("the entry's settings are right");
-    let agent = AgentSettings::read(file(AGENT).path()).expect("the agent's settings are right");
-    let (mut of_entry, mut of_agent) = (BTreeSet::new(), BTreeSet::new());
-
-    keys("", &Table::try_from(entry).expect("TOML"), &mut of_entry);
-    keys("", &Table::try_from(agent).expect("TOML"), &mut of_agent);
-
-    assert_eq!(documented("## Entry"), of_entry);
-    assert_eq!(documented("## Agent"), of_agent);
+fn the_documentation_lists_each_setting_and_no_other() {
+    let entry =
+        EntrySettings::read(settings_file(ENTRY).path()).expect("the entry's settings are right");
+    let agent =
+        AgentSettings::read(settings_file(AGENT).path()).expect("the agent's settings are right");
+    let (mut entry_keys, mut agent_keys) = (BTreeSet::new(), BTreeSet::new());
+
+    collect_keys("", &Table::try_from(entry).expect("TOML"), &mut entry_keys);
+    collect_keys("", &Table::try_from(agent).expect("TOML"), &mut agent_keys);
+
+    assert_eq!(documented_keys("## Entry"), entry_keys);
+    assert_eq!(documented_keys("## Agent"), agent_keys);
 }
