--- a/crates/cyclamenwharf/examples/version_change.rs
+++ b/crates/cyclamenwharf/examples/version_change.rs
@@ -198,10 +198,14 @@
 fn report(observations: &Observations, [loaded, done]: [Duration; 2]) -> Value {
     let times = observations.first_tokens.lock().expect("no panic");
     let phases = PHASES.iter().enumerate().map(|(index, name)| {
-        let mut of: Vec<_> = times.iter().filter(|(p, _)| *p == index).collect();
-        of.sort();
-        let at = |share: usize| of.get(of.len() * share / 100).map(|(_, t)| t.as_millis());
-        json!({ "phase": name, "answers": of.len(), "p50_ms": at(50), "p95_ms": at(95) })
+        let mut samples: Vec<_> = times.iter().filter(|(p, _)| *p == index).collect();
+        samples.sort();
+        let at = |percent: usize| {
+            samples
+                .get(samples.len() * percent / 100)
+                .map(|(_, t)| t.as_millis())
+        };
+        json!({ "phase": name, "answers": samples.len(), "p50_ms": at(50), "p95_ms": at(95) })
     });
     let count = |counter: &AtomicUsize| counter.load(Ordering::SeqCst);
     json!({
--- a/crates/cyclamenwharf/src/agent/call_runner.rs
+++ b/crates/cyclamenwharf/src/agent/call_runner.rs
@@ -47,7 +47,7 @@
     signals: &AttemptSignals,
 ) {
     tokio::select! {
-        end = send(state, id, call, signals) => match end {
+        end = send_call(state, id, call, signals) => match end {
             Some(end) => state.apply_event(|table, now| table.on_end(now, id, end)),
             None => {
                 state.apply_event(|table, now| table.on_disconnect(now, id));
@@ -60,7 +60,7 @@
 }
 
 /// Sends the call and returns how it ended, or `None` if its connection broke.
-async fn send(
+async fn send_call(
     state: &Arc<AgentState>,
     id: AttemptId,
     call: Call,
--- a/crates/cyclamenwharf/src/agent/generate_runner.rs
+++ b/crates/cyclamenwharf/src/agent/generate_runner.rs
@@ -64,12 +64,12 @@
             state.apply_event(|table, now| table.on_disconnect(now, id));
             state.check_target.notify_one();
         }
-        Outcome::Stopped => abort(state, id),
+        Outcome::Stopped => send_abort(state, id),
     }
 }
 
 /// Sends an abort to the engine, which may not notice the closed connection while it is paused.
-fn abort(state: &Arc<AgentState>, id: AttemptId) {
+fn send_abort(state: &Arc<AgentState>, id: AttemptId) {
     let engine = state.engine.clone();
     state.supervisor.spawn(async move {
         if let Err(error) = engine.abort(id, ABORT_TIMEOUT).await {
--- a/crates/cyclamenwharf/tests/agent/attempts.rs
+++ b/crates/cyclamenwharf/tests/agent/attempts.rs
@@ -29,8 +29,8 @@
 use super::fixtures::TEST_TIMEOUT;
 use super::fixtures::attempt;
 use super::fixtures::generate;
-use super::fixtures::next;
-use super::fixtures::tokens;
+use super::fixtures::next_frame;
+use super::fixtures::next_tokens;
 use super::fixtures::wait_until;
 use super::fixtures::with_timeout;
 
@@ -53,8 +53,8 @@
     let call = engine.next_call().await;
     call.accept(4);
     call.token(52);
-    let accepted = next(&mut frames).await;
-    let first = tokens(&mut frames).await;
+    let accepted = next_frame(&mut frames).await;
+    let first = next_tokens(&mut frames).await;
     call.finish();
 
     assert!(matches!(accepted, Some(Frame::Accepted { cached, .. }) if cached == TokenCount(4)));
@@ -63,8 +63,8 @@
         finish: FinishReason::Stop,
         next: TokenIndex(3),
     };
-    assert_eq!(next(&mut frames).await, Some(done));
-    assert_eq!(next(&mut frames).await, None);
+    assert_eq!(next_frame(&mut frames).await, Some(done));
+    assert_eq!(next_frame(&mut frames).await, None);
     assert_eq!(call.body["request_id"], json!(attempt(1, 2).to_string()));
     assert_eq!(call.body["output_so_far"], json!([50, 51]));
     assert_eq!(call.body["max_tokens"], json!(998));
@@ -81,20 +81,20 @@
     let call = engine.next_call().await;
     call.token(1);
     call.token(2);
-    next(&mut first).await;
-    tokens(&mut first).await;
+    next_frame(&mut first).await;
+    next_tokens(&mut first).await;
     drop(first);
 
     dispatch.repeat = true;
     dispatch.from = TokenIndex(1);
     let mut second = fixture.send(&dispatch).await;
-    let accepted = next(&mut second).await;
-    let replayed = tokens(&mut second).await;
+    let accepted = next_frame(&mut second).await;
+    let replayed = next_tokens(&mut second).await;
     call.token(3);
 
     assert!(matches!(accepted, Some(Frame::Accepted { .. })));
     assert_eq!(replayed, (1, vec![2]));
-    assert_eq!(tokens(&mut second).await, (2, vec![3]));
+    assert_eq!(next_tokens(&mut second).await, (2, vec![3]));
     assert!(!engine.has_call());
 }
 
@@ -116,9 +116,15 @@
     let mut own = fixture.frames(path::ATTACH, &attach("partagez")).await;
     let mut foreign = fixture.frames(path::ATTACH, &attach("office")).await;
 
-    assert!(matches!(next(&mut own).await, Some(Frame::Accepted { .. })));
-    assert_eq!(tokens(&mut own).await, (0, vec![1]));
-    assert!(is_not_run(next(&mut foreign).await, NotRunReason::Unknown));
+    assert!(matches!(
+        next_frame(&mut own).await,
+        Some(Frame::Accepted { .. })
+    ));
+    assert_eq!(next_tokens(&mut own).await, (0, vec![1]));
+    assert!(is_not_run(
+        next_frame(&mut foreign).await,
+        NotRunReason::Unknown
+    ));
 }
 
 #[rstest]
@@ -133,7 +139,10 @@
     let mut frames = fixture.send(&fixture.dispatch(id)).await;
 
     assert_eq!(cancelled.ran, Ran::No);
-    assert!(is_not_run(next(&mut frames).await, NotRunReason::Cancelled));
+    assert!(is_not_run(
+        next_frame(&mut frames).await,
+        NotRunReason::Cancelled
+    ));
     assert!(!engine.has_call());
 }
 
@@ -150,7 +159,7 @@
     let cancelled: Cancelled = fixture.call(path::CANCEL, &Cancel { id, stamp }).await;
 
     assert_eq!(cancelled.ran, Ran::Partly);
-    let frame = next(&mut frames).await;
+    let frame = next_frame(&mut frames).await;
     assert!(matches!(
         frame,
         Some(Frame::Failed {
@@ -171,8 +180,8 @@
     let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
     let call = engine.next_call().await;
     call.token(1);
-    next(&mut frames).await;
-    tokens(&mut frames).await;
+    next_frame(&mut frames).await;
+    next_tokens(&mut frames).await;
 
     call.break_connection();
 
@@ -181,7 +190,7 @@
         ran: Ran::Partly,
         next: TokenIndex(1),
     };
-    assert_eq!(next(&mut frames).await, Some(failed));
+    assert_eq!(next_frame(&mut frames).await, Some(failed));
 }
 
 #[rstest]
@@ -238,8 +247,11 @@
     let mut second = fixture.send(&repeated).await;
     let cancelled: Cancelled = fixture.call(path::CANCEL, &cancel).await;
 
-    assert!(is_not_run(next(&mut first).await, NotRunReason::Unknown));
-    let frame = next(&mut second).await;
+    assert!(is_not_run(
+        next_frame(&mut first).await,
+        NotRunReason::Unknown
+    ));
+    let frame = next_frame(&mut second).await;
     assert!(matches!(
         frame,
         Some(Frame::Failed {
@@ -272,7 +284,7 @@
     assert!(kept_bytes(&fixture).await < 64 << 10);
 
     let mut received = Vec::new();
-    while let Some(frame) = next(&mut frames).await {
+    while let Some(frame) = next_frame(&mut frames).await {
         if let Frame::Tokens { first, tokens } = frame {
             assert_eq!(first.0, received.len() as u64);
             received.extend(tokens.iter().map(|token| token.id.0));
--- a/crates/cyclamenwharf/tests/agent/calls.rs
+++ b/crates/cyclamenwharf/tests/agent/calls.rs
@@ -17,7 +17,7 @@
 use super::fixtures::attempt;
 use super::fixtures::call;
 use super::fixtures::dispatch;
-use super::fixtures::next;
+use super::fixtures::next_frame;
 
 async fn start(engine: &FakeEngine) -> Fixture {
     let service = "notices".to_owned();
@@ -43,21 +43,21 @@
     check_and_drop(call);
 
     assert!(matches!(
-        next(&mut frames).await,
+        next_frame(&mut frames).await,
         Some(Frame::Accepted { .. })
     ));
-    let head = next(&mut frames).await;
+    let head = next_frame(&mut frames).await;
     assert!(matches!(head, Some(Frame::Head { status: 200, .. })));
     let body = Frame::Body {
         offset: 0,
         bytes: Bytes::from_static(b"sent"),
     };
-    assert_eq!(next(&mut frames).await, Some(body));
+    assert_eq!(next_frame(&mut frames).await, Some(body));
     let done = Frame::Done {
         finish: FinishReason::Stop,
         next: TokenIndex(4),
     };
-    assert_eq!(next(&mut frames).await, Some(done));
+    assert_eq!(next_frame(&mut frames).await, Some(done));
 }
 
 /// Checks the body of a call, and ends its response by dropping it.
@@ -76,7 +76,7 @@
     call.break_connection();
 
     let mut last = None;
-    while let Some(frame) = next(&mut frames).await {
+    while let Some(frame) = next_frame(&mut frames).await {
         last = Some(frame);
     }
     let failed = Frame::Failed {
@@ -102,7 +102,7 @@
     drop(call);
 
     let mut bodies = Vec::new();
-    while let Some(frame) = next(&mut second).await {
+    while let Some(frame) = next_frame(&mut second).await {
         if let Frame::Body { bytes, .. } = frame {
             bodies.push(bytes);
         }
@@ -123,7 +123,7 @@
 
     let mut frames = fixture.send(&dispatch).await;
 
-    let frame = next(&mut frames).await;
+    let frame = next_frame(&mut frames).await;
     assert!(matches!(frame, Some(Frame::NotRun { .. })), "{frame:?}");
     assert!(engine.shared.orders.lock().unwrap().is_empty());
 }
@@ -148,6 +148,6 @@
         ran: Ran::No,
         next: TokenIndex(0),
     };
-    assert_eq!(next(&mut frames).await, Some(failed));
+    assert_eq!(next_frame(&mut frames).await, Some(failed));
     assert!(!service.has_call());
 }
--- a/crates/cyclamenwharf/tests/agent/drains.rs
+++ b/crates/cyclamenwharf/tests/agent/drains.rs
@@ -20,8 +20,8 @@
 use super::fixtures::attempt;
 use super::fixtures::call;
 use super::fixtures::dispatch;
-use super::fixtures::next;
-use super::fixtures::tokens;
+use super::fixtures::next_frame;
+use super::fixtures::next_tokens;
 use super::fixtures::wait_until;
 use super::fixtures::with_timeout;
 
@@ -42,17 +42,17 @@
         async move { agent.drain().await }
     });
     let leaving = |report: &cw_wire::Report| report.state == TargetState::Leaving;
-    fixture.relay.report(leaving).await;
+    fixture.relay.next_report(leaving).await;
     let refused = client
         .frames(peers, path::ATTEMPTS, &late, TEST_TIMEOUT)
         .await;
     let refused = futures::StreamExt::next(&mut refused.unwrap()).await;
     call.token(1);
-    let accepted = next(&mut frames).await;
-    let first = tokens(&mut frames).await;
+    let accepted = next_frame(&mut frames).await;
+    let first = next_tokens(&mut frames).await;
     let drained_early = drained.is_finished();
     call.finish();
-    let done = next(&mut frames).await;
+    let done = next_frame(&mut frames).await;
     with_timeout(drained).await.unwrap();
 
     assert!(matches!(
@@ -84,12 +84,12 @@
     let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
     let call = engine.next_call().await;
     call.token(1);
-    next(&mut frames).await;
-    tokens(&mut frames).await;
+    next_frame(&mut frames).await;
+    next_tokens(&mut frames).await;
 
     fixture.agent.kill();
 
-    assert_eq!(next(&mut frames).await, None);
+    assert_eq!(next_frame(&mut frames).await, None);
     wait_until(|| call.is_closed()).await;
 }
 
@@ -108,13 +108,13 @@
     service.next_call().await;
     let peers = first.agent.peers;
     first.agent.kill();
-    while next(&mut lost).await.is_some() {}
+    while next_frame(&mut lost).await.is_some() {}
 
     let second = restart(address, kind, peers).await;
     dispatch.repeat = true;
     let mut frames = second.send(&dispatch).await;
 
-    let frame = next(&mut frames).await;
+    let frame = next_frame(&mut frames).await;
     let outcome_unknown = matches!(
         frame,
         Some(Frame::Failed {
--- a/crates/cyclamenwharf/tests/agent/fixtures.rs
+++ b/crates/cyclamenwharf/tests/agent/fixtures.rs
@@ -107,7 +107,7 @@
         let mut settings = settings(engine, kind, &relay);
         change(&mut settings);
         let agent = Agent::start(settings).await.unwrap();
-        let report = relay.up().await;
+        let report = relay.next_up_report().await;
         Self {
             agent,
             relay,
@@ -219,7 +219,7 @@
 }
 
 /// Waits for the next frame except heartbeats; returns `None` if the stream ended or broke.
-pub(crate) async fn next(frames: &mut Frames) -> Option<Frame> {
+pub(crate) async fn next_frame(frames: &mut Frames) -> Option<Frame> {
     let next = async {
         loop {
             match frames.next().await.flatten() {
@@ -232,8 +232,8 @@
 }
 
 /// Waits for the next tokens and returns the index of the first one and the token ids.
-pub(crate) async fn tokens(frames: &mut Frames) -> (u64, Vec<u32>) {
-    match next(frames).await {
+pub(crate) async fn next_tokens(frames: &mut Frames) -> (u64, Vec<u32>) {
+    match next_frame(frames).await {
         Some(Frame::Tokens { first, tokens }) => {
             let ids = tokens.iter().map(|token| token.id);
             (first.0, ids.map(|TokenId(id)| id).collect())
--- a/crates/cyclamenwharf/tests/agent/orders.rs
+++ b/crates/cyclamenwharf/tests/agent/orders.rs
@@ -14,7 +14,7 @@
 use super::fixtures::Fixture;
 use super::fixtures::attempt;
 use super::fixtures::generate;
-use super::fixtures::next;
+use super::fixtures::next_frame;
 
 fn unload(fencing: u64, sequence: u64) -> Order {
     Order {
@@ -54,7 +54,7 @@
 
     let pinned: OrderResponse = fixture.call(path::ORDERS, &unload(5, 1)).await;
     call.finish();
-    while next(&mut frames).await.is_some() {}
+    while next_frame(&mut frames).await.is_some() {}
     let done: OrderResponse = fixture.call(path::ORDERS, &unload(5, 2)).await;
     let mut late = fixture.send(&fixture.dispatch(attempt(2, 1))).await;
     let mut other = generate();
@@ -67,7 +67,7 @@
     assert_eq!(pinned, OrderResponse::Pinned { generations: 1 });
     assert_eq!(done, OrderResponse::Done);
     assert!(matches!(
-        next(&mut late).await,
+        next_frame(&mut late).await,
         Some(Frame::NotRun {
             reason: NotRunReason::WrongVersion,
             ..
--- a/crates/cyclamenwharf/tests/agent/overloads.rs
+++ b/crates/cyclamenwharf/tests/agent/overloads.rs
@@ -53,7 +53,7 @@
 
     let _queued = with_timeout(fill_backlog(address)).await;
     let down = |report: &Report| report.state == TargetState::Down;
-    let report = fixture.relay.report(down).await;
+    let report = fixture.relay.next_report(down).await;
 
     assert_eq!(report.crashes, Vec::new());
 }
--- a/crates/cyclamenwharf/tests/agent/reports.rs
+++ b/crates/cyclamenwharf/tests/agent/reports.rs
@@ -33,8 +33,8 @@
 use super::fake_engine::FakeEngine;
 use super::fixtures::Fixture;
 use super::fixtures::attempt;
-use super::fixtures::next;
-use super::fixtures::tokens;
+use super::fixtures::next_frame;
+use super::fixtures::next_tokens;
 use super::fixtures::with_timeout;
 
 /// The state shared by the handlers.
@@ -89,7 +89,7 @@
     }
 
     /// Waits for a report that satisfies `condition`.
-    pub(crate) async fn report(&mut self, condition: impl Fn(&Report) -> bool) -> Report {
+    pub(crate) async fn next_report(&mut self, condition: impl Fn(&Report) -> bool) -> Report {
         with_timeout(async {
             loop {
                 let report = self.reports.next().await.expect("the relay is running");
@@ -102,8 +102,9 @@
     }
 
     /// Waits for a report in which the target is up.
-    pub(crate) async fn up(&mut self) -> Report {
-        self.report(|report| report.state == TargetState::Up).await
+    pub(crate) async fn next_up_report(&mut self) -> Report {
+        self.next_report(|report| report.state == TargetState::Up)
+            .await
     }
 
     /// Sets the response to further reports.
@@ -180,13 +181,13 @@
     let mut frames = fixture.send(&fixture.dispatch(attempt(5, 1))).await;
     let call = engine.next_call().await;
     call.token(1);
-    tokens_after_accepted(&mut frames).await;
+    expect_accepted_and_tokens(&mut frames).await;
 
     engine.shared.boot.store(2, Ordering::Relaxed);
     call.break_connection();
     let report = fixture
         .relay
-        .report(|report| !report.crashes.is_empty())
+        .next_report(|report| !report.crashes.is_empty())
         .await;
 
     assert_eq!(report.crashes.len(), 1);
@@ -205,13 +206,13 @@
     let mut frames = fixture.send(&fixture.dispatch(attempt(5, 1))).await;
     let call = engine.next_call().await;
     call.token(1);
-    tokens_after_accepted(&mut frames).await;
+    expect_accepted_and_tokens(&mut frames).await;
 
     runtime.shutdown_background();
-    let failed = next(&mut frames).await;
+    let failed = next_frame(&mut frames).await;
     let report = fixture
         .relay
-        .report(|report| !report.crashes.is_empty())
+        .next_report(|report| !report.crashes.is_empty())
         .await;
 
     let lost = matches!(
@@ -236,13 +237,13 @@
 
     call.break_connection();
     assert!(matches!(
-        next(&mut frames).await,
+        next_frame(&mut frames).await,
         Some(Frame::Failed { .. })
     ));
-    let last = fixture.relay.up().await.sequence;
+    let last = fixture.relay.next_up_report().await.sequence;
     let report = fixture
         .relay
-        .report(|report| report.sequence > last + 2)
+        .next_report(|report| report.sequence > last + 2)
         .await;
 
     assert_eq!(report.crashes, Vec::new());
@@ -257,11 +258,11 @@
     engine.server.close().await.unwrap();
     fixture
         .relay
-        .report(|report| report.state == TargetState::Down)
+        .next_report(|report| report.state == TargetState::Down)
         .await;
     let mut frames = fixture.send(&fixture.dispatch(attempt(1, 1))).await;
 
-    let frame = next(&mut frames).await;
+    let frame = next_frame(&mut frames).await;
     assert!(matches!(
         frame,
         Some(Frame::NotRun {
@@ -281,16 +282,16 @@
 
     engine.shared.paused.send_replace(true);
     let down = |report: &Report| report.state == TargetState::Down;
-    let report = fixture.relay.report(down).await;
+    let report = fixture.relay.next_report(down).await;
     let mut late = fixture.send(&fixture.dispatch(attempt(2, 1))).await;
-    let refused = next(&mut late).await;
+    let refused = next_frame(&mut late).await;
     engine.shared.paused.send_replace(false);
-    fixture.relay.up().await;
+    fixture.relay.next_up_report().await;
     call.token(1);
 
     assert!(matches!(refused, Some(Frame::NotRun { .. })));
     assert_eq!(report.crashes, Vec::new());
-    tokens_after_accepted(&mut frames).await;
+    expect_accepted_and_tokens(&mut frames).await;
 }
 
 #[rstest]
@@ -301,14 +302,17 @@
 
     fixture.relay.set_response(7, true);
     let leaving = |report: &Report| report.state == TargetState::Leaving;
-    let report = fixture.relay.report(leaving).await;
+    let report = fixture.relay.next_report(leaving).await;
     fixture.relay.set_response(6, false);
     let later = report.sequence + 3;
-    let report = fixture.relay.report(|report| report.sequence > later).await;
+    let report = fixture
+        .relay
+        .next_report(|report| report.sequence > later)
+        .await;
     assert_eq!(report.state, TargetState::Leaving);
 
     fixture.relay.set_response(8, false);
-    fixture.relay.up().await;
+    fixture.relay.next_up_report().await;
 }
 
 #[rstest]
@@ -320,7 +324,7 @@
     fixture.relay.set_host_state(HostState::Leaving);
 
     let leaving = |report: &Report| report.state == TargetState::Leaving;
-    fixture.relay.report(leaving).await;
+    fixture.relay.next_report(leaving).await;
 }
 
 #[rstest]
@@ -359,7 +363,10 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-async fn tokens_after_accepted(frames: &mut super::fixtures::Frames) {
-    assert!(matches!(next(frames).await, Some(Frame::Accepted { .. })));
-    tokens(frames).await;
+async fn expect_accepted_and_tokens(frames: &mut super::fixtures::Frames) {
+    assert!(matches!(
+        next_frame(frames).await,
+        Some(Frame::Accepted { .. })
+    ));
+    next_tokens(frames).await;
 }
