--- a/crates/cyclamenwharf/src/entry/delivery.rs
+++ b/crates/cyclamenwharf/src/entry/delivery.rs
@@ -101,7 +101,7 @@
                     .suspicion
                     .record_completion(self.job.fingerprint);
                 self.record_end("finished");
-                self.context.slo.whole(&self.class, true);
+                self.context.slo.record_completion(&self.class, true);
                 self.send(Output::Finished(finish)).await;
             }
             Step::Fail { kind, ran, retry } => self.fail(kind, ran, retry).await,
@@ -114,7 +114,7 @@
             Step::Lost { target } => self.warn(&target, "the attempt was lost"),
             Step::Resumed { latency } => {
                 self.context.metrics.record_resume(latency);
-                self.context.slo.resume(&self.class, latency);
+                self.context.slo.record_resume(&self.class, latency);
             }
             Step::Dropped(reason) => self.context.metrics.record_drop(reason),
             _ => {}
@@ -126,7 +126,7 @@
             .suspicion
             .record_completion(self.job.fingerprint);
         self.record_end("answered");
-        self.context.slo.whole(&self.class, true);
+        self.context.slo.record_completion(&self.class, true);
         if let Some(KeyUse::Claimed(claim)) = &self.job.key {
             let claim = Arc::clone(claim);
             let kept_answer = StoredAnswer {
@@ -144,8 +144,8 @@
     async fn fail(&mut self, kind: ErrorKind, ran: Ran, retry: Duration) {
         self.record_end(kind.code());
         match ran {
-            Ran::No => self.context.slo.refusal(&self.class, true),
-            Ran::Partly | Ran::Unknown => self.context.slo.whole(&self.class, false),
+            Ran::No => self.context.slo.record_refusal(&self.class, true),
+            Ran::Partly | Ran::Unknown => self.context.slo.record_completion(&self.class, false),
         }
         let error = ApiError::new(kind).with_ran(ran).with_retry(retry);
         self.send(Output::Error(error)).await;
@@ -166,7 +166,7 @@
             self.context
                 .metrics
                 .record_first_token(&self.job.route, took);
-            self.context.slo.first_token(&self.class, took);
+            self.context.slo.record_first_token(&self.class, took);
             return;
         };
         let took = now.since(last_tokens);
@@ -186,7 +186,9 @@
 
     fn record_end(&self, outcome: &str) {
         self.context.metrics.record_end(&self.job.route, outcome);
-        self.context.slo.token_gaps(&self.class, self.token_gaps);
+        self.context
+            .slo
+            .record_token_gaps(&self.class, self.token_gaps);
         info!(
             generation = self.job.generation.to_string(),
             workspace = self.job.workspace.as_str(),
--- a/crates/cyclamenwharf/src/entry/driver/mod.rs
+++ b/crates/cyclamenwharf/src/entry/driver/mod.rs
@@ -15,7 +15,7 @@
 use cw_types::Time;
 use tokio::sync::mpsc;
 
-use crate::Recorder;
+use crate::TraceRecorder;
 
 use super::attempts::Attempts;
 use super::delivery::Delivery;
@@ -33,7 +33,7 @@
     sources: EventSources,
     attempts: Attempts,
     delivery: Delivery,
-    recorder: Option<Recorder>,
+    recorder: Option<TraceRecorder>,
     request: RouteRequest,
     is_suspect: bool,
     /// The number of crashes already confirmed for the request when it started.
--- a/crates/cyclamenwharf/src/entry/entry_context.rs
+++ b/crates/cyclamenwharf/src/entry/entry_context.rs
@@ -25,7 +25,7 @@
 use crate::Health;
 use crate::SharedView;
 use crate::SloMetrics;
-use crate::TraceBook;
+use crate::TraceStore;
 
 use super::api_error::ApiError;
 use super::claims::Claims;
@@ -79,7 +79,7 @@
     /// The selection of targets.
     pub(crate) router: Router,
     /// Recorded traces of generations.
-    pub(crate) traces: Arc<TraceBook>,
+    pub(crate) traces: Arc<TraceStore>,
     /// Tracks the requests in progress, for which a drain waits.
     pub(crate) progress: TaskTracker,
 }
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/handle.rs
@@ -22,12 +22,12 @@
 use crate::DemandExchange;
 use crate::EntrySettings;
 use crate::Health;
-use crate::SharedSlo;
 use crate::SharedView;
+use crate::SloCollector;
 use crate::SloMetrics;
 use crate::StartError;
 use crate::Supervisor;
-use crate::TraceBook;
+use crate::TraceStore;
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
@@ -58,7 +58,7 @@
     /// The entry's health.
     pub health: Arc<Health>,
     /// The recorded traces of generations.
-    pub traces: Arc<TraceBook>,
+    pub traces: Arc<TraceStore>,
     /// The quota demands sent to and received from the other entries.
     pub demands: Arc<DemandExchange>,
 }
@@ -97,7 +97,7 @@
             store: Arc::new(EtcdGateway::new(settings.platform.key_value.clone())),
             registry: Registry::new(),
             health: Arc::default(),
-            traces: Arc::new(TraceBook::new(settings.trace.clone())),
+            traces: Arc::new(TraceStore::new(settings.trace.clone())),
             demands: Arc::default(),
             settings,
         };
@@ -143,7 +143,7 @@
     let objectives = parts.settings.slo.clone();
     let slo = SloMetrics::new(parts.clock, objectives.clone()).map_err(StartError::new)?;
     let slo = Arc::new(slo);
-    let shared_slo = SharedSlo(Arc::clone(&slo));
+    let shared_slo = SloCollector(Arc::clone(&slo));
     (parts.registry.register(Box::new(shared_slo))).map_err(StartError::new)?;
     let secret = parts.settings.secrets.peers.first();
     let context = Arc::new(EntryContext {
@@ -188,10 +188,10 @@
 ) -> Result<StreamServer, StartError> {
     let _runtime_guard = traffic.enter();
     let periodic = Arc::clone(context);
-    supervisor.keep("upkeep", move || periodic_tasks::run(Arc::clone(&periodic)));
+    supervisor.supervise("upkeep", move || periodic_tasks::run(Arc::clone(&periodic)));
     let limits = ServerLimits {
-        connections: context.settings.limits.connections as usize,
-        head: Some(context.settings.limits.request),
+        max_connections: context.settings.limits.connections as usize,
+        header_timeout: Some(context.settings.limits.request),
     };
     let api = CallerApi {
         context: Arc::clone(context),
--- a/crates/cyclamenwharf/src/entry/peer_pool.rs
+++ b/crates/cyclamenwharf/src/entry/peer_pool.rs
@@ -29,7 +29,7 @@
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients
             .entry(peer)
-            .or_insert_with(|| self.template.fresh())
+            .or_insert_with(|| self.template.with_new_pool())
             .clone()
     }
 
@@ -37,7 +37,7 @@
     ///
     /// When one connection no longer responds, other connections of the same age may not either.
     pub(crate) fn replace_client(&self, peer: SocketAddr) -> PeerClient {
-        let client = self.template.fresh();
+        let client = self.template.with_new_pool();
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients.insert(peer, client.clone());
         client
