--- a/crates/cyclamenwharf/src/control/mod.rs
+++ b/crates/cyclamenwharf/src/control/mod.rs
@@ -41,7 +41,7 @@
 use crate::Health;
 use crate::StartError;
 use crate::Supervisor;
-use crate::TraceBook;
+use crate::TraceStore;
 
 /// The current view, which every traffic thread reads.
 pub type SharedView = Arc<ArcSwap<View>>;
@@ -59,7 +59,7 @@
     /// The health of the entry, which is set to configured by the first configuration.
     pub health: Arc<Health>,
     /// The traces that the admin API returns.
-    pub traces: Arc<TraceBook>,
+    pub traces: Arc<TraceStore>,
 }
 
 /// The running control plane, with its servers for peers and operators.
--- a/crates/cyclamenwharf/src/control/peer_sender.rs
+++ b/crates/cyclamenwharf/src/control/peer_sender.rs
@@ -54,7 +54,7 @@
         if let Err(PeerError::Broken { .. } | PeerError::Timeout { .. }) = outcome {
             // The old connection may have become unresponsive, so the batch is sent again over a new
             // one. The peer may receive it twice.
-            outcome = call(self.client.fresh()).await;
+            outcome = call(self.client.with_new_pool()).await;
         }
         if let Err(error) = outcome {
             debug!("cannot send a batch to a peer: {error}");
@@ -70,7 +70,7 @@
             let request = ConfigRequest { have };
             let call = this
                 .client
-                .fresh()
+                .with_new_pool()
                 .call::<_, ConfigResponse>(peer.peer_address, path::CONFIG, &request, STATE_TIMEOUT)
                 .await;
             match call {
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -226,11 +226,11 @@
             task.run()
         }
     };
-    parts.supervisor.keep("store", task);
+    parts.supervisor.supervise("store", task);
     let (list, events) = (services.host_list.clone(), events.clone());
     parts
         .supervisor
-        .keep("hosts", move || poll_hosts(list.clone(), events.clone()));
+        .supervise("hosts", move || poll_hosts(list.clone(), events.clone()));
 }
 
 fn supervise_planner(
@@ -242,7 +242,7 @@
     let host = parts.settings.host.clone();
     let (clock, sender, view) = (parts.clock, sender.clone(), view.clone());
     let services = services.clone();
-    parts.supervisor.keep("planner", move || {
+    parts.supervisor.supervise("planner", move || {
         let lease_calls = LeaseCalls {
             key_value: services.key_value.clone(),
             host: host.clone(),
@@ -274,7 +274,7 @@
     let receiver = Arc::new(Mutex::new(receiver));
     let last_config = Arc::default();
     let (clock, health) = (parts.clock, parts.health.clone());
-    parts.supervisor.keep("core", move || {
+    parts.supervisor.supervise("core", move || {
         let parts = core_parts(Arc::clone(&last_config), health.clone());
         run_core(Core::new(parts, clock.now()), clock, receiver.clone())
     });
--- a/crates/cyclamenwharf/src/lib.rs
+++ b/crates/cyclamenwharf/src/lib.rs
@@ -1,9 +1,9 @@
-//! The daemon as a library: an entry, an agent and a forwarding entry, each with its settings.
+//! The daemon as a library: entry, agent and forwarding entry, each with its settings.
 //!
-//! - [`EntrySettings`] and [`AgentSettings`] are read and checked before anything starts.
-//! - [`Entry::start`] and [`Agent::start`] run a role on the present runtime and return a handle.
-//! - [`Forwarder::start`] runs an entry for opaque requests.
-//! - [`Clock`] is the only source of the present time; deciding code gets it as an argument.
+//! - [`EntrySettings`] and [`AgentSettings`] are read and validated before anything starts.
+//! - [`Entry::start`] and [`Agent::start`] run a role on the current runtime and return a handle.
+//! - [`Forwarder::start`] runs an entry that forwards opaque requests.
+//! - [`Clock`] is the only source of the current time; policy code gets the time as an argument.
 
 mod agent;
 mod clock;
@@ -11,9 +11,9 @@
 mod entry;
 mod forward;
 mod health;
-mod host_entry;
-mod json_log;
+mod json_logger;
 mod line_queue;
+mod listed_host;
 mod peer_auth;
 mod peer_client;
 mod settings;
@@ -21,7 +21,7 @@
 mod start_error;
 mod stream_server;
 mod supervisor;
-mod trace_book;
+mod trace_store;
 
 pub use agent::Agent;
 pub use agent::AgentHandle;
@@ -43,7 +43,7 @@
 pub use forward::Forwarder;
 pub use forward::ForwarderHandle;
 pub use health::Health;
-pub use json_log::JsonLog;
+pub use json_logger::JsonLogger;
 pub use line_queue::LineQueue;
 pub use peer_client::PeerClient;
 pub use peer_client::PeerError;
@@ -63,10 +63,10 @@
 pub use settings::SettingsError;
 pub use settings::TargetSettings;
 pub use settings::TraceSettings;
-pub use settings::read;
-pub use slo_metrics::SharedSlo;
+pub use settings::read_settings;
+pub use slo_metrics::SloCollector;
 pub use slo_metrics::SloMetrics;
 pub use start_error::StartError;
 pub use supervisor::Supervisor;
-pub use trace_book::Recorder;
-pub use trace_book::TraceBook;
+pub use trace_store::TraceRecorder;
+pub use trace_store::TraceStore;
--- a/crates/cyclamenwharf/src/host_entry.rs
+++ b/crates/cyclamenwharf/src/listed_host.rs
@@ -1,4 +1,4 @@
-//! What the host list says, as entries and agents use it.
+//! Conversions from the hosts of the host list to the types of the policies.
 
 use cw_policy::EntryPeer;
 use cw_policy::membership::HostStatus;
@@ -6,16 +6,16 @@
 use cw_store::HostRole;
 use cw_store::HostState;
 
-/// Returns what the list says of a host.
-pub(crate) fn mark(host: &Host) -> HostStatus {
+/// Returns the status of a host in the host list.
+pub(crate) fn host_status(host: &Host) -> HostStatus {
     match host.state {
         HostState::Live => HostStatus::Live,
         HostState::Leaving => HostStatus::Leaving,
     }
 }
 
-/// Returns a live entry.
-pub(crate) fn to_entry(host: &Host) -> Option<EntryPeer> {
+/// Returns the host as a peer if it is an entry and live.
+pub(crate) fn live_entry(host: &Host) -> Option<EntryPeer> {
     let live = host.role == HostRole::Entry && host.state == HostState::Live;
     live.then(|| EntryPeer {
         host: host.host.clone(),
--- a/crates/cyclamenwharf/src/settings/mod.rs
+++ b/crates/cyclamenwharf/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, read from TOML and checked before anything starts.
+//! Settings, which are read from TOML and validated before anything starts.
 
 mod agent_settings;
 mod entry_settings;
@@ -20,4 +20,4 @@
 pub use shared_settings::SecretSettings;
 pub use shared_settings::SettingsError;
 pub use shared_settings::TraceSettings;
-pub use shared_settings::read;
+pub use shared_settings::read_settings;
