--- a/crates/cw_store/src/dialect.rs
+++ b/crates/cw_store/src/dialect.rs
@@ -27,20 +27,20 @@
     /// The host that the caller names, without a port.
     pub host: String,
     /// The caller's API key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// What the request takes up at its target.
     pub demand: Demand,
     /// What tells the request's prompt from others.
-    pub prompt: Option<String>,
+    pub prompt_key: Option<String>,
     /// The last event that the caller has.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
 }
 
 /// What goes with a request to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SendHead<'a> {
+pub struct TargetRequestHead<'a> {
     /// The id of the call.
     pub id: &'a str,
     /// The target that is to run it, and no other.
@@ -48,38 +48,38 @@
     /// The workspace of the caller.
     pub workspace: Option<&'a WorkspaceId>,
     /// The time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Its rank, for targets that know ranks; 0 is the most urgent.
     pub priority: Option<u8>,
     /// The last event that the caller has.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     /// The version of the weights that began the answer.
-    pub weights: Option<u64>,
+    pub weight_version: Option<u64>,
     /// Where the target sends a copy of the run.
-    pub copy: Option<SocketAddr>,
+    pub copy_address: Option<SocketAddr>,
     /// The copy that the target goes on from.
-    pub resume: Option<&'a CopyName>,
+    pub resume_from: Option<&'a CopyName>,
 }
 
 /// What a target says of its answer, beside status and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct TargetResponseHead {
     /// The id of the call that it answers.
     pub id: Option<String>,
     /// Whether it is the target's own answer to a request that ran.
-    pub own: bool,
+    pub from_target: bool,
     /// Whether the target proves that it did not run the request.
-    pub refused: bool,
+    pub not_executed: bool,
     /// Whether another target has the address.
-    pub stranger: bool,
+    pub wrong_target: bool,
     /// Its load.
     pub load: Option<ReportedLoad>,
     /// How long the target keeps an idle connection.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Whether the target closes the connection.
     pub close: bool,
     /// The version of its weights.
-    pub weights: Option<u64>,
+    pub weight_version: Option<u64>,
 }
 
 /// Translates between a platform's messages and the types of a forwarding entry.
@@ -91,32 +91,37 @@
     /// # Errors
     ///
     /// Says what is missing, or no value of its kind.
-    fn read_request(&self, head: &request::Parts) -> Result<RequestHead, String>;
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, String>;
 
     /// Returns the headers of a request as a target gets it.
-    fn to_target(&self, caller: &HeaderMap, send: &SendHead<'_>) -> HeaderMap;
+    fn target_headers(&self, caller: &HeaderMap, send: &TargetRequestHead<'_>) -> HeaderMap;
 
     /// Returns the call that asks a target to copy the memory of its run `id` to another one.
-    fn copy_call(&self, id: &str, to: SocketAddr) -> Request<Bytes>;
+    fn copy_request(&self, id: &str, to: SocketAddr) -> Request<Bytes>;
 
     /// Returns the call that tells a target that a copy it had made is of no more use.
-    fn drop_call(&self, name: &str) -> Request<Bytes>;
+    fn drop_copy_request(&self, name: &str) -> Request<Bytes>;
 
     /// Reads the name of a copy from the answer to such a call.
     ///
     /// # Errors
     ///
     /// Says why there is no copy, or none that can be named to targets.
-    fn read_copy(&self, status: StatusCode, body: &[u8]) -> Result<String, String>;
+    fn parse_copy_response(&self, status: StatusCode, body: &[u8]) -> Result<String, String>;
 
     /// Reads what a target says of its answer.
-    fn read_answer(&self, head: &response::Parts) -> AnswerHead;
+    fn parse_response(&self, head: &response::Parts) -> TargetResponseHead;
 
     /// Returns the headers of an answer as the caller gets it.
-    fn to_caller(&self, target: &HeaderMap) -> HeaderMap;
+    fn caller_headers(&self, target: &HeaderMap) -> HeaderMap;
 
     /// Returns the head of an answer of the entry's own.
-    fn refusal(&self, kind: ErrorKind, again: Option<Duration>, id: Option<&str>) -> Response<()>;
+    fn error_response(
+        &self,
+        kind: ErrorKind,
+        retry_after: Option<Duration>,
+        id: Option<&str>,
+    ) -> Response<()>;
 
     /// The key of the configuration.
     fn config_key(&self) -> &str;
@@ -129,12 +134,12 @@
     /// # Errors
     ///
     /// Says what cannot be read.
-    fn read_config(&self, value: &[u8]) -> Result<ForwardConfig, String>;
+    fn parse_config(&self, value: &[u8]) -> Result<ForwardConfig, String>;
 
     /// Reads the directory's entry of a target.
     ///
     /// # Errors
     ///
     /// Says what cannot be read; such an entry names no target.
-    fn read_listing(&self, id: &str, value: &[u8]) -> Result<Listing, String>;
+    fn parse_listing(&self, id: &str, value: &[u8]) -> Result<Listing, String>;
 }
--- a/crates/cw_store/src/etcd/gateway.rs
+++ b/crates/cw_store/src/etcd/gateway.rs
@@ -32,16 +32,16 @@
 use super::json::encode;
 use super::json::range_end;
 use super::watch::events;
-use crate::KeyValue;
+use crate::KeyValueStore;
 use crate::LeaseId;
 use crate::ModRevision;
 use crate::StoreError;
 use crate::Swap;
 use crate::Versioned;
 use crate::WatchEvent;
-use crate::http_client::Answer;
 use crate::http_client::HttpClient;
-use crate::http_client::parse;
+use crate::http_client::HttpResponse;
+use crate::http_client::parse_json;
 
 /// The status code of gRPC for something that does not exist.
 const GRPC_NOT_FOUND: i32 = 5;
@@ -94,7 +94,7 @@
                 }
             })
             .await?;
-        parse(&answer)
+        parse_json(&answer)
     }
 
     async fn each<T, F>(
@@ -165,8 +165,8 @@
 fn may_go_on(error: &StoreError, repeat: Repeat) -> bool {
     match error {
         StoreError::Unavailable { .. } => true,
-        StoreError::Lost { .. } => repeat == Repeat::Safe,
-        StoreError::Lapsed | StoreError::Compacted | StoreError::Protocol { .. } => false,
+        StoreError::OutcomeUnknown { .. } => repeat == Repeat::Safe,
+        StoreError::LeaseExpired | StoreError::Compacted | StoreError::Protocol { .. } => false,
     }
 }
 
@@ -179,25 +179,25 @@
 }
 
 /// Sorts an answer by whether the call had an effect.
-fn checked(answer: Answer) -> Result<Bytes, StoreError> {
+fn checked(answer: HttpResponse) -> Result<Bytes, StoreError> {
     if answer.status == StatusCode::OK {
         return Ok(answer.body);
     }
     let error: ErrorBody = serde_json::from_slice(&answer.body).unwrap_or_default();
     let message = format!("{}: {}", answer.status, error.message);
     if error.code == GRPC_NOT_FOUND {
-        return Err(StoreError::Lapsed);
+        return Err(StoreError::LeaseExpired);
     }
     let refused =
         answer.status.is_client_error() || answer.status == StatusCode::SERVICE_UNAVAILABLE;
     let ambiguous = AMBIGUOUS.iter().any(|words| error.message.contains(words));
     match refused && !ambiguous {
         true => Err(StoreError::Unavailable { message }),
-        false => Err(StoreError::Lost { message }),
+        false => Err(StoreError::OutcomeUnknown { message }),
     }
 }
 
-impl KeyValue for EtcdGateway {
+impl KeyValueStore for EtcdGateway {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
         self.range(RangeRequest::one(key))
             .map(|found| found.map(|pairs| pairs.into_iter().next()))
@@ -271,7 +271,7 @@
                 .call("/v3/lease/keepalive", &request, Repeat::Safe)
                 .await?;
             match answer.result.ttl {
-                0 => Err(StoreError::Lapsed),
+                0 => Err(StoreError::LeaseExpired),
                 seconds => Ok(Duration::from_secs(seconds)),
             }
         }
@@ -306,7 +306,8 @@
             let body = to_body(&request)?;
             let response = self
                 .each(Repeat::Safe, |gateway| {
-                    self.client.open(gateway, "/v3/watch", body.clone())
+                    self.client
+                        .post_streaming(gateway, "/v3/watch", body.clone())
                 })
                 .await?;
             match response.status() {
--- a/crates/cw_store/src/etcd/watch.rs
+++ b/crates/cw_store/src/etcd/watch.rs
@@ -18,7 +18,7 @@
 use crate::ModRevision;
 use crate::StoreError;
 use crate::WatchEvent;
-use crate::http_client::parse;
+use crate::http_client::parse_json;
 
 /// The longest line of a watch, in bytes: a value of a megabyte in base64 with room to spare.
 const LINE_MAX: usize = 4 << 20;
@@ -90,7 +90,7 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             return;
         }
-        match parse::<Streamed<WatchResponse>>(line) {
+        match parse_json::<Streamed<WatchResponse>>(line) {
             Ok(message) => self.take(message.result),
             Err(error) => self.ready.push_back(Err(error)),
         }
--- a/crates/cw_store/src/http_client.rs
+++ b/crates/cw_store/src/http_client.rs
@@ -27,7 +27,7 @@
 
 /// An answer's status and body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The HTTP status.
     pub status: StatusCode,
     /// The whole body.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl Default for HttpClient {
@@ -48,7 +48,7 @@
         connector.set_nodelay(true);
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
-            patience: CALL_TIMEOUT,
+            timeout: CALL_TIMEOUT,
         }
     }
 }
@@ -56,10 +56,10 @@
 impl HttpClient {
     /// Returns a client that shares its connections, and gives its calls another time.
     #[must_use]
-    pub fn with_patience(&self, patience: Duration) -> Self {
+    pub fn with_timeout(&self, timeout: Duration) -> Self {
         Self {
             client: self.client.clone(),
-            patience,
+            timeout,
         }
     }
 
@@ -68,14 +68,14 @@
     /// # Errors
     ///
     /// Says whether the call may have had an effect.
-    pub async fn read<T: DeserializeOwned>(
+    pub async fn get_json<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         path: &str,
     ) -> Result<T, StoreError> {
         let answer = self.call(Method::GET, peer, path, Bytes::new()).await?;
         match answer.status {
-            StatusCode::OK => parse(&answer.body),
+            StatusCode::OK => parse_json(&answer.body),
             status => Err(StoreError::Unavailable {
                 message: format!("{peer} answered {status}"),
             }),
@@ -93,12 +93,12 @@
         peer: SocketAddr,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<HttpResponse, StoreError> {
         let work = async {
             let response = self.send(method, peer, path, body).await?;
             let status = response.status();
             let body = response.into_body().collect().await.map_err(lost)?;
-            Ok(Answer {
+            Ok(HttpResponse {
                 status,
                 body: body.to_bytes(),
             })
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// Says whether the call may have had an effect.
-    pub async fn open(
+    pub async fn post_streaming(
         &self,
         peer: SocketAddr,
         path: &str,
@@ -126,10 +126,10 @@
         peer: SocketAddr,
         work: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let late = || StoreError::Lost {
-            message: format!("no answer from {peer} in {:?}", self.patience),
+        let late = || StoreError::OutcomeUnknown {
+            message: format!("no answer from {peer} in {:?}", self.timeout),
         };
-        tokio::time::timeout(self.patience, work)
+        tokio::time::timeout(self.timeout, work)
             .await
             .unwrap_or_else(|_| Err(late()))
     }
@@ -160,7 +160,7 @@
 }
 
 fn lost(error: impl std::fmt::Display) -> StoreError {
-    StoreError::Lost {
+    StoreError::OutcomeUnknown {
         message: error.to_string(),
     }
 }
@@ -170,7 +170,7 @@
 /// # Errors
 ///
 /// Fails when the body is not what the caller expects.
-pub fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
+pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|error| StoreError::Protocol {
         message: error.to_string(),
     })
--- a/crates/cw_store/src/http_host_list.rs
+++ b/crates/cw_store/src/http_host_list.rs
@@ -32,6 +32,6 @@
 
 impl HostList for HttpHostList {
     fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
-        self.client.read(self.address, PATH).boxed()
+        self.client.get_json(self.address, PATH).boxed()
     }
 }
--- a/crates/cw_store/src/http_weight_store.rs
+++ b/crates/cw_store/src/http_weight_store.rs
@@ -31,7 +31,7 @@
     fn describe<'a>(&'a self, weights: &'a str) -> BoxFuture<'a, Result<WeightInfo, StoreError>> {
         async move {
             let path = format!("/v1/weights/{weights}");
-            self.client.read(self.address, &path).await
+            self.client.get_json(self.address, &path).await
         }
         .boxed()
     }
--- a/crates/cw_store/src/key_value.rs
+++ b/crates/cw_store/src/key_value.rs
@@ -68,13 +68,13 @@
     },
     /// The answer was lost: the call may have had its effect.
     #[snafu(display("the answer was lost: {message}"))]
-    Lost {
+    OutcomeUnknown {
         /// What happened.
         message: String,
     },
     /// The lease does not exist or has lapsed.
     #[snafu(display("the lease has lapsed"))]
-    Lapsed,
+    LeaseExpired,
     /// The changes that a watch asks for are no longer kept: what they led to must be read.
     #[snafu(display("the history that the watch needs is gone"))]
     Compacted,
@@ -87,7 +87,7 @@
 }
 
 /// A key-value service with compare-and-swap, leases and watches.
-pub trait KeyValue: Send + Sync {
+pub trait KeyValueStore: Send + Sync {
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>>;
 
--- a/crates/cw_store/src/lib.rs
+++ b/crates/cw_store/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's services behind traits.
 //!
-//! - [`KeyValue`]: compare-and-swap, leases and watches.
+//! - [`KeyValueStore`]: compare-and-swap, leases and watches.
 //! - [`HostList`]: which hosts are live and which are leaving.
 //! - [`WeightStore`]: how fast model weights may be read.
 //!
@@ -18,21 +18,21 @@
 mod key_value;
 mod weight_store;
 
-pub use dialect::AnswerHead;
 pub use dialect::Dialect;
 pub use dialect::RequestHead;
-pub use dialect::SendHead;
+pub use dialect::TargetRequestHead;
+pub use dialect::TargetResponseHead;
 pub use etcd::EtcdGateway;
 pub use host_list::Host;
 pub use host_list::HostList;
 pub use host_list::HostRole;
 pub use host_list::HostState;
-pub use http_client::Answer;
 pub use http_client::HttpClient;
-pub use http_client::parse;
+pub use http_client::HttpResponse;
+pub use http_client::parse_json;
 pub use http_host_list::HttpHostList;
 pub use http_weight_store::HttpWeightStore;
-pub use key_value::KeyValue;
+pub use key_value::KeyValueStore;
 pub use key_value::LeaseId;
 pub use key_value::ModRevision;
 pub use key_value::StoreError;
--- a/crates/cw_store/tests/etcd_gateway.rs
+++ b/crates/cw_store/tests/etcd_gateway.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
 use cw_store::StoreError;
@@ -113,7 +113,7 @@
 
     match goes_on {
         true => assert_eq!(outcome, Ok(Swap::Done(ModRevision(8)))),
-        false => assert!(matches!(outcome, Err(StoreError::Lost { .. }))),
+        false => assert!(matches!(outcome, Err(StoreError::OutcomeUnknown { .. }))),
     }
     assert_eq!(first.calls(), 1);
     assert_eq!(second.calls(), usize::from(goes_on));
@@ -160,7 +160,7 @@
 
     let outcome = gateway.keep_alive(LeaseId(7)).await;
 
-    assert_eq!(outcome, Err(StoreError::Lapsed));
+    assert_eq!(outcome, Err(StoreError::LeaseExpired));
 }
 
 #[tokio::test]
--- a/crates/cw_testkit/tests/key_value.rs
+++ b/crates/cw_testkit/tests/key_value.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use common::soon;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue as _;
+use cw_store::KeyValueStore as _;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -55,7 +55,10 @@
 
     let lost = client.swap("k", None, value("a"), None).await;
 
-    assert!(matches!(lost, Err(StoreError::Lost { .. })), "{lost:?}");
+    assert!(
+        matches!(lost, Err(StoreError::OutcomeUnknown { .. })),
+        "{lost:?}"
+    );
     assert_eq!(service.get("k"), Some(value("a")));
 }
 
@@ -95,7 +98,10 @@
 
     assert!(matches!(put, Ok(Swap::Done(_))));
     assert_eq!(seen, ["k/1", "-k/1"]);
-    assert_eq!(client.keep_alive(lease).await, Err(StoreError::Lapsed));
+    assert_eq!(
+        client.keep_alive(lease).await,
+        Err(StoreError::LeaseExpired)
+    );
 }
 
 #[tokio::test]
--- a/crates/cyclamenwharf/src/agent/agent_state.rs
+++ b/crates/cyclamenwharf/src/agent/agent_state.rs
@@ -12,7 +12,7 @@
 use cw_policy::AttemptTable;
 use cw_policy::OrderGuard;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_types::AttemptId;
 use cw_types::Time;
 use cw_wire::Dispatch;
@@ -42,7 +42,7 @@
     pub(super) report: Notify,
     pub(super) orders: Mutex<OrderGuard>,
     /// The key-value service.
-    pub(super) store: Box<dyn KeyValue>,
+    pub(super) store: Box<dyn KeyValueStore>,
     /// Whether the planner's lease has been read in this life.
     pub(super) floored: AtomicBool,
     leaving: Mutex<Leaving>,
--- a/crates/cyclamenwharf/src/control/admin/desk.rs
+++ b/crates/cyclamenwharf/src/control/admin/desk.rs
@@ -20,7 +20,7 @@
 use cw_policy::configuration::accept;
 use cw_policy::configuration::in_use;
 use cw_policy::configuration::reject;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -63,7 +63,7 @@
 /// What stands behind the operators' interface.
 #[derive(Clone)]
 pub(in crate::control) struct Desk {
-    pub(in crate::control) key_value: Arc<dyn KeyValue>,
+    pub(in crate::control) key_value: Arc<dyn KeyValueStore>,
     pub(in crate::control) events: mpsc::Sender<Event>,
 }
 
@@ -106,7 +106,7 @@
         let written = self.put(&key, None, &proposal).await;
         let found = match written {
             Ok(Swap::Done(_)) => return Ok(proposal),
-            Ok(Swap::Conflict(_)) | Err(StoreError::Lost { .. }) => {
+            Ok(Swap::Conflict(_)) | Err(StoreError::OutcomeUnknown { .. }) => {
                 self.read_key::<Proposal>(&key).await?
             }
             Err(error) => return Err(error.into()),
@@ -155,7 +155,7 @@
             };
             match self.put(&key_of(id), stored.modified, &rejected).await {
                 Ok(Swap::Done(_)) => return Ok(*rejected),
-                Ok(Swap::Conflict(_)) | Err(StoreError::Lost { .. }) => continue,
+                Ok(Swap::Conflict(_)) | Err(StoreError::OutcomeUnknown { .. }) => continue,
                 Err(error) => return Err(error.into()),
             }
         }
@@ -350,7 +350,7 @@
         Ok(Swap::Done(_)) => Ok(FlowEvent::Written(true)),
         Ok(Swap::Conflict(_)) => Ok(FlowEvent::Written(false)),
         Err(StoreError::Unavailable { .. }) => Ok(FlowEvent::Failed(Fault::Unavailable)),
-        Err(StoreError::Lost { .. }) => Ok(FlowEvent::Failed(Fault::Lost)),
+        Err(StoreError::OutcomeUnknown { .. }) => Ok(FlowEvent::Failed(Fault::Lost)),
         Err(error) => Err(error.into()),
     }
 }
--- a/crates/cyclamenwharf/src/control/admin/error.rs
+++ b/crates/cyclamenwharf/src/control/admin/error.rs
@@ -102,8 +102,8 @@
     fn from(error: StoreError) -> Self {
         let kind = match &error {
             StoreError::Unavailable { .. } => AdminErrorKind::Unavailable,
-            StoreError::Lost { .. } => AdminErrorKind::OutcomeUnknown,
-            StoreError::Lapsed | StoreError::Compacted | StoreError::Protocol { .. } => {
+            StoreError::OutcomeUnknown { .. } => AdminErrorKind::OutcomeUnknown,
+            StoreError::LeaseExpired | StoreError::Compacted | StoreError::Protocol { .. } => {
                 AdminErrorKind::Internal
             }
         };
--- a/crates/cyclamenwharf/src/control/counted.rs
+++ b/crates/cyclamenwharf/src/control/counted.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
 use cw_store::StoreError;
@@ -17,13 +17,13 @@
 
 /// A key-value service whose calls are counted, since the platform counts and limits them.
 pub(super) struct Counted {
-    inner: Arc<dyn KeyValue>,
+    inner: Arc<dyn KeyValueStore>,
     calls: IntCounterVec,
 }
 
 impl Counted {
     /// Counts the calls to `inner`.
-    pub(super) fn new(inner: Arc<dyn KeyValue>, calls: IntCounterVec) -> Self {
+    pub(super) fn new(inner: Arc<dyn KeyValueStore>, calls: IntCounterVec) -> Self {
         Self { inner, calls }
     }
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl KeyValue for Counted {
+impl KeyValueStore for Counted {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
         self.count("get");
         self.inner.get(key)
--- a/crates/cyclamenwharf/src/control/lease_calls.rs
+++ b/crates/cyclamenwharf/src/control/lease_calls.rs
@@ -7,7 +7,7 @@
 use cw_macro::data;
 use cw_policy::planner::LeaseEvent;
 use cw_policy::planner::LeaseStep;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -34,7 +34,7 @@
 /// Calls for the planner's lease, each in a task of its own.
 #[derive(Clone)]
 pub(super) struct LeaseCalls {
-    pub(super) key_value: Arc<dyn KeyValue>,
+    pub(super) key_value: Arc<dyn KeyValueStore>,
     pub(super) host: HostId,
 }
 
@@ -92,7 +92,7 @@
             Ok(Swap::Done(revision)) => claimed(revision.0),
             Ok(Swap::Conflict(Some(found))) if is_own(&found, &holder) => claimed(found.created.0),
             Ok(Swap::Conflict(_)) => LeaseEvent::HeldElsewhere,
-            Err(StoreError::Lapsed) => LeaseEvent::Expired,
+            Err(StoreError::LeaseExpired) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
     }
@@ -100,7 +100,7 @@
     async fn renew(&self, requested_at: Time, lease: LeaseId) -> LeaseEvent {
         match self.key_value.keep_alive(lease).await {
             Ok(ttl) => LeaseEvent::Renewed { requested_at, ttl },
-            Err(StoreError::Lapsed) => LeaseEvent::Expired,
+            Err(StoreError::LeaseExpired) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
     }
--- a/crates/cyclamenwharf/src/control/services.rs
+++ b/crates/cyclamenwharf/src/control/services.rs
@@ -6,7 +6,7 @@
 use cw_store::HostList;
 use cw_store::HttpHostList;
 use cw_store::HttpWeightStore;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::WeightStore;
 
 use crate::PlatformSettings;
@@ -15,7 +15,7 @@
 #[derive(Clone)]
 pub struct Services {
     /// The key-value service.
-    pub key_value: Arc<dyn KeyValue>,
+    pub key_value: Arc<dyn KeyValueStore>,
     /// The host list.
     pub host_list: Arc<dyn HostList>,
     /// The weight store.
--- a/crates/cyclamenwharf/src/control/store_task.rs
+++ b/crates/cyclamenwharf/src/control/store_task.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Versioned;
@@ -43,7 +43,7 @@
 
 /// Follows the configuration key while this process is one of the watchers.
 pub(super) struct StoreTask {
-    pub(super) key_value: Arc<dyn KeyValue>,
+    pub(super) key_value: Arc<dyn KeyValueStore>,
     pub(super) events: mpsc::Sender<Event>,
     pub(super) usage: watch::Receiver<StoreUse>,
 }
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -12,7 +12,7 @@
 use cw_policy::ClaimStep;
 use cw_policy::ClaimWrite;
 use cw_policy::StoredAnswer;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
 use cw_store::StoreError;
@@ -37,13 +37,13 @@
 
 /// The claims of all requests of an entry.
 pub(crate) struct Claims {
-    store: Arc<dyn KeyValue>,
+    store: Arc<dyn KeyValueStore>,
     lease: Mutex<Option<(LeaseId, Time)>>,
 }
 
 impl Claims {
     /// Returns claims kept in `store`.
-    pub(crate) fn new(store: Arc<dyn KeyValue>) -> Self {
+    pub(crate) fn new(store: Arc<dyn KeyValueStore>) -> Self {
         Self {
             store,
             lease: Mutex::default(),
@@ -114,11 +114,11 @@
             Err(StoreError::Unavailable { .. } | StoreError::Compacted) => {
                 Ok(ClaimEvent::Unavailable)
             }
-            Err(StoreError::Lapsed) => {
+            Err(StoreError::LeaseExpired) => {
                 *self.lease.lock().await = None;
                 Ok(ClaimEvent::Unavailable)
             }
-            Err(StoreError::Lost { .. } | StoreError::Protocol { .. }) => {
+            Err(StoreError::OutcomeUnknown { .. } | StoreError::Protocol { .. }) => {
                 Ok(ClaimEvent::Unconfirmed)
             }
         }
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/handle.rs
@@ -10,7 +10,7 @@
 use cw_policy::Liveness;
 use cw_policy::TargetView;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_types::TargetId;
 use prometheus::Registry;
 use tokio::runtime::Runtime;
@@ -52,7 +52,7 @@
     /// The view in force.
     pub view: SharedView,
     /// The key-value service.
-    pub store: Arc<dyn KeyValue>,
+    pub store: Arc<dyn KeyValueStore>,
     /// The entry's metrics.
     pub registry: Registry,
     /// The entry's health.
--- a/crates/cyclamenwharf/src/forward/caller_api.rs
+++ b/crates/cyclamenwharf/src/forward/caller_api.rs
@@ -80,14 +80,14 @@
     async fn accept(&self, request: Request<Body>) -> Result<ExchangeDriver, Refusal> {
         let arrived = self.shared.now();
         let (parts, body) = request.into_parts();
-        let head = self.shared.dialect.read_request(&parts);
+        let head = self.shared.dialect.parse_request(&parts);
         let head = head.map_err(Refusal::from_head_error)?;
         let refuse = |reason| Refusal::new(reason, &head);
         let (config, admitted, service) = self
             .admit(&parts, &head)
             .map_err(|kind| refuse(kind.into()))?;
         let route = &admitted.route;
-        let timeout = head.patience.unwrap_or(DEFAULT_TIMEOUT);
+        let timeout = head.timeout.unwrap_or(DEFAULT_TIMEOUT);
         let timeout = timeout.min(route.timeout);
         let body = self.read_body(body, config.limits().body, timeout).await;
         let body = body.map_err(refuse)?;
@@ -105,7 +105,7 @@
             memory: service_config.and_then(|service| service.memory),
             copies: service_config.is_some_and(|service| service.copies),
             copy_lifetime: service_config.map_or(Duration::ZERO, |service| service.copy_life),
-            events: EventStream::after(head.after),
+            events: EventStream::after(head.last_event),
             parts,
             body,
             head,
@@ -123,7 +123,7 @@
         head: &RequestHead,
     ) -> Result<(Arc<ForwardConfig>, Admitted, ServiceName), ErrorKind> {
         let config = self.shared.config().ok_or(ErrorKind::NotReady)?;
-        let admitted = config.admit(&head.host, parts.uri.path(), head.key.as_deref())?;
+        let admitted = config.admit(&head.host, parts.uri.path(), head.api_key.as_deref())?;
         let draw = self.shared.state().rng.random();
         let service = admitted.route.service(draw).cloned();
         let service = service.ok_or(ErrorKind::NoTarget)?;
@@ -178,7 +178,7 @@
             kind: reason.kind,
             reason: reason.text,
             id: Some(head.id.clone()),
-            timeout: head.patience,
+            timeout: head.timeout,
         }
     }
 
@@ -219,6 +219,6 @@
     });
     shared
         .dialect
-        .refusal(kind, retry_after, id)
+        .error_response(kind, retry_after, id)
         .map(|()| Body::empty())
 }
--- a/crates/cyclamenwharf/src/forward/copy_renewal.rs
+++ b/crates/cyclamenwharf/src/forward/copy_renewal.rs
@@ -118,7 +118,7 @@
             return;
         };
         self.exchange.set_copy(None);
-        let call = self.shared.dialect.drop_call(&name.name);
+        let call = self.shared.dialect.drop_copy_request(&name.name);
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
             let dropped = call_target(&shared, &source, name.address, call);
@@ -143,7 +143,7 @@
         let call = self
             .shared
             .dialect
-            .copy_call(&self.request.head.id, keeper_address);
+            .copy_request(&self.request.head.id, keeper_address);
         let shared = Arc::clone(&self.shared);
         let request = self.request.head.id.clone();
         let task = tokio::spawn(async move {
@@ -186,7 +186,7 @@
     call: Request<Bytes>,
 ) -> Result<String, String> {
     let (status, body) = call_target(shared, source, address, call).await?;
-    shared.dialect.read_copy(status, &body)
+    shared.dialect.parse_copy_response(status, &body)
 }
 
 /// Sends a call of the entry itself to a target.
@@ -204,11 +204,11 @@
         .map_err(|error| error.to_string())?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map_err(|error| error.to_string())?;
-    let answer = shared.dialect.read_answer(&head);
+    let answer = shared.dialect.parse_response(&head);
     if !answer.close {
         shared
             .pool
-            .put(shared.now(), target, connection, answer.idle);
+            .put(shared.now(), target, connection, answer.idle_timeout);
     }
     Ok((head.status, body.to_bytes()))
 }
--- a/crates/cyclamenwharf/src/forward/directory_sync.rs
+++ b/crates/cyclamenwharf/src/forward/directory_sync.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use cw_policy::budget::Backoff;
 use cw_store::HttpClient;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Versioned;
@@ -54,7 +54,7 @@
 /// Keeps one part of the key-value service in sync.
 pub(super) struct DirectorySync {
     pub(super) shared: Arc<Shared>,
-    pub(super) store: Arc<dyn KeyValue>,
+    pub(super) store: Arc<dyn KeyValueStore>,
     pub(super) topic: Topic,
     /// The client for calls to the other entries.
     pub(super) entries: HttpClient,
@@ -212,7 +212,7 @@
 
     /// Activates a configuration if it can be parsed and is newer than the current one.
     fn activate_config(&self, document: &Bytes, source: &str) {
-        let config = match self.shared.dialect.read_config(document) {
+        let config = match self.shared.dialect.parse_config(document) {
             Ok(config) => config,
             Err(error) => {
                 warn!(source = source; "failed to parse the configuration: {error}");
@@ -391,7 +391,7 @@
     value: &[u8],
     revision: i64,
 ) {
-    match shared.dialect.read_listing(id.as_str(), value) {
+    match shared.dialect.parse_listing(id.as_str(), value) {
         Ok(listing) => {
             if state.fleet.listed(now, listing.clone()) {
                 // An outdated record, which does not revert that a target is leaving, is not passed
--- a/crates/cyclamenwharf/src/forward/entry_registry.rs
+++ b/crates/cyclamenwharf/src/forward/entry_registry.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cw_macro::data;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -42,7 +42,7 @@
 /// Maintains the record of this entry, and reads those of the others.
 pub(super) struct EntryRegistry {
     pub(super) shared: Arc<Shared>,
-    pub(super) store: Arc<dyn KeyValue>,
+    pub(super) store: Arc<dyn KeyValueStore>,
 }
 
 impl EntryRegistry {
@@ -82,7 +82,7 @@
     async fn keep_lease(&self, lease: LeaseId) -> Result<bool, StoreError> {
         match self.store.keep_alive(lease).await {
             Ok(_) => Ok(true),
-            Err(StoreError::Lapsed) => Ok(false),
+            Err(StoreError::LeaseExpired) => Ok(false),
             Err(error) => Err(error),
         }
     }
--- a/crates/cyclamenwharf/src/forward/exchange_driver.rs
+++ b/crates/cyclamenwharf/src/forward/exchange_driver.rs
@@ -75,7 +75,7 @@
     pub(super) fn new(shared: Arc<Shared>, request: AcceptedRequest, exchange: Exchange) -> Self {
         let now = exchange.plan().arrived;
         shared.state().budgets.record_first(now, &request.service);
-        let prompt_hash = request.head.prompt.as_deref().map(PromptHash::of);
+        let prompt_hash = request.head.prompt_key.as_deref().map(PromptHash::of);
         Self {
             shared,
             request,
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -7,7 +7,7 @@
 
 use cw_store::Dialect;
 use cw_store::HttpClient;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use log::info;
 use prometheus::Registry;
 use tokio::net::UdpSocket;
@@ -68,7 +68,7 @@
     /// The message formats of callers, targets and the directory.
     pub dialect: Arc<dyn Dialect>,
     /// The key-value service.
-    pub store: Arc<dyn KeyValue>,
+    pub store: Arc<dyn KeyValueStore>,
 }
 
 /// The forwarding entry.
@@ -157,7 +157,11 @@
 }
 
 /// Starts the tasks that sync with the key-value service, and the task that drops outdated state.
-fn start_directory_tasks(supervisor: &Supervisor, shared: &Arc<Shared>, store: &Arc<dyn KeyValue>) {
+fn start_directory_tasks(
+    supervisor: &Supervisor,
+    shared: &Arc<Shared>,
+    store: &Arc<dyn KeyValueStore>,
+) {
     for (name, topic) in [("config", Topic::Config), ("targets", Topic::Targets)] {
         let (shared, store) = (Arc::clone(shared), Arc::clone(store));
         supervisor.keep(name, move || {
@@ -165,7 +169,7 @@
                 shared: Arc::clone(&shared),
                 store: Arc::clone(&store),
                 topic,
-                entries: HttpClient::default().with_patience(PEER_TIMEOUT),
+                entries: HttpClient::default().with_timeout(PEER_TIMEOUT),
             };
             directory.run()
         });
--- a/crates/cyclamenwharf/src/forward/prompt_location_store.rs
+++ b/crates/cyclamenwharf/src/forward/prompt_location_store.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -35,7 +35,7 @@
 /// Reads the key at startup, and writes it if this entry is the writer.
 pub(super) struct PromptLocationStore {
     pub(super) shared: Arc<Shared>,
-    pub(super) store: Arc<dyn KeyValue>,
+    pub(super) store: Arc<dyn KeyValueStore>,
 }
 
 impl PromptLocationStore {
--- a/crates/cyclamenwharf/src/forward/sending.rs
+++ b/crates/cyclamenwharf/src/forward/sending.rs
@@ -10,8 +10,8 @@
 use cw_policy::forward::Placement;
 use cw_policy::forward::Repeat;
 use cw_policy::forward::Resume;
-use cw_store::AnswerHead;
-use cw_store::SendHead;
+use cw_store::TargetRequestHead;
+use cw_store::TargetResponseHead;
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_wire::CachedPrompt;
@@ -217,7 +217,7 @@
     ) -> SendOutcome {
         let resumed = destination.resume_from.is_some();
         let (parts, body) = response.into_parts();
-        let answer = self.shared.dialect.read_answer(&parts);
+        let answer = self.shared.dialect.parse_response(&parts);
         if let Some(event) = self.mismatch_event(&answer, resumed) {
             return SendOutcome::Event(event);
         }
@@ -230,12 +230,12 @@
         }
         let head = BufferedResponse {
             status: parts.status,
-            headers: self.shared.dialect.to_caller(&parts.headers),
+            headers: self.shared.dialect.caller_headers(&parts.headers),
             body: Bytes::new(),
         };
         let reuse = match answer.close {
             true => Reuse::No,
-            false => Reuse::Idle(answer.idle),
+            false => Reuse::Idle(answer.idle_timeout),
         };
         let start = ResponseStart {
             head,
@@ -245,7 +245,7 @@
         };
         if parts.status.is_success() && self.exchange.plan().streaming {
             if self.weights.is_none() {
-                self.weights = answer.weights;
+                self.weights = answer.weight_version;
             }
             return self
                 .read_first_events(start, destination.give_up_at, resumed)
@@ -261,16 +261,16 @@
             .copy
             .as_ref()
             .and_then(|id| self.address(id));
-        let send = SendHead {
+        let send = TargetRequestHead {
             id: &accepted.head.id,
             target: &destination.placement.target,
             workspace: accepted.admitted.workspace.as_ref(),
-            left: now.until(self.exchange.plan().deadline),
+            remaining: now.until(self.exchange.plan().deadline),
             priority: accepted.memory.map(|_| accepted.admitted.priority),
-            after: accepted.events.last(),
-            weights: self.weights,
-            copy,
-            resume: destination.resume_from.as_ref(),
+            last_event: accepted.events.last(),
+            weight_version: self.weights,
+            copy_address: copy,
+            resume_from: destination.resume_from.as_ref(),
         };
         let mut request = Request::new(Full::new(accepted.body.clone()));
         *request.method_mut() = accepted.parts.method.clone();
@@ -278,24 +278,24 @@
         *request.headers_mut() = self
             .shared
             .dialect
-            .to_target(&accepted.parts.headers, &send);
+            .target_headers(&accepted.parts.headers, &send);
         request
     }
 
     /// Returns the event for a response that does not answer this request, `None` for one that
     /// does.
-    fn mismatch_event(&self, answer: &AnswerHead, resumed: bool) -> Option<ExchangeEvent> {
-        if answer.stranger {
+    fn mismatch_event(&self, answer: &TargetResponseHead, resumed: bool) -> Option<ExchangeEvent> {
+        if answer.wrong_target {
             return Some(ExchangeEvent::NotRun(Fault::Replaced));
         }
-        if answer.refused && resumed {
+        if answer.not_executed && resumed {
             return Some(ExchangeEvent::NoCopy);
         }
-        if answer.refused {
+        if answer.not_executed {
             return Some(ExchangeEvent::NotRun(Fault::Full));
         }
         let is_same_id = answer.id.as_deref() == Some(self.request.head.id.as_str());
-        let is_own = is_same_id && answer.own;
+        let is_own = is_same_id && answer.from_target;
         (!is_own).then_some(ExchangeEvent::Lost(Fault::Broken))
     }
 
--- a/crates/cyclamenwharf/tests/entry_kit/memory_store.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/memory_store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
 use cw_store::StoreError;
@@ -88,7 +88,7 @@
     }
 }
 
-impl KeyValue for MemoryStore {
+impl KeyValueStore for MemoryStore {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
         async move {
             self.check()?;
@@ -119,7 +119,7 @@
             match (fault, swap) {
                 (Some(Fault::Stuck), _) => std::future::pending().await,
                 (None, Some(swap)) => Ok(swap),
-                _ => Err(StoreError::Lost { message }),
+                _ => Err(StoreError::OutcomeUnknown { message }),
             }
         }
         .boxed()
@@ -150,6 +150,6 @@
         _prefix: &'a str,
         _after: ModRevision,
     ) -> BoxFuture<'a, Result<BoxStream<'static, Result<WatchEvent, StoreError>>, StoreError>> {
-        async { Err(StoreError::Lapsed) }.boxed()
+        async { Err(StoreError::LeaseExpired) }.boxed()
     }
 }
--- a/crates/cyclamenwharf/tests/entry_kit/mod.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/mod.rs
@@ -17,7 +17,7 @@
 use cw_policy::Liveness;
 use cw_policy::TargetView;
 use cw_policy::View;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_types::Config;
 use cw_types::Incarnation;
 use cw_types::KeyHash;
@@ -117,7 +117,7 @@
             settings: settings(self.absence),
             clock: Clock::default(),
             view,
-            store: Arc::clone(&self.store) as Arc<dyn KeyValue>,
+            store: Arc::clone(&self.store) as Arc<dyn KeyValueStore>,
             registry: Registry::new(),
             health,
             traces: Default::default(),
