--- a/crates/cw_store/src/dialect.rs
+++ b/crates/cw_store/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers, targets and the directory say, in the product's own terms.
+//! The trait that parses and builds a platform's messages, and the types it converts them to.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,103 +19,103 @@
 use http::request;
 use http::response;
 
-/// What a caller says of its request, beside method, path and body.
+/// The parsed header fields of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The id of this call; the caller's next one has another.
+    /// The id of this call; each call of a caller has a different one.
     pub id: String,
-    /// The host that the caller names, without a port.
+    /// The `Host` of the request, without a port.
     pub host: String,
     /// The caller's API key.
     pub api_key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// What the request takes up at its target.
+    /// The resources that the request uses at its target.
     pub demand: Demand,
-    /// What tells the request's prompt from others.
+    /// The key that identifies the request's prompt.
     pub prompt_key: Option<String>,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller received.
     pub last_event: Option<u64>,
 }
 
-/// What goes with a request to a target.
+/// The values that the forwarder adds to the headers of a request to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRequestHead<'a> {
-    /// The id of the call.
+    /// The request id.
     pub id: &'a str,
-    /// The target that is to run it, and no other.
+    /// The only target that may run the request.
     pub target: &'a TargetId,
-    /// The workspace of the caller.
+    /// The caller's workspace.
     pub workspace: Option<&'a WorkspaceId>,
-    /// The time that is left.
+    /// The time until the request's deadline.
     pub remaining: Duration,
-    /// Its rank, for targets that know ranks; 0 is the most urgent.
+    /// The priority, for targets that support priorities; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller received.
     pub last_event: Option<u64>,
-    /// The version of the weights that began the answer.
+    /// The version of the model weights that generated the first part of the response.
     pub weight_version: Option<u64>,
-    /// Where the target sends a copy of the run.
+    /// The address that the target sends a copy of the run to.
     pub copy_address: Option<SocketAddr>,
-    /// The copy that the target goes on from.
+    /// The copy that the target resumes the run from.
     pub resume_from: Option<&'a CopyName>,
 }
 
-/// What a target says of its answer, beside status and body.
+/// The parsed header fields of a target's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetResponseHead {
-    /// The id of the call that it answers.
+    /// The id of the request that it responds to.
     pub id: Option<String>,
-    /// Whether it is the target's own answer to a request that ran.
+    /// Whether the target itself produced the response by running the request.
     pub from_target: bool,
     /// Whether the target proves that it did not run the request.
     pub not_executed: bool,
-    /// Whether another target has the address.
+    /// Whether another target now uses the address.
     pub wrong_target: bool,
-    /// Its load.
+    /// The target's reported load.
     pub load: Option<ReportedLoad>,
-    /// How long the target keeps an idle connection.
+    /// How long the target keeps an idle connection open.
     pub idle_timeout: Option<Duration>,
     /// Whether the target closes the connection.
     pub close: bool,
-    /// The version of its weights.
+    /// The version of the target's model weights.
     pub weight_version: Option<u64>,
 }
 
 /// Translates between a platform's messages and the types of a forwarding entry.
 ///
-/// It decides nothing: two dialects differ in names and encodings only.
+/// A dialect makes no decisions: two dialects differ only in names and encodings.
 pub trait Dialect: Send + Sync {
-    /// Reads what a caller says of its request.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// Says what is missing, or no value of its kind.
+    /// Returns which header is missing or has an invalid value.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, String>;
 
-    /// Returns the headers of a request as a target gets it.
+    /// Builds the headers of a request to a target from the caller's headers and `send`.
     fn target_headers(&self, caller: &HeaderMap, send: &TargetRequestHead<'_>) -> HeaderMap;
 
-    /// Returns the call that asks a target to copy the memory of its run `id` to another one.
+    /// Builds the request that makes a target copy the memory of its run `id` to another one.
     fn copy_request(&self, id: &str, to: SocketAddr) -> Request<Bytes>;
 
-    /// Returns the call that tells a target that a copy it had made is of no more use.
+    /// Builds the request that makes a target release the copy `name`, which is no longer needed.
     fn drop_copy_request(&self, name: &str) -> Request<Bytes>;
 
-    /// Reads the name of a copy from the answer to such a call.
+    /// Parses the name of a copy from the response to a [`copy_request`](Self::copy_request).
     ///
     /// # Errors
     ///
-    /// Says why there is no copy, or none that can be named to targets.
+    /// Returns why no copy was made, or why its name cannot be sent to targets.
     fn parse_copy_response(&self, status: StatusCode, body: &[u8]) -> Result<String, String>;
 
-    /// Reads what a target says of its answer.
+    /// Parses the headers of a target's response.
     fn parse_response(&self, head: &response::Parts) -> TargetResponseHead;
 
-    /// Returns the headers of an answer as the caller gets it.
+    /// Builds the headers of a response to the caller from the target's headers.
     fn caller_headers(&self, target: &HeaderMap) -> HeaderMap;
 
-    /// Returns the head of an answer of the entry's own.
+    /// Builds the status and headers of an error response that the entry itself produces.
     fn error_response(
         &self,
         kind: ErrorKind,
@@ -123,23 +123,23 @@
         id: Option<&str>,
     ) -> Response<()>;
 
-    /// The key of the configuration.
+    /// Returns the key of the configuration.
     fn config_key(&self) -> &str;
 
-    /// What the keys of targets begin with; the rest is the target's id.
+    /// Returns the key prefix of the directory's targets; the rest of a key is the target's id.
     fn targets_prefix(&self) -> &str;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
     ///
-    /// Says what cannot be read.
+    /// Returns which part is invalid.
     fn parse_config(&self, value: &[u8]) -> Result<ForwardConfig, String>;
 
-    /// Reads the directory's entry of a target.
+    /// Parses the directory's listing of a target.
     ///
     /// # Errors
     ///
-    /// Says what cannot be read; such an entry names no target.
+    /// Returns which part is invalid; such a listing describes no target.
     fn parse_listing(&self, id: &str, value: &[u8]) -> Result<Listing, String>;
 }
--- a/crates/cw_store/src/etcd/gateway.rs
+++ b/crates/cw_store/src/etcd/gateway.rs
@@ -1,4 +1,4 @@
-//! A client of the gateway.
+//! A key-value client for the gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use super::json::TxnResponse;
 use super::json::WatchCreate;
 use super::json::WatchRequest;
-use super::json::encode;
-use super::json::range_end;
-use super::watch::events;
+use super::json::encode_base64;
+use super::json::prefix_end;
+use super::watch_reader::event_stream;
 use crate::KeyValueStore;
 use crate::LeaseId;
 use crate::ModRevision;
@@ -43,24 +43,25 @@
 use crate::http_client::HttpResponse;
 use crate::http_client::parse_json;
 
-/// The status code of gRPC for something that does not exist.
+/// The gRPC status code `NOT_FOUND`.
 const GRPC_NOT_FOUND: i32 = 5;
 
-/// Words in an error of etcd that leave open whether a write took effect.
-const AMBIGUOUS: [&str; 3] = ["timed out", "leader changed", "server stopped"];
+/// Phrases in etcd's error messages that leave open whether a write took effect.
+const AMBIGUOUS_ERRORS: [&str; 3] = ["timed out", "leader changed", "server stopped"];
 
-/// Whether a call may be made twice.
+/// Whether a call whose outcome is unknown may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Repeat {
-    /// It changes nothing, or changes the same again.
+enum RetrySafety {
+    /// The call changes nothing, or a second call has the same result.
     Safe,
-    /// A second run could differ from the first.
+    /// A second call could have another result than the first.
     Unsafe,
 }
 
-/// A key-value service behind one or more JSON gateways of etcd.
+/// A client for a key-value service behind one or more JSON gateways of etcd.
 ///
-/// A read goes on to the next gateway after any failure, a write only when it had no effect.
+/// A read is retried at the next gateway after any connection or service failure, a write only if
+/// it had no effect.
 #[derive(Clone, Debug)]
 pub struct EtcdGateway {
     gateways: Vec<SocketAddr>,
@@ -69,7 +70,7 @@
 }
 
 impl EtcdGateway {
-    /// Returns a client that tries `gateways` in turn, beginning with the last that answered.
+    /// Creates a client that tries `gateways` in turn, starting with the last one that responded.
     pub fn new(gateways: Vec<SocketAddr>) -> Self {
         Self {
             gateways,
@@ -82,55 +83,57 @@
         &self,
         path: &str,
         request: &Q,
-        repeat: Repeat,
+        retry_safety: RetrySafety,
     ) -> Result<A, StoreError> {
         let body = to_body(request)?;
-        let answer = self
-            .each(repeat, |gateway| {
+        let response = self
+            .try_gateways(retry_safety, |gateway| {
                 let body = body.clone();
                 async move {
-                    let answer = self.client.call(Method::POST, gateway, path, body).await?;
-                    checked(answer)
+                    let response = self.client.call(Method::POST, gateway, path, body).await?;
+                    check_status(response)
                 }
             })
             .await?;
-        parse_json(&answer)
+        parse_json(&response)
     }
 
-    async fn each<T, F>(
+    async fn try_gateways<T, F>(
         &self,
-        repeat: Repeat,
+        retry_safety: RetrySafety,
         attempt: impl Fn(SocketAddr) -> F,
     ) -> Result<T, StoreError>
     where
         F: Future<Output = Result<T, StoreError>>,
     {
         let first = self.preferred.load(Ordering::Relaxed);
-        let mut last = StoreError::Unavailable {
+        let mut last_error = StoreError::Unavailable {
             message: "no gateway is configured".to_owned(),
         };
         for step in 0..self.gateways.len() {
             let index = (first + step) % self.gateways.len();
             match attempt(self.gateways[index]).await {
-                Ok(answer) => {
+                Ok(response) => {
                     self.preferred.store(index, Ordering::Relaxed);
-                    return Ok(answer);
+                    return Ok(response);
                 }
-                Err(error) if may_go_on(&error, repeat) => last = error,
+                Err(error) if may_try_next(&error, retry_safety) => last_error = error,
                 Err(error) => return Err(error),
             }
         }
-        // The next call begins elsewhere, since the preferred gateway did not answer.
+        // No gateway responded, so the next call starts with another gateway than this one.
         self.preferred.store(first + 1, Ordering::Relaxed);
-        Err(last)
+        Err(last_error)
     }
 
     async fn range(&self, request: RangeRequest) -> Result<Vec<Versioned>, StoreError> {
-        let answer: RangeResponse = self.call("/v3/kv/range", &request, Repeat::Safe).await?;
-        answer
+        let response: RangeResponse = self
+            .call("/v3/kv/range", &request, RetrySafety::Safe)
+            .await?;
+        response
             .kvs
             .into_iter()
-            .map(|pair| pair.versioned())
+            .map(|pair| pair.into_versioned())
             .collect()
     }
 
@@ -140,32 +143,34 @@
         expected: Option<ModRevision>,
         operation: Operation,
     ) -> Result<Swap, StoreError> {
-        let read = RangeRequest::one(key);
+        let read = RangeRequest::single_key(key);
         let request = TxnRequest {
             compare: vec![Compare::new(key, expected)],
             success: vec![operation],
             failure: vec![Operation::Range(read)],
         };
-        let answer: TxnResponse = self.call("/v3/kv/txn", &request, Repeat::Unsafe).await?;
-        if answer.succeeded {
-            return Ok(Swap::Done(ModRevision(answer.header.revision)));
+        let response: TxnResponse = self
+            .call("/v3/kv/txn", &request, RetrySafety::Unsafe)
+            .await?;
+        if response.succeeded {
+            return Ok(Swap::Done(ModRevision(response.header.revision)));
         }
-        let found = answer
+        let found = response
             .responses
             .into_iter()
-            .find_map(|response| response.response_range)
+            .find_map(|operation| operation.response_range)
             .and_then(|range| range.kvs.into_iter().next())
-            .map(|pair| pair.versioned())
+            .map(|pair| pair.into_versioned())
             .transpose()?;
         Ok(Swap::Conflict(found))
     }
 }
 
 /// Returns whether the next gateway may be tried after `error`.
-fn may_go_on(error: &StoreError, repeat: Repeat) -> bool {
+fn may_try_next(error: &StoreError, retry_safety: RetrySafety) -> bool {
     match error {
         StoreError::Unavailable { .. } => true,
-        StoreError::OutcomeUnknown { .. } => repeat == Repeat::Safe,
+        StoreError::OutcomeUnknown { .. } => retry_safety == RetrySafety::Safe,
         StoreError::LeaseExpired | StoreError::Compacted | StoreError::Protocol { .. } => false,
     }
 }
@@ -178,20 +183,22 @@
         })
 }
 
-/// Sorts an answer by whether the call had an effect.
-fn checked(answer: HttpResponse) -> Result<Bytes, StoreError> {
-    if answer.status == StatusCode::OK {
-        return Ok(answer.body);
+/// Returns the body of a successful response, or an error that says if the call had an effect.
+fn check_status(response: HttpResponse) -> Result<Bytes, StoreError> {
+    if response.status == StatusCode::OK {
+        return Ok(response.body);
     }
-    let error: ErrorBody = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let message = format!("{}: {}", answer.status, error.message);
+    let error: ErrorBody = serde_json::from_slice(&response.body).unwrap_or_default();
+    let message = format!("{}: {}", response.status, error.message);
     if error.code == GRPC_NOT_FOUND {
         return Err(StoreError::LeaseExpired);
     }
-    let refused =
-        answer.status.is_client_error() || answer.status == StatusCode::SERVICE_UNAVAILABLE;
-    let ambiguous = AMBIGUOUS.iter().any(|words| error.message.contains(words));
-    match refused && !ambiguous {
+    let is_rejected =
+        response.status.is_client_error() || response.status == StatusCode::SERVICE_UNAVAILABLE;
+    let is_ambiguous = AMBIGUOUS_ERRORS
+        .iter()
+        .any(|phrase| error.message.contains(phrase));
+    match is_rejected && !is_ambiguous {
         true => Err(StoreError::Unavailable { message }),
         false => Err(StoreError::OutcomeUnknown { message }),
     }
@@ -199,7 +206,7 @@
 
 impl KeyValueStore for EtcdGateway {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
-        self.range(RangeRequest::one(key))
+        self.range(RangeRequest::single_key(key))
             .map(|found| found.map(|pairs| pairs.into_iter().next()))
             .boxed()
     }
@@ -210,7 +217,7 @@
     ) -> BoxFuture<'a, Result<Option<ModRevision>, StoreError>> {
         let request = RangeRequest {
             keys_only: true,
-            ..RangeRequest::one(key)
+            ..RangeRequest::single_key(key)
         };
         self.range(request)
             .map(|found| found.map(|pairs| pairs.first().map(|pair| pair.modified)))
@@ -219,8 +226,8 @@
 
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Vec<Versioned>, StoreError>> {
         let request = RangeRequest {
-            key: encode(prefix),
-            range_end: Some(range_end(prefix)),
+            key: encode_base64(prefix),
+            range_end: Some(prefix_end(prefix)),
             keys_only: false,
         };
         self.range(request).boxed()
@@ -234,8 +241,8 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
         let put = PutRequest {
-            key: encode(key),
-            value: encode(value),
+            key: encode_base64(key),
+            value: encode_base64(value),
             lease: lease.map(|lease| lease.0),
         };
         self.transact(key, expected, Operation::Put(put)).boxed()
@@ -246,7 +253,7 @@
         key: &'a str,
         expected: ModRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
-        let delete = RangeRequest::one(key);
+        let delete = RangeRequest::single_key(key);
         self.transact(key, Some(expected), Operation::Delete(delete))
             .boxed()
     }
@@ -256,10 +263,11 @@
             let request = GrantRequest {
                 ttl: ttl.as_secs().max(1),
             };
-            // A lease that is granted twice leaves one unused, which lapses by itself.
-            let answer: LeaseResponse =
-                self.call("/v3/lease/grant", &request, Repeat::Safe).await?;
-            Ok(LeaseId(answer.id))
+            // A repeated call leaves an unused lease, which expires by itself.
+            let response: LeaseResponse = self
+                .call("/v3/lease/grant", &request, RetrySafety::Safe)
+                .await?;
+            Ok(LeaseId(response.id))
         }
         .boxed()
     }
@@ -267,10 +275,10 @@
     fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<Duration, StoreError>> {
         async move {
             let request = LeaseRequest { id: lease.0 };
-            let answer: Streamed<LeaseResponse> = self
-                .call("/v3/lease/keepalive", &request, Repeat::Safe)
+            let response: Streamed<LeaseResponse> = self
+                .call("/v3/lease/keepalive", &request, RetrySafety::Safe)
                 .await?;
-            match answer.result.ttl {
+            match response.result.ttl {
                 0 => Err(StoreError::LeaseExpired),
                 seconds => Ok(Duration::from_secs(seconds)),
             }
@@ -282,7 +290,7 @@
         async move {
             let request = LeaseRequest { id: lease.0 };
             let _: serde_json::Value = self
-                .call("/v3/lease/revoke", &request, Repeat::Safe)
+                .call("/v3/lease/revoke", &request, RetrySafety::Safe)
                 .await?;
             Ok(())
         }
@@ -297,23 +305,23 @@
         async move {
             let request = WatchRequest {
                 create_request: WatchCreate {
-                    key: encode(prefix),
-                    range_end: range_end(prefix),
+                    key: encode_base64(prefix),
+                    range_end: prefix_end(prefix),
                     start_revision: after.0 + 1,
                     progress_notify: true,
                 },
             };
             let body = to_body(&request)?;
             let response = self
-                .each(Repeat::Safe, |gateway| {
+                .try_gateways(RetrySafety::Safe, |gateway| {
                     self.client
                         .post_streaming(gateway, "/v3/watch", body.clone())
                 })
                 .await?;
             match response.status() {
-                StatusCode::OK => Ok(events(response)),
+                StatusCode::OK => Ok(event_stream(response)),
                 status => Err(StoreError::Unavailable {
-                    message: format!("the watch was refused: {status}"),
+                    message: format!("the service rejected the watch: {status}"),
                 }),
             }
         }
--- a/crates/cw_store/src/etcd/json.rs
+++ b/crates/cw_store/src/etcd/json.rs
@@ -1,6 +1,7 @@
-//! The messages of the gateway, in protocol buffers' published JSON mapping.
+//! The messages of the gateway, in the JSON mapping of protocol buffers.
 //!
-//! Bytes are base64 text, 64-bit numbers are text, and a field at its default is left out.
+//! Bytes are base64 strings, 64-bit integers are decimal strings, and fields with their default
+//! value are omitted.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -16,7 +17,7 @@
 use crate::StoreError;
 use crate::Versioned;
 
-/// The head of every answer.
+/// The header of every response.
 #[serde_as]
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
@@ -46,7 +47,7 @@
         })
     }
 
-    pub(super) fn versioned(self) -> Result<Versioned, StoreError> {
+    pub(super) fn into_versioned(self) -> Result<Versioned, StoreError> {
         Ok(Versioned {
             key: self.key()?,
             value: Bytes::from(self.value),
@@ -61,16 +62,16 @@
 pub(super) struct RangeRequest {
     pub(super) key: String,
     pub(super) range_end: Option<String>,
-    /// Whether values are left out.
+    /// Whether the response omits the values.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub(super) keys_only: bool,
 }
 
 impl RangeRequest {
-    /// Asks for one key.
-    pub(super) fn one(key: &str) -> Self {
+    /// Creates a request for one key.
+    pub(super) fn single_key(key: &str) -> Self {
         Self {
-            key: encode(key),
+            key: encode_base64(key),
             range_end: None,
             keys_only: false,
         }
@@ -83,7 +84,7 @@
     pub(super) kvs: Vec<KeyValuePair>,
 }
 
-/// What a transaction expects of its key.
+/// The condition of a transaction on its key.
 #[serde_as]
 #[skip_serializing_none]
 #[derive(Debug, Serialize)]
@@ -98,10 +99,10 @@
 }
 
 impl Compare {
-    /// Expects that the key was last changed at `expected`, or does not exist.
+    /// Requires that the key was last changed at `expected`, or with `None` that it does not exist.
     pub(super) fn new(key: &str, expected: Option<ModRevision>) -> Self {
         Self {
-            key: encode(key),
+            key: encode_base64(key),
             result: "EQUAL",
             target: if expected.is_some() { "MOD" } else { "CREATE" },
             mod_revision: expected.map(|revision| revision.0),
@@ -180,7 +181,7 @@
     pub(super) ttl: u64,
 }
 
-/// One message of an answer that streams.
+/// One message of a streamed response.
 #[derive(Debug, Deserialize)]
 pub(super) struct Streamed<T> {
     pub(super) result: T,
@@ -225,7 +226,7 @@
     pub(super) events: Vec<Event>,
 }
 
-/// The body of an answer that is an error.
+/// The body of an error response.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct ErrorBody {
@@ -233,20 +234,20 @@
     pub(super) message: String,
 }
 
-/// Writes a key or value as base64.
-pub(super) fn encode(bytes: impl AsRef<[u8]>) -> String {
+/// Encodes a key or value as base64.
+pub(super) fn encode_base64(bytes: impl AsRef<[u8]>) -> String {
     STANDARD.encode(bytes)
 }
 
-/// Returns the first key after all that begin with `prefix`, as base64.
-pub(super) fn range_end(prefix: &str) -> String {
+/// Returns the exclusive end of the range of keys that begin with `prefix`, as base64.
+pub(super) fn prefix_end(prefix: &str) -> String {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
             end.push(last + 1);
-            return encode(end);
+            return encode_base64(end);
         }
     }
-    // A single zero byte stands for "to the end" in etcd's interface.
-    encode([0])
+    // In etcd's API, a single zero byte means that the range has no end.
+    encode_base64([0])
 }
--- a/crates/cw_store/src/etcd/mod.rs
+++ b/crates/cw_store/src/etcd/mod.rs
@@ -1,7 +1,7 @@
-//! The key-value service as etcd's version 3 JSON gateway publishes it.
+//! A client for the JSON gateway of etcd's version 3 API.
 
 mod gateway;
 mod json;
-mod watch;
+mod watch_reader;
 
 pub use gateway::EtcdGateway;
--- a/crates/cw_store/src/etcd/watch.rs
+++ b/crates/cw_store/src/etcd/watch_reader.rs
@@ -1,4 +1,4 @@
-//! The stream of a watch: one JSON message a line.
+//! Parses the response stream of a watch, which has one JSON message per line.
 
 use std::collections::VecDeque;
 
@@ -20,46 +20,46 @@
 use crate::WatchEvent;
 use crate::http_client::parse_json;
 
-/// The longest line of a watch, in bytes: a value of a megabyte in base64 with room to spare.
-const LINE_MAX: usize = 4 << 20;
+/// The maximum length of a line, with ample room for a value of a megabyte in base64.
+const MAX_LINE_BYTES: usize = 4 << 20;
 
 type WatchItem = Result<WatchEvent, StoreError>;
 
-/// What is left to read of one watch.
-struct WatchState {
+/// Reads the events of one watch from its response body.
+struct WatchReader {
     body: Incoming,
     buffer: BytesMut,
-    ready: VecDeque<WatchItem>,
+    pending: VecDeque<WatchItem>,
     ended: bool,
 }
 
-/// Reads the events of a watch; the stream ends after its first error.
-pub(super) fn events(response: Response<Incoming>) -> BoxStream<'static, WatchItem> {
-    let state = WatchState {
+/// Returns the events of a watch; the stream ends after its first error.
+pub(super) fn event_stream(response: Response<Incoming>) -> BoxStream<'static, WatchItem> {
+    let reader = WatchReader {
         body: response.into_body(),
         buffer: BytesMut::new(),
-        ready: VecDeque::new(),
+        pending: VecDeque::new(),
         ended: false,
     };
-    unfold(state, |mut state| async move {
-        let item = state.next().await?;
-        state.ended = item.is_err();
-        Some((item, state))
+    unfold(reader, |mut reader| async move {
+        let item = reader.next().await?;
+        reader.ended = item.is_err();
+        Some((item, reader))
     })
     .boxed()
 }
 
-impl WatchState {
+impl WatchReader {
     async fn next(&mut self) -> Option<WatchItem> {
         if self.ended {
             return None;
         }
         loop {
-            if let Some(item) = self.ready.pop_front() {
+            if let Some(item) = self.pending.pop_front() {
                 return Some(item);
             }
-            if let Some(line) = self.line() {
-                self.read(&line);
+            if let Some(line) = self.take_line() {
+                self.parse_line(&line);
                 continue;
             }
             match self.body.frame().await {
@@ -68,55 +68,56 @@
                         self.buffer.extend_from_slice(&data);
                     }
                 }
-                Some(Err(error)) => return Some(Err(ended(error.to_string()))),
-                None => return Some(Err(ended("the watch ended".to_owned()))),
+                Some(Err(error)) => return Some(Err(watch_error(error.to_string()))),
+                None => return Some(Err(watch_error("the stream ended".to_owned()))),
             }
-            if self.buffer.len() > LINE_MAX {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Some(Err(StoreError::Protocol {
-                    message: "a message of the watch is too long".to_owned(),
+                    message: "a message of the watch exceeds the maximum length".to_owned(),
                 }));
             }
         }
     }
 
-    fn line(&mut self) -> Option<BytesMut> {
+    fn take_line(&mut self) -> Option<BytesMut> {
         let end = self.buffer.iter().position(|&byte| byte == b'\n')?;
         let line = self.buffer.split_to(end);
         self.buffer.advance(1);
         Some(line)
     }
 
-    fn read(&mut self, line: &[u8]) {
+    fn parse_line(&mut self, line: &[u8]) {
         if line.iter().all(u8::is_ascii_whitespace) {
             return;
         }
         match parse_json::<Streamed<WatchResponse>>(line) {
-            Ok(message) => self.take(message.result),
-            Err(error) => self.ready.push_back(Err(error)),
+            Ok(message) => self.push_events(message.result),
+            Err(error) => self.pending.push_back(Err(error)),
         }
     }
 
-    fn take(&mut self, message: WatchResponse) {
+    fn push_events(&mut self, message: WatchResponse) {
         if message.canceled {
-            let error = ended("the service ended the watch".to_owned());
-            self.ready.push_back(Err(error));
+            let error = watch_error("the service canceled the watch".to_owned());
+            self.pending.push_back(Err(error));
             return;
         }
         if message.events.is_empty() {
             let revision = ModRevision(message.header.revision);
-            self.ready.push_back(Ok(WatchEvent::Progress(revision)));
+            self.pending.push_back(Ok(WatchEvent::Progress(revision)));
         }
-        self.ready.extend(message.events.into_iter().map(to_event));
+        self.pending
+            .extend(message.events.into_iter().map(to_event));
     }
 }
 
-fn ended(message: String) -> StoreError {
+fn watch_error(message: String) -> StoreError {
     StoreError::Unavailable { message }
 }
 
 fn to_event(event: Event) -> WatchItem {
     match event.kind {
-        EventType::Put => event.kv.versioned().map(WatchEvent::Put),
+        EventType::Put => event.kv.into_versioned().map(WatchEvent::Put),
         EventType::Delete => Ok(WatchEvent::Deleted {
             key: event.kv.key()?,
             revision: ModRevision(event.kv.mod_revision),
--- a/crates/cw_store/src/host_list.rs
+++ b/crates/cw_store/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The list of hosts.
+//! The interface of the platform's host list.
 
 use std::net::SocketAddr;
 
@@ -10,45 +10,45 @@
 
 use crate::StoreError;
 
-/// What a host runs.
+/// The kind of process that a host runs.
 #[data(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
-    /// An entry.
+    /// An entry, which accepts the callers' requests.
     Entry,
-    /// A target with its agent.
+    /// A target and its agent.
     Target,
 }
 
-/// How a host is.
+/// The state of a host in the list.
 #[data(Copy, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// It is live, as far as the list knows.
+    /// The host is live according to the list, which may be out of date.
     Live,
-    /// It is about to go.
+    /// The host is about to shut down.
     Leaving,
 }
 
-/// One host.
+/// A host in the list.
 #[data(Eq)]
 pub struct Host {
-    /// Its id.
+    /// The host's id.
     pub host: HostId,
-    /// What it runs.
+    /// The kind of process that it runs.
     pub role: HostRole,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: ZoneId,
-    /// The region of that zone.
+    /// The region of the availability zone.
     pub region: RegionId,
-    /// Where its process listens for its peers.
+    /// The address on which its process listens for peers.
     pub peers: SocketAddr,
-    /// How it is.
+    /// The state of the host.
     pub state: HostState,
 }
 
-/// A list of hosts, which lags behind the truth.
+/// A list of hosts, which may lag behind their actual state.
 pub trait HostList: Send + Sync {
-    /// Reads the whole list.
+    /// Returns all hosts.
     fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>>;
 }
--- a/crates/cw_store/src/http_client.rs
+++ b/crates/cw_store/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's services over HTTP.
+//! An HTTP client for the platform's services.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,22 +19,22 @@
 
 use crate::StoreError;
 
-/// How long a connection may take to be made.
+/// The limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a call may take as a rule.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The default limit for a whole call.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An answer's status and body.
+/// The status and the body of a response.
 #[derive(Debug)]
 pub struct HttpResponse {
     /// The HTTP status.
     pub status: StatusCode,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// An HTTP client whose errors say whether the call may have had an effect.
+/// An HTTP client whose errors distinguish calls without effect from calls that may have had one.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -48,13 +48,13 @@
         connector.set_nodelay(true);
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
-            timeout: CALL_TIMEOUT,
+            timeout: DEFAULT_TIMEOUT,
         }
     }
 }
 
 impl HttpClient {
-    /// Returns a client that shares its connections, and gives its calls another time.
+    /// Returns a client that uses the same connection pool and limits each call to `timeout`.
     #[must_use]
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         Self {
@@ -63,87 +63,94 @@
         }
     }
 
-    /// Sends a `GET` and reads JSON from an answer with status 200.
+    /// Sends a `GET` request and parses the JSON body of a response with status 200.
     ///
     /// # Errors
     ///
-    /// Says whether the call may have had an effect.
+    /// [`StoreError::Unavailable`] if the call had no effect, [`StoreError::OutcomeUnknown`] if it
+    /// may have had one.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
-        peer: SocketAddr,
+        address: SocketAddr,
         path: &str,
     ) -> Result<T, StoreError> {
-        let answer = self.call(Method::GET, peer, path, Bytes::new()).await?;
-        match answer.status {
-            StatusCode::OK => parse_json(&answer.body),
+        let response = self.call(Method::GET, address, path, Bytes::new()).await?;
+        match response.status {
+            StatusCode::OK => parse_json(&response.body),
             status => Err(StoreError::Unavailable {
-                message: format!("{peer} answered {status}"),
+                message: format!("{address} returned status {status}"),
             }),
         }
     }
 
-    /// Sends a call and reads the whole answer, whatever its status.
+    /// Sends a request and reads the complete response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Says whether the call may have had an effect.
+    /// [`StoreError::Unavailable`] if the call had no effect, [`StoreError::OutcomeUnknown`] if it
+    /// may have had one.
     pub async fn call(
         &self,
         method: Method,
-        peer: SocketAddr,
+        address: SocketAddr,
         path: &str,
         body: Bytes,
     ) -> Result<HttpResponse, StoreError> {
-        let work = async {
-            let response = self.send(method, peer, path, body).await?;
+        let call = async {
+            let response = self.send(method, address, path, body).await?;
             let status = response.status();
-            let body = response.into_body().collect().await.map_err(lost)?;
+            let body = response
+                .into_body()
+                .collect()
+                .await
+                .map_err(outcome_unknown)?;
             Ok(HttpResponse {
                 status,
                 body: body.to_bytes(),
             })
         };
-        self.in_time(peer, work).await
+        self.with_deadline(address, call).await
     }
 
-    /// Sends a call and returns as soon as the head of the answer is there.
+    /// Sends a `POST` request and returns once the response headers arrive, with the body unread.
     ///
     /// # Errors
     ///
-    /// Says whether the call may have had an effect.
+    /// [`StoreError::Unavailable`] if the call had no effect, [`StoreError::OutcomeUnknown`] if it
+    /// may have had one.
     pub async fn post_streaming(
         &self,
-        peer: SocketAddr,
+        address: SocketAddr,
         path: &str,
         body: Bytes,
     ) -> Result<Response<Incoming>, StoreError> {
-        self.in_time(peer, self.send(Method::POST, peer, path, body))
+        self.with_deadline(address, self.send(Method::POST, address, path, body))
             .await
     }
 
-    async fn in_time<T>(
+    async fn with_deadline<T>(
         &self,
-        peer: SocketAddr,
-        work: impl Future<Output = Result<T, StoreError>>,
+        address: SocketAddr,
+        call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let late = || StoreError::OutcomeUnknown {
-            message: format!("no answer from {peer} in {:?}", self.timeout),
+        let timed_out = || StoreError::OutcomeUnknown {
+            message: format!("no response from {address} within {:?}", self.timeout),
         };
-        tokio::time::timeout(self.timeout, work)
+        tokio::time::timeout(self.timeout, call)
             .await
-            .unwrap_or_else(|_| Err(late()))
+            .unwrap_or_else(|_| Err(timed_out()))
     }
 
     async fn send(
         &self,
         method: Method,
-        peer: SocketAddr,
+        address: SocketAddr,
         path: &str,
         body: Bytes,
     ) -> Result<Response<Incoming>, StoreError> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("http://{peer}{path}"))
+            .uri(format!("http://{address}{path}"))
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .map_err(|error| StoreError::Unavailable {
@@ -151,25 +158,25 @@
             })?;
         self.client.request(request).await.map_err(|error| {
             if error.is_connect() {
-                let message = format!("cannot connect to {peer}: {error}");
+                let message = format!("cannot connect to {address}: {error}");
                 return StoreError::Unavailable { message };
             }
-            lost(error)
+            outcome_unknown(error)
         })
     }
 }
 
-fn lost(error: impl std::fmt::Display) -> StoreError {
+fn outcome_unknown(error: impl std::fmt::Display) -> StoreError {
     StoreError::OutcomeUnknown {
         message: error.to_string(),
     }
 }
 
-/// Reads JSON that a service answered.
+/// Parses the JSON body of a service's response.
 ///
 /// # Errors
 ///
-/// Fails when the body is not what the caller expects.
+/// [`StoreError::Protocol`] if the body is not JSON of the type `T`.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|error| StoreError::Protocol {
         message: error.to_string(),
--- a/crates/cw_store/src/http_host_list.rs
+++ b/crates/cw_store/src/http_host_list.rs
@@ -1,4 +1,4 @@
-//! The host list over HTTP.
+//! A client for a host list served over HTTP.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,9 @@
 use crate::StoreError;
 use crate::http_client::HttpClient;
 
-/// The path of the list.
-const PATH: &str = "/v1/hosts";
+const HOSTS_PATH: &str = "/v1/hosts";
 
-/// A host list that answers `GET /v1/hosts` with a JSON array of [`Host`].
+/// A client for a service that returns a JSON array of [`Host`] for `GET /v1/hosts`.
 #[derive(Clone, Debug)]
 pub struct HttpHostList {
     address: SocketAddr,
@@ -21,7 +20,7 @@
 }
 
 impl HttpHostList {
-    /// Returns a client of the list at `address`.
+    /// Creates a client for the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -32,6 +31,6 @@
 
 impl HostList for HttpHostList {
     fn hosts(&self) -> BoxFuture<'_, Result<Vec<Host>, StoreError>> {
-        self.client.get_json(self.address, PATH).boxed()
+        self.client.get_json(self.address, HOSTS_PATH).boxed()
     }
 }
--- a/crates/cw_store/src/http_weight_store.rs
+++ b/crates/cw_store/src/http_weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! A client for a weight store served over HTTP.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::WeightStore;
 use crate::http_client::HttpClient;
 
-/// A weight store that answers `GET /v1/weights/NAME` with JSON of [`WeightInfo`].
+/// A client for a service that returns a [`WeightInfo`] as JSON for `GET /v1/weights/NAME`.
 #[derive(Clone, Debug)]
 pub struct HttpWeightStore {
     address: SocketAddr,
@@ -18,7 +18,7 @@
 }
 
 impl HttpWeightStore {
-    /// Returns a client of the store at `address`.
+    /// Creates a client for the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
--- a/crates/cw_store/src/key_value.rs
+++ b/crates/cw_store/src/key_value_store.rs
@@ -1,4 +1,4 @@
-//! The key-value service.
+//! The interface of the key-value service.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 use futures::stream::BoxStream;
 use snafu::Snafu;
 
-/// The service's own revision at which a key was last changed.
+/// A revision of the key-value service, which increases with each change.
 #[data(Copy, Default, Eq, Hash, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct ModRevision(pub i64);
 
-/// A lease: keys bound to it vanish when it is not kept alive.
+/// The id of a lease: the service deletes the keys attached to a lease when it expires.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct LeaseId(pub i64);
 
-/// A value and the revision that wrote it.
+/// A key with its value and its revisions.
 #[data(Eq)]
 pub struct Versioned {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Bytes,
-    /// The revision at which the key was created in this life.
+    /// The revision at which the key was created, since its last deletion.
     pub created: ModRevision,
-    /// The revision at which it was last changed.
+    /// The revision at which the key was last changed.
     pub modified: ModRevision,
 }
 
@@ -37,61 +37,63 @@
 pub enum Swap {
     /// The value was written at this revision.
     Done(ModRevision),
-    /// The key was not as expected; this is what it holds.
+    /// The key was not at the expected revision; this is its current value, if it exists.
     Conflict(Option<Versioned>),
 }
 
-/// A change that a watch saw.
+/// An event of a watch.
 #[data(Eq)]
 pub enum WatchEvent {
     /// The key has a new value.
     Put(Versioned),
-    /// The key is gone.
+    /// The key was deleted.
     Deleted {
         /// The key.
         key: String,
-        /// The revision that removed it.
+        /// The revision of the deletion.
         revision: ModRevision,
     },
-    /// The service says that the watch lives.
+    /// The watch is alive; the service is at this revision and reports no change.
     Progress(ModRevision),
 }
 
-/// A call that failed.
+/// The error of a call to a service.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
-    /// The call never reached the service, or was refused by it: it had no effect.
+    /// The call did not reach the service or was rejected by it, so that it had no effect.
     #[snafu(display("the service is unavailable: {message}"))]
     Unavailable {
-        /// What happened.
+        /// The cause.
         message: String,
     },
-    /// The answer was lost: the call may have had its effect.
-    #[snafu(display("the answer was lost: {message}"))]
+    /// No complete response arrived, so that the call may have taken effect.
+    #[snafu(display("the outcome of the call is unknown: {message}"))]
     OutcomeUnknown {
-        /// What happened.
+        /// The cause.
         message: String,
     },
-    /// The lease does not exist or has lapsed.
-    #[snafu(display("the lease has lapsed"))]
+    /// The lease does not exist or has expired.
+    #[snafu(display("the lease has expired"))]
     LeaseExpired,
-    /// The changes that a watch asks for are no longer kept: what they led to must be read.
-    #[snafu(display("the history that the watch needs is gone"))]
+    /// The service has compacted the changes that the watch starts from; the caller must list the
+    /// keys again.
+    #[snafu(display("the revision at which the watch starts has been compacted"))]
     Compacted,
-    /// The answer makes no sense.
-    #[snafu(display("the service answered what it should not: {message}"))]
+    /// The response does not follow the service's protocol.
+    #[snafu(display("invalid response from the service: {message}"))]
     Protocol {
-        /// What it answered.
+        /// What is invalid.
         message: String,
     },
 }
 
 /// A key-value service with compare-and-swap, leases and watches.
 pub trait KeyValueStore: Send + Sync {
-    /// Reads one key.
+    /// Returns the value of a key, `None` if the key does not exist.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>>;
 
-    /// Returns when a key was last changed, without its value where the service can do that.
+    /// Returns the revision at which a key was last changed, without transferring the value if the
+    /// service supports that.
     fn modified<'a>(
         &'a self,
         key: &'a str,
@@ -99,11 +101,11 @@
         async move { Ok(self.get(key).await?.map(|found| found.modified)) }.boxed()
     }
 
-    /// Reads all keys that begin with `prefix`, in order.
+    /// Returns all keys that begin with `prefix`, in order.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Vec<Versioned>, StoreError>>;
 
-    /// Reads all keys that begin with `prefix`, perhaps as they were seconds ago, where the service
-    /// can do that with less work.
+    /// Returns all keys that begin with `prefix`, with values that may be seconds old if the
+    /// service can serve these more cheaply.
     fn list_stale<'a>(
         &'a self,
         prefix: &'a str,
@@ -111,7 +113,7 @@
         self.list(prefix)
     }
 
-    /// Reads all keys that begin with `prefix`, and the revision from which to watch them.
+    /// Returns all keys that begin with `prefix`, and the revision after which to watch them.
     fn snapshot<'a>(
         &'a self,
         prefix: &'a str,
@@ -124,7 +126,8 @@
         .boxed()
     }
 
-    /// Writes `value` if the key was last changed at `expected`; `None` if it does not exist.
+    /// Writes `value` if the key was last changed at `expected`, or with `None` if it does not
+    /// exist, and attaches the key to `lease`.
     fn swap<'a>(
         &'a self,
         key: &'a str,
@@ -133,23 +136,23 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>>;
 
-    /// Removes a key if it was last changed at `expected`.
+    /// Deletes a key if it was last changed at `expected`.
     fn remove<'a>(
         &'a self,
         key: &'a str,
         expected: ModRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>>;
 
-    /// Grants a lease for `ttl`.
+    /// Creates a lease that expires after `ttl` unless it is kept alive.
     fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>>;
 
-    /// Keeps a lease alive, and returns the time that it has now.
+    /// Renews a lease and returns its new time to live.
     fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<Duration, StoreError>>;
 
-    /// Ends a lease.
+    /// Revokes a lease.
     fn revoke(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Watches all keys that begin with `prefix`, from the change after `after`.
+    /// Watches all keys that begin with `prefix`, from the first change after the revision `after`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
--- a/crates/cw_store/src/lib.rs
+++ b/crates/cw_store/src/lib.rs
@@ -1,13 +1,12 @@
-//! The platform's services behind traits.
+//! Traits for the platform's services, and their clients.
 //!
 //! - [`KeyValueStore`]: compare-and-swap, leases and watches.
-//! - [`HostList`]: which hosts are live and which are leaving.
-//! - [`WeightStore`]: how fast model weights may be read.
+//! - [`HostList`]: which hosts are live and which are shutting down.
+//! - [`WeightStore`]: how large model weights are and how fast they can be read.
+//! - [`Dialect`]: the messages of callers, targets and the directory to a forwarding entry.
 //!
-//! - [`Dialect`]: what callers, targets and the directory say to a forwarding entry.
-//!
-//! Each is one trait, so that another deployment's service is one more implementation.
-//! [`EtcdGateway`], [`HttpHostList`] and [`HttpWeightStore`] are those of today's platform.
+//! Each service is a trait, so that a deployment with other services only adds implementations.
+//! [`EtcdGateway`], [`HttpHostList`] and [`HttpWeightStore`] are the clients in this crate.
 
 mod dialect;
 mod etcd;
@@ -15,7 +14,7 @@
 mod http_client;
 mod http_host_list;
 mod http_weight_store;
-mod key_value;
+mod key_value_store;
 mod weight_store;
 
 pub use dialect::Dialect;
@@ -32,12 +31,12 @@
 pub use http_client::parse_json;
 pub use http_host_list::HttpHostList;
 pub use http_weight_store::HttpWeightStore;
-pub use key_value::KeyValueStore;
-pub use key_value::LeaseId;
-pub use key_value::ModRevision;
-pub use key_value::StoreError;
-pub use key_value::Swap;
-pub use key_value::Versioned;
-pub use key_value::WatchEvent;
+pub use key_value_store::KeyValueStore;
+pub use key_value_store::LeaseId;
+pub use key_value_store::ModRevision;
+pub use key_value_store::StoreError;
+pub use key_value_store::Swap;
+pub use key_value_store::Versioned;
+pub use key_value_store::WatchEvent;
 pub use weight_store::WeightInfo;
 pub use weight_store::WeightStore;
--- a/crates/cw_store/src/weight_store.rs
+++ b/crates/cw_store/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The store of model weights.
+//! The interface of the store that holds model weights.
 
 use cw_macro::data;
 use cw_types::ByteSize;
@@ -6,17 +6,17 @@
 
 use crate::StoreError;
 
-/// What the store says of one set of weights.
+/// The size and read rate of one set of weights.
 #[data(Copy, Eq)]
 pub struct WeightInfo {
-    /// Its size.
+    /// The size of the weights.
     pub size: ByteSize,
-    /// How many bytes a second the store gives out to all readers together.
+    /// The bytes per second that the store serves to all readers together.
     pub rate: ByteSize,
 }
 
-/// A rate-limited store, from which engines read their weights.
+/// A rate-limited store from which engines load their weights.
 pub trait WeightStore: Send + Sync {
-    /// Describes a set of weights.
+    /// Returns the size and read rate of the set of weights named `weights`.
     fn describe<'a>(&'a self, weights: &'a str) -> BoxFuture<'a, Result<WeightInfo, StoreError>>;
 }
--- a/crates/cw_store/tests/etcd_gateway.rs
+++ b/crates/cw_store/tests/etcd_gateway.rs
@@ -1,4 +1,4 @@
-//! What a failed call to the gateway means, and when the next gateway is tried.
+//! Tests how failed calls to a gateway are classified, and when the next gateway is tried.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -20,29 +20,29 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// A gateway that gives every call the same answer, or breaks the connection.
-struct Fake {
+/// A gateway that gives every call the same response, or closes the connection.
+struct FakeGateway {
     address: SocketAddr,
     calls: Arc<AtomicUsize>,
 }
 
-impl Fake {
-    async fn start(answer: Option<String>) -> Self {
+impl FakeGateway {
+    async fn start(response: Option<String>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
             .expect("a free port");
         let address = listener.local_addr().expect("an address");
         let calls = Arc::new(AtomicUsize::new(0));
-        let counted = calls.clone();
+        let call_count = calls.clone();
         tokio::spawn(async move {
             while let Ok((mut socket, _)) = listener.accept().await {
                 let mut buffer = vec![0; 1 << 16];
                 let Ok(1..) = socket.read(&mut buffer).await else {
                     continue;
                 };
-                counted.fetch_add(1, Ordering::SeqCst);
-                if let Some(answer) = &answer {
-                    let _ = socket.write_all(answer.as_bytes()).await;
+                call_count.fetch_add(1, Ordering::SeqCst);
+                if let Some(response) = &response {
+                    let _ = socket.write_all(response.as_bytes()).await;
                 }
             }
         });
@@ -54,23 +54,23 @@
     }
 }
 
-fn answer(status: &str, body: &str) -> Option<String> {
+fn http_response(status: &str, body: &str) -> Option<String> {
     let length = body.len();
     Some(format!(
         "HTTP/1.1 {status}\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n{body}"
     ))
 }
 
-/// An address that nothing listens on.
-async fn closed() -> SocketAddr {
+/// Returns an address that nothing listens on.
+async fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a free port");
     listener.local_addr().expect("an address")
 }
 
-fn swapped() -> Option<String> {
-    answer("200 OK", r#"{"header":{"revision":"8"},"succeeded":true}"#)
+fn swap_response() -> Option<String> {
+    http_response("200 OK", r#"{"header":{"revision":"8"},"succeeded":true}"#)
 }
 
 async fn swap(gateways: Vec<SocketAddr>) -> Result<Swap, StoreError> {
@@ -80,8 +80,8 @@
 }
 
 #[tokio::test]
-async fn refused_connection_had_no_effect() {
-    let outcome = swap(vec![closed().await]).await;
+async fn refused_connection_is_reported_as_unavailable() {
+    let outcome = swap(vec![unused_address().await]).await;
 
     assert!(matches!(outcome, Err(StoreError::Unavailable { .. })));
 }
@@ -89,58 +89,62 @@
 #[rstest]
 #[case::broken(None, false)]
 #[case::refused(
-    answer("503 Unavailable", r#"{"code":14,"message":"no leader"}"#),
+    http_response("503 Unavailable", r#"{"code":14,"message":"no leader"}"#),
     true
 )]
 #[case::timed_out(
-    answer("503 Unavailable", r#"{"code":14,"message":"request timed out"}"#),
+    http_response("503 Unavailable", r#"{"code":14,"message":"request timed out"}"#),
     false
 )]
-#[case::internal(answer("500 Internal", "{}"), false)]
+#[case::internal(http_response("500 Internal", "{}"), false)]
 #[case::too_many(
-    answer("429 Too Many", r#"{"code":8,"message":"too many requests"}"#),
+    http_response("429 Too Many", r#"{"code":8,"message":"too many requests"}"#),
     true
 )]
 #[tokio::test]
-async fn write_goes_on_to_the_next_gateway_only_without_effect(
+async fn write_tries_the_next_gateway_only_after_a_call_without_effect(
     #[case] first: Option<String>,
-    #[case] goes_on: bool,
+    #[case] tries_next: bool,
 ) {
-    let first = Fake::start(first).await;
-    let second = Fake::start(swapped()).await;
+    let first = FakeGateway::start(first).await;
+    let second = FakeGateway::start(swap_response()).await;
 
     let outcome = swap(vec![first.address, second.address]).await;
 
-    match goes_on {
+    match tries_next {
         true => assert_eq!(outcome, Ok(Swap::Done(ModRevision(8)))),
         false => assert!(matches!(outcome, Err(StoreError::OutcomeUnknown { .. }))),
     }
     assert_eq!(first.calls(), 1);
-    assert_eq!(second.calls(), usize::from(goes_on));
+    assert_eq!(second.calls(), usize::from(tries_next));
 }
 
 #[tokio::test]
-async fn read_goes_on_to_the_next_gateway_after_any_failure() {
-    let first = Fake::start(None).await;
+async fn read_tries_the_next_gateway_after_any_failure() {
+    let first = FakeGateway::start(None).await;
     let body =
         r#"{"kvs":[{"key":"aw==","value":"dg==","create_revision":"3","mod_revision":"7"}]}"#;
-    let second = Fake::start(answer("200 OK", body)).await;
+    let second = FakeGateway::start(http_response("200 OK", body)).await;
     let gateway = EtcdGateway::new(vec![first.address, second.address]);
 
-    let found = gateway.get("k").await.expect("an answer").expect("a key");
-    gateway.get("k").await.expect("an answer");
+    let found = gateway.get("k").await.expect("a response").expect("a key");
+    gateway.get("k").await.expect("a response");
 
     assert_eq!(found.value, "v");
     assert_eq!(found.modified, ModRevision(7));
     assert_eq!(found.created, ModRevision(3));
-    assert_eq!(first.calls(), 1, "the one that answered is asked first");
+    assert_eq!(
+        first.calls(),
+        1,
+        "the second read starts at the gateway that responded"
+    );
 }
 
 #[tokio::test]
-async fn conflict_says_what_the_key_holds() {
+async fn conflict_returns_the_current_value() {
     let body = r#"{"header":{"revision":"9"},"responses":[{"response_range":
         {"kvs":[{"key":"aw==","value":"dg==","create_revision":"3","mod_revision":"9"}]}}]}"#;
-    let gateway = Fake::start(answer("200 OK", body)).await;
+    let gateway = FakeGateway::start(http_response("200 OK", body)).await;
 
     let outcome = swap(vec![gateway.address]).await;
 
@@ -154,9 +158,9 @@
 #[case::not_found("404 Not Found", r#"{"code":5,"message":"requested lease not found"}"#)]
 #[case::no_time_left("200 OK", r#"{"result":{"ID":"7"}}"#)]
 #[tokio::test]
-async fn lapsed_lease_is_told(#[case] status: &str, #[case] body: &str) {
-    let fake = Fake::start(answer(status, body)).await;
-    let gateway = EtcdGateway::new(vec![fake.address]);
+async fn expired_lease_is_reported(#[case] status: &str, #[case] body: &str) {
+    let server = FakeGateway::start(http_response(status, body)).await;
+    let gateway = EtcdGateway::new(vec![server.address]);
 
     let outcome = gateway.keep_alive(LeaseId(7)).await;
 
@@ -164,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn watch_reads_events_a_line_each_and_ends_with_an_error() {
+async fn watch_parses_one_message_per_line_and_ends_with_an_error() {
     let lines = concat!(
         r#"{"result":{"header":{"revision":"4"},"created":true}}"#,
         "\n",
@@ -173,8 +177,8 @@
         r#""mod_revision":"6"}}]}}"#,
         "\n",
     );
-    let fake = Fake::start(answer("200 OK", lines)).await;
-    let gateway = EtcdGateway::new(vec![fake.address]);
+    let server = FakeGateway::start(http_response("200 OK", lines)).await;
+    let gateway = EtcdGateway::new(vec![server.address]);
 
     let stream = gateway.watch("k", ModRevision(4)).await.expect("a watch");
     let items: Vec<_> = stream.collect().await;
