--- a/crates/cyclamenwharfctl/src/admin_client.rs
+++ b/crates/cyclamenwharfctl/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' interface of an entry.
+//! A client for the admin API of the entries.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,21 +24,21 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::failure::Failure;
+use crate::command_error::CommandError;
 
-/// The variable that holds the operator's key.
+/// The environment variable with the operator's key.
 const KEY_VARIABLE: &str = "CYCLAMENWHARF_KEY";
 
-/// The variable that holds the admin addresses of entries, separated by commas.
+/// The environment variable with the entries' admin addresses, separated by commas.
 const ADMIN_VARIABLE: &str = "CYCLAMENWHARF_ADMIN";
 
-/// How long an entry may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// The limit for one call to an entry.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a call is made again when its outcome is unknown. Every call may be repeated.
-const REPEATS: usize = 3;
+/// How often each entry is tried; every call is safe to repeat, even if its outcome is unknown.
+const ATTEMPTS_PER_ENTRY: usize = 3;
 
-/// Calls to the operators' interface, to the first entry that answers.
+/// Calls the admin API of the first entry that responds.
 pub(crate) struct AdminClient {
     entries: Vec<SocketAddr>,
     key: String,
@@ -46,7 +46,7 @@
 }
 
 impl AdminClient {
-    /// Returns the arguments that say which entries to call, and as whom.
+    /// Returns the arguments for the entries' addresses and the operator's key.
     pub(crate) fn args() -> [Arg; 2] {
         let admin = Arg::new("admin")
             .long("admin")
@@ -64,20 +64,21 @@
         [admin, key]
     }
 
-    /// Reads the arguments.
-    pub(crate) fn new(args: &ArgMatches) -> Result<Self, Failure> {
-        let given = args.get_many::<SocketAddr>("admin").into_iter().flatten();
-        let mut entries: Vec<_> = given.copied().collect();
+    /// Creates a client from the arguments and the environment.
+    pub(crate) fn new(args: &ArgMatches) -> Result<Self, CommandError> {
+        let addresses = args.get_many::<SocketAddr>("admin").into_iter().flatten();
+        let mut entries: Vec<_> = addresses.copied().collect();
         if entries.is_empty() {
-            entries = addresses(&std::env::var(ADMIN_VARIABLE).unwrap_or_default())?;
+            entries = parse_addresses(&std::env::var(ADMIN_VARIABLE).unwrap_or_default())?;
         }
         let key = match args.get_one::<PathBuf>("key-file") {
-            Some(file) => std::fs::read_to_string(file).map_err(|source| Failure::Read {
+            Some(file) => std::fs::read_to_string(file).map_err(|source| CommandError::Read {
                 file: file.clone(),
                 source,
             })?,
-            None => std::env::var(KEY_VARIABLE)
-                .map_err(|_| Failure::input("expected --key-file or CYCLAMENWHARF_KEY"))?,
+            None => std::env::var(KEY_VARIABLE).map_err(|_| {
+                CommandError::invalid_input("expected --key-file or CYCLAMENWHARF_KEY")
+            })?,
         };
         Ok(Self {
             entries,
@@ -86,72 +87,72 @@
         })
     }
 
-    /// Reads something.
-    pub(crate) async fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, Failure> {
+    /// Sends a `GET` request and parses the JSON response.
+    pub(crate) async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, CommandError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Changes something.
-    pub(crate) async fn post<M: Serialize, A: DeserializeOwned>(
+    /// Sends `message` as a `POST` request and parses the JSON response.
+    pub(crate) async fn post<M: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         message: &M,
-    ) -> Result<A, Failure> {
-        let body = serde_json::to_vec(message).map_err(Failure::input)?;
+    ) -> Result<R, CommandError> {
+        let body = serde_json::to_vec(message).map_err(CommandError::invalid_input)?;
         self.call(Method::POST, path, Bytes::from(body)).await
     }
 
-    async fn call<A: DeserializeOwned>(
+    async fn call<R: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<A, Failure> {
-        let mut last = Failure::input("expected --admin or CYCLAMENWHARF_ADMIN");
+    ) -> Result<R, CommandError> {
+        let mut last_error = CommandError::invalid_input("expected --admin or CYCLAMENWHARF_ADMIN");
         for entry in self
             .entries
             .iter()
             .cycle()
-            .take(self.entries.len() * REPEATS)
+            .take(self.entries.len() * ATTEMPTS_PER_ENTRY)
         {
-            last = match self.call_one(method.clone(), *entry, path, &body).await {
-                Ok(answer) => return Ok(answer),
-                Err(failure) if is_final(&failure) => return Err(failure),
-                Err(failure) => failure,
+            last_error = match self.call_entry(method.clone(), *entry, path, &body).await {
+                Ok(response) => return Ok(response),
+                Err(error) if is_permanent(&error) => return Err(error),
+                Err(error) => error,
             };
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn call_one<A: DeserializeOwned>(
+    async fn call_entry<R: DeserializeOwned>(
         &self,
         method: Method,
         entry: SocketAddr,
         path: &str,
         body: &Bytes,
-    ) -> Result<A, Failure> {
+    ) -> Result<R, CommandError> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{entry}{path}"))
             .header(CONTENT_TYPE, "application/json")
             .header(AUTHORIZATION, format!("Bearer {}", self.key))
             .body(Full::new(body.clone()))
-            .map_err(Failure::input)?;
-        let work = async {
+            .map_err(CommandError::invalid_input)?;
+        let call = async {
             let response = self.client.request(request).await.map_err(unreachable)?;
-            read(response).await
+            parse_response(response).await
         };
-        let late = || Failure::Unreachable {
-            message: format!("no answer from {entry} in {TIMEOUT:?}"),
+        let timed_out = || CommandError::Unreachable {
+            message: format!("no response from {entry} within {CALL_TIMEOUT:?}"),
         };
-        let outcome = tokio::time::timeout(TIMEOUT, work).await;
-        outcome.unwrap_or_else(|_| Err(late()))
+        let outcome = tokio::time::timeout(CALL_TIMEOUT, call).await;
+        outcome.unwrap_or_else(|_| Err(timed_out()))
     }
 }
 
-async fn read<A: DeserializeOwned>(
+async fn parse_response<R: DeserializeOwned>(
     response: Response<hyper::body::Incoming>,
-) -> Result<A, Failure> {
+) -> Result<R, CommandError> {
     let status = response.status();
     let body = response.into_body().collect().await.map_err(unreachable)?;
     let bytes = body.to_bytes();
@@ -159,32 +160,32 @@
         return serde_json::from_slice(&bytes).map_err(unreachable);
     }
     match serde_json::from_slice::<ErrorMessage>(&bytes) {
-        Ok(error) => Err(Failure::Refused { error }),
-        Err(_) => Err(unreachable(format!("the entry answered {status}"))),
+        Ok(response) => Err(CommandError::Rejected { response }),
+        Err(_) => Err(unreachable(format!("the entry returned status {status}"))),
     }
 }
 
-fn unreachable(error: impl std::fmt::Display) -> Failure {
-    Failure::Unreachable {
+fn unreachable(error: impl std::fmt::Display) -> CommandError {
+    CommandError::Unreachable {
         message: error.to_string(),
     }
 }
 
-/// Returns whether another call would end the same.
-fn is_final(failure: &Failure) -> bool {
-    match failure {
-        Failure::Refused { error } => !matches!(
-            error.kind,
+/// Returns whether a repeated call would fail in the same way.
+fn is_permanent(error: &CommandError) -> bool {
+    match error {
+        CommandError::Rejected { response } => !matches!(
+            response.kind,
             AdminErrorKind::Unavailable | AdminErrorKind::OutcomeUnknown
         ),
-        Failure::Unreachable { .. } => false,
+        CommandError::Unreachable { .. } => false,
         _ => true,
     }
 }
 
-fn addresses(text: &str) -> Result<Vec<SocketAddr>, Failure> {
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, CommandError> {
     text.split(',')
         .filter(|part| !part.trim().is_empty())
-        .map(|part| part.trim().parse().map_err(Failure::input))
+        .map(|part| part.trim().parse().map_err(CommandError::invalid_input))
         .collect()
 }
--- a/crates/cyclamenwharfctl/src/failure.rs
+++ b/crates/cyclamenwharfctl/src/command_error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails, and the exit code for each kind of reason.
+//! The error type of the commands, and the exit code of each error.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,13 +9,13 @@
 
 use crate::slo::SloError;
 
-/// A command that fails.
+/// The error of a failed command.
 #[derive(Debug, Snafu)]
-pub(crate) enum Failure {
-    /// A file or an argument cannot be used.
+pub(crate) enum CommandError {
+    /// A file or an argument is invalid.
     #[snafu(display("{message}"))]
-    Input {
-        /// What is wrong with it.
+    InvalidInput {
+        /// What is invalid.
         message: String,
     },
     /// A file cannot be read.
@@ -26,30 +26,30 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The entry refused the call.
-    #[snafu(display("{}", error.message))]
-    Refused {
-        /// What it answered.
-        error: ErrorMessage,
+    /// The entry rejected the call.
+    #[snafu(display("{}", response.message))]
+    Rejected {
+        /// The error message of the entry.
+        response: ErrorMessage,
     },
-    /// No entry answers.
-    #[snafu(display("no entry answers: {message}"))]
+    /// No entry responds.
+    #[snafu(display("no entry responds: {message}"))]
     Unreachable {
-        /// What happened.
+        /// The cause.
         message: String,
     },
-    /// What was waited for did not happen in time.
+    /// An awaited state was not reached within the timeout.
     #[snafu(display("{message}"))]
     Timeout {
-        /// What was waited for.
+        /// The state that was not reached.
         message: String,
     },
-    /// A replay differs from its trace.
+    /// The replay of a trace differs from the recording.
     #[snafu(display("{}: {difference}", file.display()))]
     Replay {
-        /// The trace.
+        /// The trace file.
         file: PathBuf,
-        /// Where it differs.
+        /// The first difference.
         difference: String,
     },
     /// The service-level report failed.
@@ -60,27 +60,27 @@
     },
 }
 
-impl Failure {
-    /// Returns a failure of an argument or a file.
-    pub(crate) fn input(message: impl ToString) -> Self {
-        Failure::Input {
+impl CommandError {
+    /// Creates an error for an invalid argument or file.
+    pub(crate) fn invalid_input(message: impl ToString) -> Self {
+        CommandError::InvalidInput {
             message: message.to_string(),
         }
     }
 
-    /// Returns the exit code.
-    pub(crate) fn code(&self) -> ExitCode {
+    /// Returns the exit code of the tool for this error.
+    pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Failure::Slo { .. } | Failure::Replay { .. } => 1,
-            Failure::Input { .. } | Failure::Read { .. } => 2,
-            Failure::Refused { error } => refused(error.kind),
-            Failure::Unreachable { .. } => 7,
-            Failure::Timeout { .. } => 9,
+            CommandError::Slo { .. } | CommandError::Replay { .. } => 1,
+            CommandError::InvalidInput { .. } | CommandError::Read { .. } => 2,
+            CommandError::Rejected { response } => rejection_code(response.kind),
+            CommandError::Unreachable { .. } => 7,
+            CommandError::Timeout { .. } => 9,
         })
     }
 }
 
-fn refused(kind: AdminErrorKind) -> u8 {
+fn rejection_code(kind: AdminErrorKind) -> u8 {
     match kind {
         AdminErrorKind::Internal => 1,
         AdminErrorKind::BadRequest => 2,
--- a/crates/cyclamenwharfctl/src/main.rs
+++ b/crates/cyclamenwharfctl/src/main.rs
@@ -1,8 +1,8 @@
-//! The operators' command-line tool.
+//! A command-line tool for operators.
 
 mod admin_client;
-mod failure;
-mod output;
+mod command_error;
+mod output_format;
 mod records;
 mod settings;
 mod slo;
@@ -18,13 +18,13 @@
 use clap_complete::Shell;
 
 use crate::admin_client::AdminClient;
-use crate::failure::Failure;
-use crate::output::Output;
+use crate::command_error::CommandError;
+use crate::output_format::OutputFormat;
 
 /// The name of the tool.
 const NAME: &str = "cyclamenwharfctl";
 
-/// What the tool tells of its exit codes.
+/// The help text that lists the exit codes.
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 internal error, 2 bad input, 3 not allowed, \
     4 not found, 5 conflict, 6 the change would break something, 7 unavailable, \
     8 outcome unknown (repeat the command), 9 timeout";
@@ -34,9 +34,9 @@
     let matches = command().get_matches();
     match run(&matches).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("{NAME}: {failure}");
-            failure.code()
+        Err(error) => {
+            eprintln!("{NAME}: {error}");
+            error.exit_code()
         }
     }
 }
@@ -55,32 +55,34 @@
         .subcommand(trace::command())
         .subcommand(
             Command::new("completions")
-                .about("Writes completions for a shell")
+                .about("Prints the completion script for a shell")
                 .arg(shell),
         );
     command = command.subcommand(
-        Command::new("openapi").about("Writes the OpenAPI description of the operators' interface"),
+        Command::new("openapi").about("Prints the OpenAPI description of the admin API"),
     );
-    let mut calls = records::commands();
-    calls.push(records::apply_command());
-    calls.extend(records::drain_commands());
-    calls.extend(status::commands());
-    for call in calls {
-        let call = call.args(AdminClient::args()).arg(Output::arg());
-        command = command.subcommand(call);
+    let mut api_commands = records::commands();
+    api_commands.push(records::apply_command());
+    api_commands.extend(records::drain_commands());
+    api_commands.extend(status::commands());
+    for api_command in api_commands {
+        let api_command = api_command
+            .args(AdminClient::args())
+            .arg(OutputFormat::arg());
+        command = command.subcommand(api_command);
     }
     command
 }
 
-async fn run(matches: &ArgMatches) -> Result<(), Failure> {
+async fn run(matches: &ArgMatches) -> Result<(), CommandError> {
     let Some((name, args)) = matches.subcommand() else {
         return Ok(());
     };
     match name {
         "slo" => Ok(slo::run(args).await?),
         "settings" => settings::run(args),
-        "completions" => complete(args),
-        "openapi" => describe(),
+        "completions" => print_completions(args),
+        "openapi" => print_openapi(),
         "status" => status::status(args).await,
         "trace" => trace::run(args).await,
         "wait" => status::wait(args).await,
@@ -97,20 +99,22 @@
         "records" => records::records(args).await,
         "roll-forward" => records::roll_forward(args).await,
         "put-back" => records::put_back(args).await,
-        name => Err(Failure::input(format!("unknown command {name}"))),
+        name => Err(CommandError::invalid_input(format!(
+            "unknown command {name}"
+        ))),
     }
 }
 
-fn describe() -> Result<(), Failure> {
+fn print_openapi() -> Result<(), CommandError> {
     let description = cyclamenwharf::admin::admin_description();
     println!(
         "{}",
-        serde_json::to_string_pretty(&description).map_err(Failure::input)?
+        serde_json::to_string_pretty(&description).map_err(CommandError::invalid_input)?
     );
     Ok(())
 }
 
-fn complete(args: &ArgMatches) -> Result<(), Failure> {
+fn print_completions(args: &ArgMatches) -> Result<(), CommandError> {
     let shell: &Shell = args.get_one("shell").expect("clap requires it");
     clap_complete::generate(*shell, &mut command(), NAME, &mut std::io::stdout());
     Ok(())
--- a/crates/cyclamenwharfctl/src/output.rs
+++ b/crates/cyclamenwharfctl/src/output_format.rs
@@ -1,50 +1,50 @@
-//! Tables for people, JSON for programs.
+//! Prints responses as tables for people or as JSON for programs.
 
 use clap::Arg;
 use clap::ArgMatches;
 use clap::builder::PossibleValuesParser;
 use serde::Serialize;
 
-/// How answers are written.
+/// The format in which responses are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Output {
-    /// As a table.
+pub(crate) enum OutputFormat {
+    /// A table with aligned columns.
     Table,
-    /// As JSON.
+    /// Indented JSON.
     Json,
 }
 
-/// Rows of text under a head.
+/// A table of text; its first row is the header.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
-impl Output {
-    /// Returns the argument that chooses it.
+impl OutputFormat {
+    /// Returns the `--output` argument.
     pub(crate) fn arg() -> Arg {
         Arg::new("output")
             .long("output")
             .global(true)
             .value_parser(PossibleValuesParser::new(["table", "json"]))
             .default_value("table")
-            .help("How answers are written")
+            .help("The output format")
     }
 
-    /// Reads the argument.
-    pub(crate) fn read(args: &ArgMatches) -> Self {
+    /// Returns the format that the arguments select.
+    pub(crate) fn from_args(args: &ArgMatches) -> Self {
         match args.get_one::<String>("output").map(String::as_str) {
-            Some("json") => Output::Json,
-            _ => Output::Table,
+            Some("json") => OutputFormat::Json,
+            _ => OutputFormat::Table,
         }
     }
 
-    /// Prints an answer.
-    pub(crate) fn print<T: Serialize>(self, answer: &T, table: impl FnOnce(&T) -> Table) {
+    /// Prints `response` as JSON, or as the table that `table` makes of it.
+    pub(crate) fn print<T: Serialize>(self, response: &T, table: impl FnOnce(&T) -> Table) {
         match self {
-            Output::Table => print!("{}", table(answer).text()),
-            Output::Json => {
-                let text = serde_json::to_string_pretty(answer).unwrap_or_default();
+            OutputFormat::Table => print!("{}", table(response).render()),
+            OutputFormat::Json => {
+                let text = serde_json::to_string_pretty(response).unwrap_or_default();
                 println!("{text}");
             }
         }
@@ -52,20 +52,20 @@
 }
 
 impl Table {
-    /// Returns an empty table with a head.
-    pub(crate) fn new<const N: usize>(head: [&str; N]) -> Self {
+    /// Creates a table with a header and no other row.
+    pub(crate) fn new<const N: usize>(header: [&str; N]) -> Self {
         let mut table = Self::default();
-        table.row(head.map(str::to_owned));
+        table.add_row(header.map(str::to_owned));
         table
     }
 
-    /// Adds a row.
-    pub(crate) fn row<const N: usize>(&mut self, cells: [String; N]) {
+    /// Adds a row below the others.
+    pub(crate) fn add_row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.into());
     }
 
-    /// Returns the text, with columns of equal width.
-    pub(crate) fn text(&self) -> String {
+    /// Returns the table as text, with each column padded to its widest cell.
+    pub(crate) fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or_default();
         let width = |column: usize| {
             let cells = self.rows.iter().filter_map(|row| row.get(column));
--- a/crates/cyclamenwharfctl/src/records/apply.rs
+++ b/crates/cyclamenwharfctl/src/records/apply.rs
@@ -1,4 +1,4 @@
-//! `cyclamenwharfctl apply`: a directory of records becomes one change.
+//! The `apply` command, which proposes the records of a directory as one change.
 
 use std::path::PathBuf;
 
@@ -12,13 +12,13 @@
 
 use super::RecordFile;
 use super::accept_change;
-use super::changes::id_of;
+use super::changes::change_id;
 use super::changes::print_change;
 use super::changes::print_proposal;
 use super::changes::proposal_args;
 use super::propose_edits;
 use crate::admin_client::AdminClient;
-use crate::failure::Failure;
+use crate::command_error::CommandError;
 
 /// Returns the `apply` command.
 pub(crate) fn apply_command() -> Command {
@@ -32,7 +32,7 @@
     let accept = Arg::new("accept")
         .long("accept")
         .action(ArgAction::SetTrue)
-        .help("Accepts the change at once");
+        .help("Also accepts the change");
     Command::new("apply")
         .about("Proposes the records of a directory that differ from those in force")
         .args([directory, accept])
@@ -40,14 +40,14 @@
 }
 
 /// Runs the `apply` command.
-pub(crate) async fn apply(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn apply(args: &ArgMatches) -> Result<(), CommandError> {
     let client = AdminClient::new(args)?;
     let directory: &PathBuf = args.get_one("directory").expect("clap requires it");
-    let wanted = RecordFile::read_all(directory)?;
-    let present: Vec<RecordMessage> = client.get("/v1/records").await?;
-    let edits: Vec<_> = wanted
+    let desired = RecordFile::read_all(directory)?;
+    let current: Vec<RecordMessage> = client.get("/v1/records").await?;
+    let edits: Vec<_> = desired
         .into_iter()
-        .filter(|record| !present.iter().any(|old| is_same(old, record)))
+        .filter(|record| !current.iter().any(|old| is_unchanged(old, record)))
         .map(EditMessage::Put)
         .collect();
     if edits.is_empty() {
@@ -55,7 +55,7 @@
         return Ok(());
     }
     let reason = args.get_one::<String>("reason").map_or("", String::as_str);
-    let proposal = propose_edits(&client, &id_of(args), reason, edits).await?;
+    let proposal = propose_edits(&client, &change_id(args), reason, edits).await?;
     if !args.get_flag("accept") {
         print_proposal(args, &proposal);
         return Ok(());
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-fn is_same(old: &RecordMessage, new: &RecordMessage) -> bool {
+fn is_unchanged(old: &RecordMessage, new: &RecordMessage) -> bool {
     let schema = new.schema.or(old.schema);
     old.kind == new.kind && old.name == new.name && old.schema == schema && old.body == new.body
 }
--- a/crates/cyclamenwharfctl/src/records/changes.rs
+++ b/crates/cyclamenwharfctl/src/records/changes.rs
@@ -1,4 +1,4 @@
-//! Commands for single changes.
+//! Commands that propose, review and accept single changes.
 
 use std::path::PathBuf;
 
@@ -17,40 +17,41 @@
 
 use super::RecordFile;
 use super::accept_change;
-use super::new_id;
 use super::propose_edits;
+use super::random_id;
 use super::tables;
 use crate::admin_client::AdminClient;
-use crate::failure::Failure;
-use crate::output::Output;
+use crate::command_error::CommandError;
+use crate::output_format::OutputFormat;
 
-/// Returns the commands for single changes.
+/// Returns the commands of this module.
 pub(crate) fn commands() -> Vec<Command> {
     let id = || Arg::new("id").value_name("CHANGE").required(true);
     vec![
         propose_command(),
-        Command::new("proposals").about("Lists the proposals that are kept"),
+        Command::new("proposals").about("Lists the stored proposals"),
         Command::new("show").about("Shows a proposal").arg(id()),
         Command::new("diff")
-            .about("Shows what a proposal changes, and why it would be refused now")
+            .about("Shows what a proposal changes, and why it would be rejected at present")
             .arg(id()),
-        Command::new("accept").about("Accepts a change").arg(id()),
-        Command::new("reject").about("Rejects a change").arg(id()),
+        Command::new("accept").about("Accepts a proposal").arg(id()),
+        Command::new("reject").about("Rejects a proposal").arg(id()),
         history_command(),
         records_command(),
-        roll_command(),
-        Command::new("put-back")
-            .about("Writes what is in force back to a service that went back to older records"),
+        roll_forward_command(),
+        Command::new("put-back").about(
+            "Restores the records in force in a key-value service that has reverted to older ones",
+        ),
     ]
 }
 
-/// Returns the arguments of every command that proposes.
+/// Returns the arguments of all commands that propose a change.
 pub(super) fn proposal_args() -> [Arg; 2] {
     let reason = Arg::new("reason").long("reason").default_value("");
     let id = Arg::new("id").long("id").value_name("CHANGE");
     [
-        reason.help("Why, for other operators"),
-        id.help("The id of the change; a new one where it is left out"),
+        reason.help("The reason for the change, shown to other operators"),
+        id.help("The id of the change; a random id by default"),
     ]
 }
 
@@ -61,12 +62,12 @@
         .value_name("FILE")
         .action(ArgAction::Append)
         .value_parser(value_parser!(PathBuf))
-        .help("A record as a TOML file; repeat it for more");
+        .help("A TOML file with a record; may be repeated");
     let remove = Arg::new("remove")
         .long("remove")
         .value_name("KIND/NAME")
         .action(ArgAction::Append)
-        .help("A record to remove; repeat it for more");
+        .help("A record to remove; may be repeated");
     Command::new("propose")
         .about("Proposes a change")
         .args([file, remove])
@@ -76,8 +77,8 @@
 fn history_command() -> Command {
     let key = Arg::new("key").value_name("KIND/NAME");
     Command::new("history")
-        .about("Lists the accepted changes that are remembered")
-        .arg(key.help("Only changes of this record"))
+        .about("Lists the accepted changes in the stored history")
+        .arg(key.help("Lists only the changes of this record"))
 }
 
 fn records_command() -> Command {
@@ -88,84 +89,84 @@
         .args([kind, name])
 }
 
-fn roll_command() -> Command {
+fn roll_forward_command() -> Command {
     let key = Arg::new("key").value_name("KIND/NAME").required(true);
     let revision = Arg::new("revision")
         .long("revision")
         .required(true)
         .value_parser(value_parser!(u64))
-        .help("The revision whose body is wanted");
+        .help("The revision with the earlier body");
     Command::new("roll-forward")
         .about("Proposes an earlier body of a record as a new revision")
         .args([key, revision])
         .args(proposal_args())
 }
 
-fn text<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
+fn arg_or_empty<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
     args.get_one::<String>(name).map_or("", String::as_str)
 }
 
-/// Returns the id that was given, or a new one.
-pub(super) fn id_of(args: &ArgMatches) -> String {
-    args.get_one("id").cloned().unwrap_or_else(new_id)
+/// Returns the id from the arguments, or a random one.
+pub(super) fn change_id(args: &ArgMatches) -> String {
+    args.get_one("id").cloned().unwrap_or_else(random_id)
 }
 
-pub(crate) async fn propose(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn propose(args: &ArgMatches) -> Result<(), CommandError> {
     let client = AdminClient::new(args)?;
     let files = args.get_many::<PathBuf>("file").into_iter().flatten();
     let mut edits = files
         .map(|file| RecordFile::read(file).map(EditMessage::Put))
         .collect::<Result<Vec<_>, _>>()?;
-    let removed = args.get_many::<String>("remove").into_iter().flatten();
-    edits.extend(removed.cloned().map(EditMessage::Remove));
-    let reason = text(args, "reason");
-    let proposal = propose_edits(&client, &id_of(args), reason, edits).await?;
+    let removed_keys = args.get_many::<String>("remove").into_iter().flatten();
+    edits.extend(removed_keys.cloned().map(EditMessage::Remove));
+    let reason = arg_or_empty(args, "reason");
+    let proposal = propose_edits(&client, &change_id(args), reason, edits).await?;
     print_proposal(args, &proposal);
     Ok(())
 }
 
-pub(crate) async fn proposals(args: &ArgMatches) -> Result<(), Failure> {
-    let found: Vec<ProposalMessage> = AdminClient::new(args)?.get("/v1/proposals").await?;
-    Output::read(args).print(&found, |found| tables::of_proposals(found));
+pub(crate) async fn proposals(args: &ArgMatches) -> Result<(), CommandError> {
+    let response: Vec<ProposalMessage> = AdminClient::new(args)?.get("/v1/proposals").await?;
+    OutputFormat::from_args(args).print(&response, |response| tables::proposal_table(response));
     Ok(())
 }
 
-pub(crate) async fn show(args: &ArgMatches) -> Result<(), Failure> {
-    print_proposal(args, &review(args).await?.proposal);
+pub(crate) async fn show(args: &ArgMatches) -> Result<(), CommandError> {
+    print_proposal(args, &get_review(args).await?.proposal);
     Ok(())
 }
 
-pub(crate) async fn diff(args: &ArgMatches) -> Result<(), Failure> {
-    Output::read(args).print(&review(args).await?, tables::of_review);
+pub(crate) async fn diff(args: &ArgMatches) -> Result<(), CommandError> {
+    OutputFormat::from_args(args).print(&get_review(args).await?, tables::review_table);
     Ok(())
 }
 
-pub(crate) async fn accept(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn accept(args: &ArgMatches) -> Result<(), CommandError> {
     let client = AdminClient::new(args)?;
-    let change = accept_change(&client, text(args, "id")).await?;
+    let change = accept_change(&client, arg_or_empty(args, "id")).await?;
     print_change(args, &change);
     Ok(())
 }
 
-pub(crate) async fn reject(args: &ArgMatches) -> Result<(), Failure> {
-    let path = format!("/v1/proposals/{}/reject", text(args, "id"));
+pub(crate) async fn reject(args: &ArgMatches) -> Result<(), CommandError> {
+    let path = format!("/v1/proposals/{}/reject", arg_or_empty(args, "id"));
     let client = AdminClient::new(args)?;
     let proposal = client.post(&path, &AcceptMessage::default()).await?;
     print_proposal(args, &proposal);
     Ok(())
 }
 
-pub(crate) async fn history(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn history(args: &ArgMatches) -> Result<(), CommandError> {
     let path = match args.get_one::<String>("key") {
         Some(key) => format!("/v1/history?key={key}"),
         None => "/v1/history".to_owned(),
     };
-    let found: Vec<ChangeMessage> = AdminClient::new(args)?.get(&path).await?;
-    Output::read(args).print(&found, |found| tables::of_changes(found));
+    let response: Vec<ChangeMessage> = AdminClient::new(args)?.get(&path).await?;
+    OutputFormat::from_args(args).print(&response, |response| tables::change_table(response));
     Ok(())
 }
 
-pub(crate) async fn records(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn records(args: &ArgMatches) -> Result<(), CommandError> {
     let path = match (
         args.get_one::<String>("kind"),
         args.get_one::<String>("name"),
@@ -174,17 +175,17 @@
         (Some(kind), None) => format!("/v1/records?kind={kind}"),
         (None, _) => "/v1/records".to_owned(),
     };
-    let found: Vec<RecordMessage> = AdminClient::new(args)?.get(&path).await?;
-    Output::read(args).print(&found, |found| tables::of_records(found));
+    let response: Vec<RecordMessage> = AdminClient::new(args)?.get(&path).await?;
+    OutputFormat::from_args(args).print(&response, |response| tables::record_table(response));
     Ok(())
 }
 
-pub(crate) async fn roll_forward(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn roll_forward(args: &ArgMatches) -> Result<(), CommandError> {
     let message = RollMessage {
-        id: id_of(args),
-        key: text(args, "key").to_owned(),
+        id: change_id(args),
+        key: arg_or_empty(args, "key").to_owned(),
         revision: args.get_one::<u64>("revision").copied().unwrap_or_default(),
-        reason: text(args, "reason").to_owned(),
+        reason: arg_or_empty(args, "reason").to_owned(),
     };
     let client = AdminClient::new(args)?;
     let proposal = client.post("/v1/roll-forward", &message).await?;
@@ -192,28 +193,28 @@
     Ok(())
 }
 
-pub(crate) async fn put_back(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn put_back(args: &ArgMatches) -> Result<(), CommandError> {
     let client = AdminClient::new(args)?;
     let revision: u64 = client
         .post("/v1/put-back", &AcceptMessage::default())
         .await?;
-    println!("revision {revision} is in the key-value service again");
+    println!("revision {revision} is restored in the key-value service");
     Ok(())
 }
 
-async fn review(args: &ArgMatches) -> Result<ReviewMessage, Failure> {
-    let path = format!("/v1/proposals/{}", text(args, "id"));
+async fn get_review(args: &ArgMatches) -> Result<ReviewMessage, CommandError> {
+    let path = format!("/v1/proposals/{}", arg_or_empty(args, "id"));
     AdminClient::new(args)?.get(&path).await
 }
 
-/// Prints one proposal.
+/// Prints one proposal in the selected format.
 pub(super) fn print_proposal(args: &ArgMatches, proposal: &ProposalMessage) {
-    let table = |one: &ProposalMessage| tables::of_proposals(std::slice::from_ref(one));
-    Output::read(args).print(proposal, table);
+    let table = |one: &ProposalMessage| tables::proposal_table(std::slice::from_ref(one));
+    OutputFormat::from_args(args).print(proposal, table);
 }
 
-/// Prints one accepted change.
+/// Prints one accepted change in the selected format.
 pub(super) fn print_change(args: &ArgMatches, change: &ChangeMessage) {
-    let table = |one: &ChangeMessage| tables::of_changes(std::slice::from_ref(one));
-    Output::read(args).print(change, table);
+    let table = |one: &ChangeMessage| tables::change_table(std::slice::from_ref(one));
+    OutputFormat::from_args(args).print(change, table);
 }
--- a/crates/cyclamenwharfctl/src/records/mod.rs
+++ b/crates/cyclamenwharfctl/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! Commands for records: propose, review, accept, and what follows from them.
+//! Commands for records: proposing, reviewing and accepting changes, and draining targets.
 
 mod apply;
 mod changes;
@@ -31,20 +31,20 @@
 use cyclamenwharf::admin::ProposeMessage;
 
 use crate::admin_client::AdminClient;
-use crate::failure::Failure;
+use crate::command_error::CommandError;
 
-/// Returns a new id of a change.
-fn new_id() -> String {
+/// Returns a random id for a change.
+fn random_id() -> String {
     format!("change-{:016x}", rand::random::<u64>())
 }
 
-/// Proposes edits.
+/// Proposes `edits` as one change.
 async fn propose_edits(
     client: &AdminClient,
     id: &str,
     reason: &str,
     edits: Vec<EditMessage>,
-) -> Result<ProposalMessage, Failure> {
+) -> Result<ProposalMessage, CommandError> {
     let message = ProposeMessage {
         id: id.to_owned(),
         reason: reason.to_owned(),
@@ -53,8 +53,8 @@
     client.post("/v1/proposals", &message).await
 }
 
-/// Accepts a change.
-async fn accept_change(client: &AdminClient, id: &str) -> Result<ChangeMessage, Failure> {
+/// Accepts the change `id`.
+async fn accept_change(client: &AdminClient, id: &str) -> Result<ChangeMessage, CommandError> {
     let path = format!("/v1/proposals/{id}/accept");
     client.post(&path, &AcceptMessage::default()).await
 }
--- a/crates/cyclamenwharfctl/src/records/record_file.rs
+++ b/crates/cyclamenwharfctl/src/records/record_file.rs
@@ -1,4 +1,4 @@
-//! Records as TOML files.
+//! Reads records from TOML files.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,9 +8,9 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::failure::Failure;
+use crate::command_error::CommandError;
 
-/// One record as a TOML file: `kind`, `name`, `schema` and the table `body`.
+/// The contents of a TOML file with one record: `kind`, `name`, `schema` and the table `body`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RecordFile {
@@ -23,14 +23,14 @@
 }
 
 impl RecordFile {
-    /// Reads one file.
-    pub(crate) fn read(file: &Path) -> Result<RecordMessage, Failure> {
-        let text = std::fs::read_to_string(file).map_err(|source| Failure::Read {
+    /// Reads the record in `file`.
+    pub(crate) fn read(file: &Path) -> Result<RecordMessage, CommandError> {
+        let text = std::fs::read_to_string(file).map_err(|source| CommandError::Read {
             file: file.to_owned(),
             source,
         })?;
         let record: Self = toml::from_str(&text)
-            .map_err(|error| Failure::input(format!("{}: {error}", file.display())))?;
+            .map_err(|error| CommandError::invalid_input(format!("{}: {error}", file.display())))?;
         Ok(RecordMessage {
             kind: record.kind,
             name: record.name,
@@ -40,15 +40,15 @@
         })
     }
 
-    /// Reads every `.toml` file of a directory, in the order of their names.
-    pub(crate) fn read_all(directory: &Path) -> Result<Vec<RecordMessage>, Failure> {
-        let failed = |source| Failure::Read {
+    /// Reads every `.toml` file of a directory, ordered by path.
+    pub(crate) fn read_all(directory: &Path) -> Result<Vec<RecordMessage>, CommandError> {
+        let read_error = |source| CommandError::Read {
             file: directory.to_owned(),
             source,
         };
         let mut files = Vec::<PathBuf>::new();
-        for item in std::fs::read_dir(directory).map_err(failed)? {
-            let path = item.map_err(failed)?.path();
+        for entry in std::fs::read_dir(directory).map_err(read_error)? {
+            let path = entry.map_err(read_error)?.path();
             if path
                 .extension()
                 .is_some_and(|extension| extension == "toml")
--- a/crates/cyclamenwharfctl/src/records/tables.rs
+++ b/crates/cyclamenwharfctl/src/records/tables.rs
@@ -1,4 +1,4 @@
-//! Answers as tables.
+//! Formats responses of the admin API as tables.
 
 use cyclamenwharf::admin::ChangeMessage;
 use cyclamenwharf::admin::DiffMessage;
@@ -7,17 +7,17 @@
 use cyclamenwharf::admin::RecordMessage;
 use cyclamenwharf::admin::ReviewMessage;
 
-use crate::output::Table;
+use crate::output_format::Table;
 
-/// Returns the key of the record that an edit touches.
-pub(super) fn key_of(edit: &EditMessage) -> String {
+/// Returns the key of the record that an edit changes, prefixed with `-` if it removes the record.
+pub(super) fn edit_label(edit: &EditMessage) -> String {
     match edit {
         EditMessage::Put(record) => format!("{}/{}", record.kind, record.name),
         EditMessage::Remove(key) => format!("-{key}"),
     }
 }
 
-pub(super) fn of_proposals(proposals: &[ProposalMessage]) -> Table {
+pub(super) fn proposal_table(proposals: &[ProposalMessage]) -> Table {
     let mut table = Table::new([
         "CHANGE",
         "STATUS",
@@ -27,25 +27,25 @@
         "REASON",
     ]);
     for proposal in proposals {
-        let keys: Vec<_> = proposal.edits.iter().map(key_of).collect();
-        table.row([
+        let labels: Vec<_> = proposal.edits.iter().map(edit_label).collect();
+        table.add_row([
             proposal.id.clone(),
             format!("{:?}", proposal.status).to_lowercase(),
             proposal.proposer.clone(),
             proposal.decided_by.clone().unwrap_or_default(),
-            keys.join(" "),
+            labels.join(" "),
             proposal.reason.clone(),
         ]);
     }
     table
 }
 
-pub(super) fn of_changes(changes: &[ChangeMessage]) -> Table {
+pub(super) fn change_table(changes: &[ChangeMessage]) -> Table {
     let mut table = Table::new([
         "REVISION", "CHANGE", "PROPOSER", "ACCEPTER", "AT", "RECORDS",
     ]);
     for change in changes {
-        table.row([
+        table.add_row([
             change.revision.to_string(),
             change.id.clone(),
             change.proposer.clone(),
@@ -57,68 +57,68 @@
     table
 }
 
-pub(super) fn of_records(records: &[RecordMessage]) -> Table {
+pub(super) fn record_table(records: &[RecordMessage]) -> Table {
     let mut table = Table::new(["RECORD", "SCHEMA", "REVISION", "BODY"]);
     for record in records {
-        table.row([
+        table.add_row([
             format!("{}/{}", record.kind, record.name),
             record.schema.unwrap_or_default().to_string(),
             record.revision.unwrap_or_default().to_string(),
-            body(record),
+            body_json(record),
         ]);
     }
     table
 }
 
-pub(super) fn of_review(review: &ReviewMessage) -> Table {
-    let mut table = of_diffs(&review.differences);
+pub(super) fn review_table(review: &ReviewMessage) -> Table {
+    let mut table = diff_table(&review.differences);
     let refusal = review.refusal.clone();
-    table.row([
+    table.add_row([
         "WOULD BE".to_owned(),
-        refusal.map_or("accepted".to_owned(), |why| format!("refused: {why}")),
+        refusal.map_or("accepted".to_owned(), |reason| format!("refused: {reason}")),
     ]);
     table
 }
 
-/// Returns a line for each field that differs.
-pub(super) fn of_diffs(differences: &[DiffMessage]) -> Table {
+/// Returns a table with one row for each field that differs.
+pub(super) fn diff_table(differences: &[DiffMessage]) -> Table {
     let mut table = Table::new(["RECORD", "CHANGE"]);
     for difference in differences {
-        for line in lines(difference) {
-            table.row([difference.key.clone(), line]);
+        for line in diff_lines(difference) {
+            table.add_row([difference.key.clone(), line]);
         }
     }
     table
 }
 
-fn lines(difference: &DiffMessage) -> Vec<String> {
+fn diff_lines(difference: &DiffMessage) -> Vec<String> {
     match (&difference.before, &difference.after) {
-        (None, Some(after)) => vec![format!("+ {}", body(after))],
-        (Some(before), None) => vec![format!("- {}", body(before))],
-        (Some(before), Some(after)) => fields(before, after),
+        (None, Some(after)) => vec![format!("+ {}", body_json(after))],
+        (Some(before), None) => vec![format!("- {}", body_json(before))],
+        (Some(before), Some(after)) => field_diffs(before, after),
         (None, None) => Vec::new(),
     }
 }
 
-fn fields(before: &RecordMessage, after: &RecordMessage) -> Vec<String> {
-    let mut found = Vec::new();
+fn field_diffs(before: &RecordMessage, after: &RecordMessage) -> Vec<String> {
+    let mut lines = Vec::new();
     if before.schema != after.schema {
-        let version = |record: &RecordMessage| record.schema.unwrap_or_default();
-        found.push(format!("schema {} -> {}", version(before), version(after)));
+        let schema = |record: &RecordMessage| record.schema.unwrap_or_default();
+        lines.push(format!("schema {} -> {}", schema(before), schema(after)));
     }
     let names = before.body.keys().chain(after.body.keys());
     let names: std::collections::BTreeSet<_> = names.collect();
     for name in names {
         match (before.body.get(name), after.body.get(name)) {
-            (Some(old), Some(new)) if old != new => found.push(format!("{name}: {old} -> {new}")),
-            (Some(old), None) => found.push(format!("- {name}: {old}")),
-            (None, Some(new)) => found.push(format!("+ {name}: {new}")),
+            (Some(old), Some(new)) if old != new => lines.push(format!("{name}: {old} -> {new}")),
+            (Some(old), None) => lines.push(format!("- {name}: {old}")),
+            (None, Some(new)) => lines.push(format!("+ {name}: {new}")),
             _ => {}
         }
     }
-    found
+    lines
 }
 
-fn body(record: &RecordMessage) -> String {
+fn body_json(record: &RecordMessage) -> String {
     serde_json::to_string(&record.body).unwrap_or_default()
 }
--- a/crates/cyclamenwharfctl/src/settings.rs
+++ b/crates/cyclamenwharfctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! `cyclamenwharfctl settings check`.
+//! The `settings check` command, which validates a settings file.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -13,9 +13,9 @@
 use cyclamenwharf::Role;
 use cyclamenwharf::SettingsError;
 
-use crate::failure::Failure;
+use crate::command_error::CommandError;
 
-/// The table that only an agent's settings have.
+/// The settings table that only agents have.
 const AGENT_TABLE: &str = "target";
 
 /// Returns the `settings` command.
@@ -27,18 +27,18 @@
     let role = Arg::new("role")
         .long("role")
         .value_parser(PossibleValuesParser::new(["entry", "agent"]))
-        .help("The role; read from the file where it is left out");
+        .help("The role of the process; detected from the file by default");
     let check = Command::new("check")
         .about("Checks a settings file of the daemon")
         .args([file, role]);
     Command::new("settings")
-        .about("Settings of the daemon")
+        .about("Commands for the daemon's settings")
         .subcommand_required(true)
         .subcommand(check)
 }
 
 /// Runs the `settings` command.
-pub(crate) fn run(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) fn run(args: &ArgMatches) -> Result<(), CommandError> {
     let Some(("check", args)) = args.subcommand() else {
         return Ok(());
     };
@@ -46,9 +46,9 @@
     let role = match args.get_one::<String>("role").map(String::as_str) {
         Some("agent") => Role::Agent,
         Some(_) => Role::Entry,
-        None => role_of(file)?,
+        None => detect_role(file)?,
     };
-    check(file, role).map_err(Failure::input)?;
+    check(file, role).map_err(CommandError::invalid_input)?;
     println!("{}: ok", file.display());
     Ok(())
 }
@@ -60,8 +60,8 @@
     }
 }
 
-fn role_of(file: &Path) -> Result<Role, Failure> {
-    let table: toml::Table = cyclamenwharf::read(file).map_err(Failure::input)?;
+fn detect_role(file: &Path) -> Result<Role, CommandError> {
+    let table: toml::Table = cyclamenwharf::read(file).map_err(CommandError::invalid_input)?;
     Ok(match table.contains_key(AGENT_TABLE) {
         true => Role::Agent,
         false => Role::Entry,
--- a/crates/cyclamenwharfctl/src/slo/mod.rs
+++ b/crates/cyclamenwharfctl/src/slo/mod.rs
@@ -1,8 +1,8 @@
-//! `cyclamenwharfctl slo report`: how fast the service-level budgets burn.
+//! The `slo report` command, which reports the burn rates of the error budgets.
 
+mod entry_metrics;
 mod html;
 mod report;
-mod scrape;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,19 +16,19 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
+pub(crate) use entry_metrics::EntryMetrics;
 pub(crate) use report::Report;
-pub(crate) use scrape::Sample;
 
-/// A report that cannot be made.
+/// The error of a failed report.
 #[derive(Debug, Snafu)]
 pub(crate) enum SloError {
     /// No entry could be read.
     #[snafu(display("no entry could be read: {message}"))]
     Unreachable {
-        /// What happened with the last one.
+        /// The error of the last entry.
         message: String,
     },
-    /// The report cannot be written.
+    /// The report cannot be written to its file.
     #[snafu(display("{}: {source}", file.display()))]
     Write {
         /// The file.
@@ -36,10 +36,10 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The report cannot be drawn.
+    /// A plot of the report cannot be drawn.
     #[snafu(display("the plots cannot be drawn: {message}"))]
     Draw {
-        /// What happened.
+        /// The cause.
         message: String,
     },
 }
@@ -52,22 +52,22 @@
         .required(true)
         .action(ArgAction::Append)
         .value_parser(value_parser!(SocketAddr))
-        .help("The admin address of an entry; repeat it for each entry");
+        .help("The admin address of an entry; repeat the option for each entry");
     let output = Arg::new("output")
         .long("output")
         .value_parser(PossibleValuesParser::new(["table", "json", "html"]))
         .default_value("table")
-        .help("How the report is written");
+        .help("The output format");
     let file = Arg::new("file")
         .long("file")
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
-        .help("Where the report is written, in place of standard output");
+        .help("The file that the report is written to instead of standard output");
     let report = Command::new("report")
-        .about("Reports how fast the service-level budgets burn, from the entries' metrics")
+        .about("Reports the burn rates of the error budgets from the entries' metrics")
         .args([entries, output, file]);
     Command::new("slo")
-        .about("Service levels")
+        .about("Commands for service levels")
         .subcommand_required(true)
         .subcommand(report)
 }
@@ -76,16 +76,16 @@
 ///
 /// # Errors
 ///
-/// Fails when no entry can be read or the report cannot be written.
+/// Fails if no entry can be read, or if the report cannot be drawn or written.
 pub(crate) async fn run(args: &ArgMatches) -> Result<(), SloError> {
     let Some(("report", args)) = args.subcommand() else {
         return Ok(());
     };
     let entries = args.get_many::<SocketAddr>("entry").into_iter().flatten();
-    let report = gather(entries.copied().collect()).await?;
+    let report = read_entries(entries.copied().collect()).await?;
     let text = match args.get_one::<String>("output").map(String::as_str) {
         Some("json") => report.json(),
-        Some("html") => html::page(&report)?,
+        Some("html") => html::render(&report)?,
         _ => report.table(),
     };
     match args.get_one::<PathBuf>("file") {
@@ -97,21 +97,21 @@
     }
 }
 
-async fn gather(entries: Vec<SocketAddr>) -> Result<Report, SloError> {
-    let mut samples = Vec::new();
+async fn read_entries(entries: Vec<SocketAddr>) -> Result<Report, SloError> {
+    let mut metrics = Vec::new();
     let mut missing = Vec::new();
     let mut message = String::new();
     for entry in entries {
-        match scrape::read(entry).await {
-            Ok(sample) => samples.push(sample),
+        match entry_metrics::read(entry).await {
+            Ok(entry_metrics) => metrics.push(entry_metrics),
             Err(error) => {
                 message = error.to_string();
                 missing.push(entry);
             }
         }
     }
-    if samples.is_empty() {
+    if metrics.is_empty() {
         return Err(SloError::Unreachable { message });
     }
-    Ok(Report::of(&samples, missing))
+    Ok(Report::from_metrics(&metrics, missing))
 }
--- a/crates/cyclamenwharfctl/src/slo/report.rs
+++ b/crates/cyclamenwharfctl/src/slo/report.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn, over all entries.
+//! The report on error budget burn, summed over all entries.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -14,43 +14,43 @@
 use cw_types::units::DurationText;
 use serde_with::serde_as;
 
-use super::Sample;
+use super::EntryMetrics;
 
-/// The burn of one objective of one class.
+/// The error budget burn of one class and objective.
 #[data]
 pub(crate) struct Row {
-    /// Whose requests.
+    /// The class of the requests.
     pub(crate) class: Class,
-    /// Which promise.
+    /// The service-level objective.
     pub(crate) objective: Objective,
-    /// The burn.
+    /// The counted events by window, and the objective's fraction.
     pub(crate) burn: Burn,
-    /// How bad it is.
+    /// The alert condition that the burn results in.
     pub(crate) condition: Condition,
 }
 
-/// The report.
+/// The error budget burn of all classes and objectives.
 #[serde_as]
 #[data]
 pub(crate) struct Report {
     /// The rows, by class and objective.
     pub(crate) rows: Vec<Row>,
-    /// How much of each window the youngest entry has seen.
+    /// How much of each window the most recently started entry covers.
     #[serde_as(as = "[DurationText; 4]")]
     pub(crate) covered: [Duration; 4],
-    /// How many entries were read.
+    /// The number of entries that were read.
     pub(crate) read: usize,
     /// The entries that could not be read.
     pub(crate) missing: Vec<SocketAddr>,
 }
 
 impl Report {
-    /// Adds up the samples of several entries.
-    pub(crate) fn of(samples: &[Sample], missing: Vec<SocketAddr>) -> Self {
+    /// Sums up the metrics of several entries.
+    pub(crate) fn from_metrics(metrics: &[EntryMetrics], missing: Vec<SocketAddr>) -> Self {
         let mut burns = BTreeMap::<(Class, Objective), Burn>::new();
-        for sample in samples {
-            for (key, counts) in &sample.events {
-                let fraction = sample.fractions.get(&key.1).copied().unwrap_or(1.0);
+        for entry in metrics {
+            for (key, counts) in &entry.events {
+                let fraction = entry.fractions.get(&key.1).copied().unwrap_or(1.0);
                 let burn = burns.entry(key.clone()).or_insert(Burn {
                     fraction,
                     counts: Default::default(),
@@ -68,20 +68,20 @@
         };
         Self {
             rows: burns.into_iter().map(row).collect(),
-            covered: std::array::from_fn(|i| least(samples.iter().map(|s| s.covered[i]))),
-            read: samples.len(),
+            covered: std::array::from_fn(|i| shortest(metrics.iter().map(|m| m.covered[i]))),
+            read: metrics.len(),
             missing,
         }
     }
 
-    /// Returns what the reader must know of the figures' limits, one sentence each.
+    /// Returns the limitations of the reported figures, one sentence each.
     pub(crate) fn remarks(&self) -> Vec<String> {
         let mut remarks = Vec::new();
         for (window, covered) in Window::ALL.into_iter().zip(self.covered) {
             if covered < window.length() {
-                let seen = humantime::format_duration(covered);
+                let uptime = humantime::format_duration(covered);
                 remarks.push(format!(
-                    "The {window} window is incomplete: the youngest entry has run for {seen}."
+                    "The {window} window is incomplete: an entry has run for only {uptime}."
                 ));
             }
         }
@@ -93,9 +93,9 @@
         remarks
     }
 
-    /// Returns the report as JSON.
+    /// Returns the report as indented JSON.
     pub(crate) fn json(&self) -> String {
-        serde_json::to_string_pretty(self).expect("a report is JSON")
+        serde_json::to_string_pretty(self).expect("a report serializes to JSON")
     }
 
     /// Returns the report as a table for a terminal.
@@ -105,9 +105,9 @@
             "ROUTE", "PRIORITY", "OBJECTIVE", "5m", "1h", "6h", "3d", "LEFT", "CONDITION"
         );
         for row in &self.rows {
-            let [a, b, c, d] = Window::ALL.map(|window| rate(&row.burn, window));
-            let left = percent(row.burn.budget_left());
-            // Writing to a string does not fail.
+            let [a, b, c, d] = Window::ALL.map(|window| format_rate(&row.burn, window));
+            let left = format_percent(row.burn.budget_left());
+            // Writing to a string never fails.
             let _ = writeln!(
                 out,
                 "{:<16} {:<12} {:<12} {a:>7} {b:>7} {c:>7} {d:>7} {left:>9}  {}",
@@ -122,17 +122,19 @@
     }
 }
 
-fn least(spans: impl Iterator<Item = Duration>) -> Duration {
-    spans.min().unwrap_or_default()
+fn shortest(durations: impl Iterator<Item = Duration>) -> Duration {
+    durations.min().unwrap_or_default()
 }
 
-/// Returns a burn rate as text, `-` where nothing was counted.
-pub(crate) fn rate(burn: &Burn, window: Window) -> String {
+/// Returns a burn rate as text, or `-` if no events were counted.
+pub(crate) fn format_rate(burn: &Burn, window: Window) -> String {
     burn.rate(window)
         .map_or("-".to_owned(), |rate| format!("{rate:.2}"))
 }
 
-/// Returns a fraction as text, `-` where nothing was counted.
-pub(crate) fn percent(part: Option<f64>) -> String {
-    part.map_or("-".to_owned(), |part| format!("{:.1} %", part * 100.0))
+/// Returns a fraction as a percentage, or `-` if no events were counted.
+pub(crate) fn format_percent(fraction: Option<f64>) -> String {
+    fraction.map_or("-".to_owned(), |fraction| {
+        format!("{:.1} %", fraction * 100.0)
+    })
 }
--- a/crates/cyclamenwharfctl/src/status.rs
+++ b/crates/cyclamenwharfctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `cyclamenwharfctl status` and `wait`.
+//! The `status` and `wait` commands.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,12 +10,12 @@
 use cyclamenwharf::admin::StatusMessage;
 
 use crate::admin_client::AdminClient;
-use crate::failure::Failure;
-use crate::output::Output;
-use crate::output::Table;
+use crate::command_error::CommandError;
+use crate::output_format::OutputFormat;
+use crate::output_format::Table;
 
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The interval between two status calls of the `wait` command.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Returns the `status` and `wait` commands.
 pub(crate) fn commands() -> [Command; 2] {
@@ -31,7 +31,7 @@
         .help("How long to wait");
     [
         Command::new("status").about(
-            "Shows the revision in force by process, the targets, those leaving, and the planner",
+            "Shows the revision in force by process, the targets with their state, and the planner",
         ),
         Command::new("wait")
             .about("Waits until a revision is in force on every entry")
@@ -40,47 +40,47 @@
 }
 
 /// Runs the `status` command.
-pub(crate) async fn status(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn status(args: &ArgMatches) -> Result<(), CommandError> {
     let status: StatusMessage = AdminClient::new(args)?.get("/v1/status").await?;
-    match Output::read(args) {
-        Output::Json => Output::Json.print(&status, |_| Table::default()),
-        Output::Table => print!("{}", text(&status)),
+    match OutputFormat::from_args(args) {
+        OutputFormat::Json => OutputFormat::Json.print(&status, |_| Table::default()),
+        OutputFormat::Table => print!("{}", render(&status)),
     }
     Ok(())
 }
 
 /// Runs the `wait` command.
-pub(crate) async fn wait(args: &ArgMatches) -> Result<(), Failure> {
+pub(crate) async fn wait(args: &ArgMatches) -> Result<(), CommandError> {
     let client = AdminClient::new(args)?;
     let revision = args.get_one::<u64>("revision").copied().unwrap_or_default();
     let timeout = args.get_one::<Duration>("timeout").copied();
-    let end = Instant::now() + timeout.unwrap_or_default();
+    let deadline = Instant::now() + timeout.unwrap_or_default();
     loop {
         let status: StatusMessage = client.get("/v1/status").await?;
         if status.everywhere >= revision && status.revision >= revision {
             println!("revision {} is in force everywhere", status.everywhere);
             return Ok(());
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             let message = format!(
                 "revision {} is in force everywhere, {revision} is not",
                 status.everywhere
             );
-            return Err(Failure::Timeout { message });
+            return Err(CommandError::Timeout { message });
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn text(status: &StatusMessage) -> String {
-    let mut head = Table::new([
+fn render(status: &StatusMessage) -> String {
+    let mut summary = Table::new([
         "ENTRY ASKED",
         "REVISION",
         "EVERYWHERE",
         "PLANNER",
         "FENCING",
     ]);
-    head.row([
+    summary.add_row([
         status.host.clone(),
         status.revision.to_string(),
         status.everywhere.to_string(),
@@ -89,7 +89,7 @@
     ]);
     let mut entries = Table::new(["ENTRY", "REVISION", "AGE"]);
     for process in &status.processes {
-        entries.row([
+        entries.add_row([
             process.host.clone(),
             process.revision.to_string(),
             format!("{}ms", process.age_ms),
@@ -97,9 +97,9 @@
     }
     let mut text = format!(
         "{}\n{}\n{}",
-        head.text(),
-        entries.text(),
-        targets(status).text()
+        summary.render(),
+        entries.render(),
+        target_table(status).render()
     );
     if let Some(alarm) = &status.alarm {
         text.push_str(&format!("\nALARM: {alarm}\n"));
@@ -107,22 +107,22 @@
     text
 }
 
-fn targets(status: &StatusMessage) -> Table {
+fn target_table(status: &StatusMessage) -> Table {
     let mut table = Table::new([
         "TARGET", "HOST", "ZONE", "STATE", "RUNNING", "REVISION", "VERSIONS",
     ]);
     for target in &status.targets {
         let versions = target.versions.iter();
-        let named = versions.map(|(model, versions)| format!("{model}:{}", versions.join(",")));
+        let versions = versions.map(|(model, versions)| format!("{model}:{}", versions.join(",")));
         let drained = if target.drained { " (drained)" } else { "" };
-        table.row([
+        table.add_row([
             target.id.clone(),
             target.host.clone(),
             target.zone.clone(),
             format!("{}{drained}", target.liveness),
             target.running.to_string(),
             target.revision.to_string(),
-            named.collect::<Vec<_>>().join(" "),
+            versions.collect::<Vec<_>>().join(" "),
         ]);
     }
     table
--- a/crates/cyclamenwharfctl/src/trace.rs
+++ b/crates/cyclamenwharfctl/src/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded decisions: list, fetch and replay them.
+//! The `trace` command, which lists, fetches and replays recorded decisions.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
 use cyclamenwharf::admin::TraceMessage;
 
 use crate::admin_client::AdminClient;
-use crate::failure::Failure;
+use crate::command_error::CommandError;
 
 /// Returns the `trace` command.
 pub(crate) fn command() -> Command {
@@ -20,28 +20,28 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The trace");
+        .help("The trace file");
     let generation = Arg::new("generation")
         .value_name("GENERATION")
         .required(true)
         .value_parser(value_parser!(GenerationId))
-        .help("The generation's id, as in the ids of its events");
+        .help("The id of the generation, which is part of the ids of its events");
     Command::new("trace")
-        .about("Recorded decisions of entries whose settings have [trace]")
+        .about("Commands for the recorded decisions of entries with [trace] in their settings")
         .subcommand_required(true)
         .subcommand(
             Command::new("replay")
-                .about("Replays a trace, compares each step and checks the stated outcome")
+                .about("Replays a trace, compares each step and checks the recorded outcome")
                 .arg(file),
         )
         .subcommand(
             Command::new("list")
-                .about("Lists the generations whose traces an entry keeps, oldest first")
+                .about("Lists the generations whose traces an entry stores, oldest first")
                 .args(AdminClient::args()),
         )
         .subcommand(
             Command::new("fetch")
-                .about("Writes a trace to standard output")
+                .about("Prints a trace")
                 .arg(generation)
                 .args(AdminClient::args()),
         )
@@ -51,8 +51,8 @@
 ///
 /// # Errors
 ///
-/// Fails when a trace cannot be read, or its replay differs.
-pub(crate) async fn run(args: &ArgMatches) -> Result<(), Failure> {
+/// Fails if a trace cannot be read, or if its replay differs from the recording.
+pub(crate) async fn run(args: &ArgMatches) -> Result<(), CommandError> {
     match args.subcommand() {
         Some(("replay", args)) => replay_file(args),
         Some(("list", args)) => list(args).await,
@@ -61,26 +61,26 @@
     }
 }
 
-fn replay_file(args: &ArgMatches) -> Result<(), Failure> {
+fn replay_file(args: &ArgMatches) -> Result<(), CommandError> {
     let file: &PathBuf = args.get_one("file").expect("clap requires it");
-    let text = std::fs::read_to_string(file).map_err(|source| Failure::Read {
+    let text = std::fs::read_to_string(file).map_err(|source| CommandError::Read {
         file: file.clone(),
         source,
     })?;
-    let outcome = replay(&text).map_err(Failure::input)?;
-    let outcome = outcome.map_err(|difference| Failure::Replay {
+    let outcome = replay(&text).map_err(CommandError::invalid_input)?;
+    let outcome = outcome.map_err(|difference| CommandError::Replay {
         file: file.clone(),
         difference: difference.to_string(),
     })?;
-    println!("{}", summary(&outcome)?);
+    println!("{}", to_json(&outcome)?);
     Ok(())
 }
 
-fn summary(outcome: &Outcome) -> Result<String, Failure> {
-    serde_json::to_string_pretty(outcome).map_err(Failure::input)
+fn to_json(outcome: &Outcome) -> Result<String, CommandError> {
+    serde_json::to_string_pretty(outcome).map_err(CommandError::invalid_input)
 }
 
-async fn list(args: &ArgMatches) -> Result<(), Failure> {
+async fn list(args: &ArgMatches) -> Result<(), CommandError> {
     let names: Vec<String> = AdminClient::new(args)?.get("/v1/traces").await?;
     for name in names {
         println!("{name}");
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-async fn fetch(args: &ArgMatches) -> Result<(), Failure> {
+async fn fetch(args: &ArgMatches) -> Result<(), CommandError> {
     let generation: &GenerationId = args.get_one("generation").expect("clap requires it");
     let path = format!("/v1/traces/{generation}");
     let trace: TraceMessage = AdminClient::new(args)?.get(&path).await?;
--- a/crates/cyclamenwharfctl/tests/slo_report.rs
+++ b/crates/cyclamenwharfctl/tests/slo_report.rs
@@ -1,4 +1,4 @@
-//! The report adds up entries, says what is missing and writes each format.
+//! Tests that the report sums up entries, names missing data and supports each output format.
 
 use std::io::Read;
 use std::io::Write;
@@ -22,12 +22,12 @@
 another_metric 1
 ";
 
-/// Serves `METRICS` to one caller.
-fn entry() -> SocketAddr {
+/// Starts a server that sends `METRICS` to one client.
+fn start_entry() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback can be listened on");
     let address = listener.local_addr().expect("a listener has an address");
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a caller connects");
+        let (mut stream, _) = listener.accept().expect("a client connects");
         let _ = stream.read(&mut [0; 1024]);
         let length = METRICS.len();
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
@@ -37,13 +37,13 @@
     address
 }
 
-/// An address at which nothing listens.
-fn nobody() -> SocketAddr {
+/// Returns an address that nothing listens on.
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback can be listened on");
     listener.local_addr().expect("a listener has an address")
 }
 
-fn report(entries: &[SocketAddr], output: &str) -> Output {
+fn run_report(entries: &[SocketAddr], output: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cyclamenwharfctl"));
     command.args(["slo", "report", "--output", output]);
     for entry in entries {
@@ -52,17 +52,20 @@
     command.output().expect("the tool runs")
 }
 
-fn text(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[rstest]
-fn a_table_shows_the_burn_of_all_entries_and_what_is_missing() {
-    let output = report(&[entry(), entry(), nobody()], "table");
+fn table_shows_the_burn_rate_over_all_entries_and_the_missing_data() {
+    let output = run_report(&[start_entry(), start_entry(), unused_address()], "table");
 
-    let table = text(&output);
+    let table = stdout(&output);
     assert!(output.status.success(), "{output:?}");
-    assert!(table.contains("16.00"), "80 % bad of 5 % allowed: {table}");
+    assert!(
+        table.contains("16.00"),
+        "80 % bad events with 5 % allowed: {table}"
+    );
     assert!(table.contains("page"), "{table}");
     assert!(table.contains("Entries read: 2"), "{table}");
     assert!(table.contains("could not be read"), "{table}");
@@ -70,26 +73,26 @@
 }
 
 #[rstest]
-fn json_has_the_sums() {
-    let output = report(&[entry(), entry()], "json");
+fn json_contains_the_summed_counts() {
+    let output = run_report(&[start_entry(), start_entry()], "json");
 
-    let json: serde_json::Value = serde_json::from_str(&text(&output)).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&stdout(&output)).expect("JSON");
     assert_eq!(json["rows"][0]["burn"]["counts"][0]["total"], 200);
     assert_eq!(json["rows"][0]["condition"], "page");
 }
 
 #[rstest]
-fn the_page_carries_its_plots() {
-    let output = report(&[entry()], "html");
+fn html_page_embeds_its_plots() {
+    let output = run_report(&[start_entry()], "html");
 
-    let page = text(&output);
+    let page = stdout(&output);
     assert!(page.contains("<svg"), "{page}");
     assert!(!page.contains("src="), "the page is self-contained");
 }
 
 #[rstest]
-fn no_entry_at_all_is_an_error() {
-    let output = report(&[nobody()], "table");
+fn report_without_any_readable_entry_is_an_error() {
+    let output = run_report(&[unused_address()], "table");
 
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("no entry could be read"));
--- a/crates/cyclamenwharfctl/tests/tool.rs
+++ b/crates/cyclamenwharfctl/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool against a small deployment, by its output and exit codes.
+//! Tests the output and the exit codes of the tool with a small deployment.
 
 use std::path::Path;
 use std::process::Output;
@@ -9,20 +9,20 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// The tool of this build.
+/// The path of the built tool.
 const TOOL: &str = env!("CARGO_BIN_EXE_cyclamenwharfctl");
 
-/// Runs the tool against an entry.
+/// Runs the tool with the first entry and its first peer key.
 async fn run(rig: &Rig, args: &[&str]) -> Output {
     let settings = &rig.entries[0].settings;
-    run_as(rig, &settings.secrets.peers[0], args).await
+    run_with_key(rig, &settings.secrets.peers[0], args).await
 }
 
-async fn run_as(rig: &Rig, key: &str, args: &[&str]) -> Output {
+async fn run_with_key(rig: &Rig, key: &str, args: &[&str]) -> Output {
     let admin = rig.entries[0].settings.listen.admin.to_string();
     let (key, args) = (key.to_owned(), args.iter().map(|arg| (*arg).to_owned()));
     let args: Vec<_> = args.collect();
-    let work = move || {
+    let run = move || {
         std::process::Command::new(TOOL)
             .args(args)
             .env("CYCLAMENWHARF_ADMIN", admin)
@@ -30,33 +30,33 @@
             .output()
             .expect("the tool runs")
     };
-    tokio::task::spawn_blocking(work).await.expect("no panic")
+    tokio::task::spawn_blocking(run).await.expect("no panic")
 }
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().expect("an exit code")
 }
 
-fn text(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn errors(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn write(directory: &Path, name: &str, text: &str) -> String {
+fn write_file(directory: &Path, name: &str, text: &str) -> String {
     let file = directory.join(name);
     std::fs::write(&file, text).expect("a writable directory");
     file.to_string_lossy().into_owned()
 }
 
-fn priority(directory: &Path, rank: u8) -> String {
+fn write_priority(directory: &Path, rank: u8) -> String {
     let text = format!("kind = \"priority\"\nname = \"batch\"\n\n[body]\nrank = {rank}\n");
-    write(directory, "batch.toml", &text)
+    write_file(directory, "batch.toml", &text)
 }
 
-async fn rig() -> Rig {
+async fn start_rig() -> Rig {
     let spec = RigSpec {
         engines: 2,
         services: 0,
@@ -67,92 +67,108 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn change_goes_from_file_to_force_and_back() {
-    let rig = rig().await;
+async fn change_is_proposed_from_files_accepted_and_listed() {
+    let rig = start_rig().await;
     let directory = TempDir::new().expect("a directory");
-    let place = directory.path().to_string_lossy().into_owned();
-    priority(directory.path(), 1);
+    let directory_path = directory.path().to_string_lossy().into_owned();
+    write_priority(directory.path(), 1);
 
-    let applied = run(&rig, &["apply", "-f", &place, "--accept"]).await;
+    let applied = run(&rig, &["apply", "-f", &directory_path, "--accept"]).await;
     let waited = run(&rig, &["wait", "--revision", "2"]).await;
-    let again = run(&rig, &["apply", "-f", &place]).await;
-    let file = priority(directory.path(), 9);
+    let reapplied = run(&rig, &["apply", "-f", &directory_path]).await;
+    let file = write_priority(directory.path(), 9);
     let proposed = run(&rig, &["propose", "-f", &file, "--id", "c2"]).await;
     let diff = run(&rig, &["diff", "c2"]).await;
     let accepted = run(&rig, &["accept", "c2", "--output", "json"]).await;
     let history = run(&rig, &["history", "priority/batch"]).await;
 
-    assert_eq!(code(&applied), 0, "{}", errors(&applied));
-    assert_eq!(code(&waited), 0, "{}", errors(&waited));
-    assert!(text(&again).contains("nothing to change"));
-    assert_eq!(code(&proposed), 0, "{}", errors(&proposed));
-    assert!(text(&diff).contains("rank: 1 -> 9"), "{}", text(&diff));
-    let change: Value = serde_json::from_str(&text(&accepted)).expect("JSON");
+    assert_eq!(exit_code(&applied), 0, "{}", stderr(&applied));
+    assert_eq!(exit_code(&waited), 0, "{}", stderr(&waited));
+    assert!(stdout(&reapplied).contains("nothing to change"));
+    assert_eq!(exit_code(&proposed), 0, "{}", stderr(&proposed));
+    assert!(stdout(&diff).contains("rank: 1 -> 9"), "{}", stdout(&diff));
+    let change: Value = serde_json::from_str(&stdout(&accepted)).expect("JSON");
     assert_eq!(change["revision"], 3);
-    assert_eq!(text(&history).lines().count(), 3);
+    assert_eq!(stdout(&history).lines().count(), 3);
     rig.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn drained_target_shows_in_the_status_until_it_is_undrained() {
-    let rig = rig().await;
+async fn status_shows_a_target_as_drained_until_it_is_undrained() {
+    let rig = start_rig().await;
     let target = rig.agents[0].settings.target.id.to_string();
 
     let drained = run(&rig, &["drain", &target, "--reason", "a test"]).await;
-    let shown = run(&rig, &["status"]).await;
+    let status_drained = run(&rig, &["status"]).await;
     let undrained = run(&rig, &["undrain", &target]).await;
-    let later = run(&rig, &["status"]).await;
-
-    assert_eq!(code(&drained), 0, "{}", errors(&drained));
-    assert!(text(&shown).contains("(drained)"), "{}", text(&shown));
-    assert_eq!(code(&undrained), 0, "{}", errors(&undrained));
-    assert!(!text(&later).contains("(drained)"), "{}", text(&later));
+    let status_undrained = run(&rig, &["status"]).await;
+
+    assert_eq!(exit_code(&drained), 0, "{}", stderr(&drained));
+    assert!(
+        stdout(&status_drained).contains("(drained)"),
+        "{}",
+        stdout(&status_drained)
+    );
+    assert_eq!(exit_code(&undrained), 0, "{}", stderr(&undrained));
+    assert!(
+        !stdout(&status_undrained).contains("(drained)"),
+        "{}",
+        stdout(&status_undrained)
+    );
     rig.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn exit_code_says_what_kind_of_error_it_is() {
-    let rig = rig().await;
+async fn exit_code_depends_on_the_kind_of_error() {
+    let rig = start_rig().await;
     let remove = |key| ["propose", "--id", "bad", "--remove", key];
 
-    let not_allowed = run_as(&rig, "nobody", &["status"]).await;
+    let not_allowed = run_with_key(&rig, "nobody", &["status"]).await;
     let not_found = run(&rig, &["accept", "nothing"]).await;
     let proposed = run(&rig, &remove("priority/normal")).await;
-    let other = run(&rig, &remove("priority/high")).await;
-    let breaks = run(&rig, &["accept", "bad"]).await;
+    let duplicate_id = run(&rig, &remove("priority/high")).await;
+    let broken_route = run(&rig, &["accept", "bad"]).await;
     let timeout = run(&rig, &["wait", "--revision", "99", "--timeout", "0s"]).await;
     rig.stop().await;
     let unavailable = run(&rig, &["status"]).await;
 
-    assert_eq!(code(&not_allowed), 3);
-    assert_eq!(code(&not_found), 4);
-    assert_eq!(code(&proposed), 0);
-    assert_eq!(code(&other), 5, "another change has the id");
-    assert_eq!(code(&breaks), 6, "{}", errors(&breaks));
-    assert!(errors(&breaks).contains("route"), "{}", errors(&breaks));
-    assert_eq!(code(&timeout), 9);
-    assert_eq!(code(&unavailable), 7);
+    assert_eq!(exit_code(&not_allowed), 3);
+    assert_eq!(exit_code(&not_found), 4);
+    assert_eq!(exit_code(&proposed), 0);
+    assert_eq!(
+        exit_code(&duplicate_id),
+        5,
+        "another change already has this id"
+    );
+    assert_eq!(exit_code(&broken_route), 6, "{}", stderr(&broken_route));
+    assert!(
+        stderr(&broken_route).contains("route"),
+        "{}",
+        stderr(&broken_route)
+    );
+    assert_eq!(exit_code(&timeout), 9);
+    assert_eq!(exit_code(&unavailable), 7);
 }
 
 #[rstest]
 #[case::unknown_key("host = \"h\"\nnonsense = 1\n", "nonsense")]
 #[case::not_toml("host = ", "TOML")]
-fn settings_check_names_what_is_wrong(#[case] settings: &str, #[case] expected: &str) {
+fn settings_check_reports_the_invalid_part(#[case] settings: &str, #[case] expected: &str) {
     let directory = TempDir::new().expect("a directory");
-    let file = write(directory.path(), "entry.toml", settings);
+    let file = write_file(directory.path(), "entry.toml", settings);
 
     let output = std::process::Command::new(TOOL)
         .args(["settings", "check", &file])
         .output()
         .expect("the tool runs");
 
-    assert_eq!(code(&output), 2);
-    assert!(errors(&output).contains("entry.toml"));
-    assert!(errors(&output).contains(expected), "{}", errors(&output));
+    assert_eq!(exit_code(&output), 2);
+    assert!(stderr(&output).contains("entry.toml"));
+    assert!(stderr(&output).contains(expected), "{}", stderr(&output));
 }
 
 #[test]
-fn settings_of_the_examples_are_right() {
+fn example_settings_are_valid() {
     for name in ["entry.toml", "agent.toml"] {
         let file = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../examples")
@@ -162,6 +178,6 @@
             .output()
             .expect("the tool runs");
 
-        assert_eq!(code(&output), 0, "{}", errors(&output));
+        assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     }
 }
