--- a/crates/cyclamenwharf/src/forward/forward_settings.rs
+++ b/crates/cyclamenwharf/src/forward/forward_settings.rs
@@ -12,7 +12,7 @@
 
 use crate::LogSettings;
 use crate::SettingsError;
-use crate::settings::read;
+use crate::settings::read_settings;
 
 /// The settings of a forwarding entry.
 #[serde_as]
@@ -78,7 +78,7 @@
     /// Fails if the file cannot be read or a value is invalid. The error names the file, the key
     /// and the expected value.
     pub fn read(file: &Path) -> Result<Self, SettingsError> {
-        let settings: Self = read(file)?;
+        let settings: Self = read_settings(file)?;
         let value = |key, expected| SettingsError::Value {
             file: file.to_owned(),
             key,
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -14,7 +14,7 @@
 
 use crate::StartError;
 use crate::Supervisor;
-use crate::clock::incarnation;
+use crate::clock::new_incarnation;
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
@@ -105,8 +105,8 @@
         start_directory_tasks(&supervisor, &shared, &parts.store);
         start_peer_exchange(&supervisor, &shared, listen.peers)?;
         let callers = ServerLimits {
-            connections: MAX_CALLER_CONNECTIONS,
-            head: Some(CALLER_IDLE_TIMEOUT),
+            max_connections: MAX_CALLER_CONNECTIONS,
+            header_timeout: Some(CALLER_IDLE_TIMEOUT),
         };
         let caller_api = Arc::new(CallerApi {
             shared: Arc::clone(&shared),
@@ -134,8 +134,8 @@
     registry: Registry,
 ) -> io::Result<Vec<StreamServer>> {
     let limits = ServerLimits {
-        connections: MAX_OPERATOR_CONNECTIONS,
-        head: Some(OPERATOR_IDLE_TIMEOUT),
+        max_connections: MAX_OPERATOR_CONNECTIONS,
+        header_timeout: Some(OPERATOR_IDLE_TIMEOUT),
     };
     let api = Arc::new(OperatorApi {
         shared: Arc::clone(shared),
@@ -164,7 +164,7 @@
 ) {
     for (name, topic) in [("config", Topic::Config), ("targets", Topic::Targets)] {
         let (shared, store) = (Arc::clone(shared), Arc::clone(store));
-        supervisor.keep(name, move || {
+        supervisor.supervise(name, move || {
             let directory = DirectorySync {
                 shared: Arc::clone(&shared),
                 store: Arc::clone(&store),
@@ -175,7 +175,7 @@
         });
     }
     let (task_shared, task_store) = (Arc::clone(shared), Arc::clone(store));
-    supervisor.keep("registry", move || {
+    supervisor.supervise("registry", move || {
         let registry = super::entry_registry::EntryRegistry {
             shared: Arc::clone(&task_shared),
             store: Arc::clone(&task_store),
@@ -183,7 +183,7 @@
         registry.run()
     });
     let (task_shared, task_store) = (Arc::clone(shared), Arc::clone(store));
-    supervisor.keep("ledger", move || {
+    supervisor.supervise("ledger", move || {
         let locations = PromptLocationStore {
             shared: Arc::clone(&task_shared),
             store: Arc::clone(&task_store),
@@ -191,7 +191,7 @@
         locations.run()
     });
     let task_shared = Arc::clone(shared);
-    supervisor.keep("upkeep", move || {
+    supervisor.supervise("upkeep", move || {
         expire_periodically(Arc::clone(&task_shared))
     });
 }
@@ -227,11 +227,11 @@
     let socket = std::net::UdpSocket::bind(address).map_err(StartError::new)?;
     socket.set_nonblocking(true).map_err(StartError::new)?;
     let socket = Arc::new(UdpSocket::from_std(socket).map_err(StartError::new)?);
-    let incarnation = incarnation();
+    let incarnation = new_incarnation();
     for name in ["peers/tell", "peers/hear"] {
         let shared = Arc::clone(shared);
         let socket = Arc::clone(&socket);
-        supervisor.keep(name, move || {
+        supervisor.supervise(name, move || {
             let exchange = PeerExchange {
                 shared: Arc::clone(&shared),
                 socket: Arc::clone(&socket),
--- a/crates/cyclamenwharfctl/src/settings.rs
+++ b/crates/cyclamenwharfctl/src/settings.rs
@@ -61,7 +61,8 @@
 }
 
 fn detect_role(file: &Path) -> Result<Role, CommandError> {
-    let table: toml::Table = cyclamenwharf::read(file).map_err(CommandError::invalid_input)?;
+    let table: toml::Table =
+        cyclamenwharf::read_settings(file).map_err(CommandError::invalid_input)?;
     Ok(match table.contains_key(AGENT_TABLE) {
         true => Role::Agent,
         false => Role::Entry,
