--- a/crates/cyclamenwharf/src/agent/agent_state.rs
+++ b/crates/cyclamenwharf/src/agent/agent_state.rs
@@ -12,7 +12,7 @@
 use cw_policy::AttemptTable;
 use cw_policy::OrderGuard;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_types::AttemptId;
 use cw_types::Time;
 use cw_wire::Dispatch;
@@ -42,7 +42,7 @@
     pub(super) report_now: Notify,
     pub(super) orders: Mutex<OrderGuard>,
     /// The client of the key-value service.
-    pub(super) store: Box<dyn KeyValue>,
+    pub(super) store: Box<dyn KeyValueStore>,
     /// Whether this process has read the planner's lease.
     pub(super) lease_read: AtomicBool,
     leaving: Mutex<LeavingState>,
--- a/crates/cyclamenwharf/src/control/admin/change_service.rs
+++ b/crates/cyclamenwharf/src/control/admin/change_service.rs
@@ -20,7 +20,7 @@
 use cw_policy::configuration::accept;
 use cw_policy::configuration::in_use;
 use cw_policy::configuration::reject;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -63,7 +63,7 @@
 /// Stores, accepts and rejects the proposals of operators.
 #[derive(Clone)]
 pub(in crate::control) struct ChangeService {
-    pub(in crate::control) key_value: Arc<dyn KeyValue>,
+    pub(in crate::control) key_value: Arc<dyn KeyValueStore>,
     pub(in crate::control) events: mpsc::Sender<Event>,
 }
 
@@ -108,7 +108,7 @@
         let written = self.write_key(&key, None, &proposal).await;
         let found = match written {
             Ok(Swap::Done(_)) => return Ok(proposal),
-            Ok(Swap::Conflict(_)) | Err(StoreError::Lost { .. }) => {
+            Ok(Swap::Conflict(_)) | Err(StoreError::OutcomeUnknown { .. }) => {
                 self.read_key::<Proposal>(&key).await?
             }
             Err(error) => return Err(error.into()),
@@ -160,7 +160,7 @@
                 .await
             {
                 Ok(Swap::Done(_)) => return Ok(*rejected),
-                Ok(Swap::Conflict(_)) | Err(StoreError::Lost { .. }) => continue,
+                Ok(Swap::Conflict(_)) | Err(StoreError::OutcomeUnknown { .. }) => continue,
                 Err(error) => return Err(error.into()),
             }
         }
@@ -371,7 +371,7 @@
         Ok(Swap::Done(_)) => Ok(FlowEvent::Written(true)),
         Ok(Swap::Conflict(_)) => Ok(FlowEvent::Written(false)),
         Err(StoreError::Unavailable { .. }) => Ok(FlowEvent::Failed(Fault::Unavailable)),
-        Err(StoreError::Lost { .. }) => Ok(FlowEvent::Failed(Fault::Lost)),
+        Err(StoreError::OutcomeUnknown { .. }) => Ok(FlowEvent::Failed(Fault::Lost)),
         Err(error) => Err(error.into()),
     }
 }
--- a/crates/cyclamenwharf/src/control/counting_key_value.rs
+++ b/crates/cyclamenwharf/src/control/counting_key_value.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
 use cw_store::StoreError;
@@ -17,13 +17,13 @@
 
 /// A key-value client that counts its calls, because the platform counts and limits them.
 pub(super) struct CountingKeyValue {
-    inner: Arc<dyn KeyValue>,
+    inner: Arc<dyn KeyValueStore>,
     calls: IntCounterVec,
 }
 
 impl CountingKeyValue {
     /// Returns a client that counts the calls to `inner` in `calls`, by the label `call`.
-    pub(super) fn new(inner: Arc<dyn KeyValue>, calls: IntCounterVec) -> Self {
+    pub(super) fn new(inner: Arc<dyn KeyValueStore>, calls: IntCounterVec) -> Self {
         Self { inner, calls }
     }
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl KeyValue for CountingKeyValue {
+impl KeyValueStore for CountingKeyValue {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>> {
         self.count("get");
         self.inner.get(key)
--- a/crates/cyclamenwharf/src/control/lease_calls.rs
+++ b/crates/cyclamenwharf/src/control/lease_calls.rs
@@ -7,7 +7,7 @@
 use cw_macro::data;
 use cw_policy::planner::LeaseEvent;
 use cw_policy::planner::LeaseStep;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -35,7 +35,7 @@
 /// Calls to the key-value service for the planner's lease, each in its own task.
 #[derive(Clone)]
 pub(super) struct LeaseCalls {
-    pub(super) key_value: Arc<dyn KeyValue>,
+    pub(super) key_value: Arc<dyn KeyValueStore>,
     pub(super) host: HostId,
 }
 
@@ -95,7 +95,7 @@
                 claimed_event(found.created.0)
             }
             Ok(Swap::Conflict(_)) => LeaseEvent::HeldElsewhere,
-            Err(StoreError::Lapsed) => LeaseEvent::Expired,
+            Err(StoreError::LeaseExpired) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
     }
@@ -103,7 +103,7 @@
     async fn renew(&self, requested_at: Time, lease: LeaseId) -> LeaseEvent {
         match self.key_value.keep_alive(lease).await {
             Ok(ttl) => LeaseEvent::Renewed { requested_at, ttl },
-            Err(StoreError::Lapsed) => LeaseEvent::Expired,
+            Err(StoreError::LeaseExpired) => LeaseEvent::Expired,
             Err(_) => LeaseEvent::Failed,
         }
     }
