--- a/crates/cyclamenwharf/src/agent/admin_server.rs
+++ b/crates/cyclamenwharf/src/agent/admin_server.rs
@@ -13,7 +13,7 @@
 use crate::StartError;
 
 /// The largest request body from an operator, in bytes.
-const MESSAGE_MAX: usize = 16 << 10;
+const MAX_BODY_BYTES: usize = 16 << 10;
 
 /// Starts the server.
 ///
@@ -27,7 +27,7 @@
 ) -> Result<HttpServer<Arc<AgentState>>, StartError> {
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: MESSAGE_MAX,
+        default_request_body_max_bytes: MAX_BODY_BYTES,
         // A request is handled completely even if the client disconnects before the response.
         default_handler_task_mode: HandlerTaskMode::Detached,
         ..ConfigDropshot::default()
--- a/crates/cyclamenwharf/src/agent/agent_handle.rs
+++ b/crates/cyclamenwharf/src/agent/agent_handle.rs
@@ -16,10 +16,10 @@
 
 use super::admin_api;
 use super::admin_server;
+use super::agent_metrics::AgentMetrics;
 use super::agent_state::AgentState;
 use super::agent_state::lock;
 use super::host_watch;
-use super::metrics::Metrics;
 use super::monitor;
 use super::peer_api::PeerApi;
 use super::reporter;
@@ -127,7 +127,7 @@
 
 fn new_state(settings: AgentSettings) -> Result<AgentState, StartError> {
     let table = AttemptTable::new(new_incarnation(), attempt_limits(&settings.engine));
-    let metrics = Metrics::new(Registry::new()).map_err(|error| StartError {
+    let metrics = AgentMetrics::new(Registry::new()).map_err(|error| StartError {
         message: error.to_string(),
     })?;
     let supervisor = Supervisor::new("agent");
--- a/crates/cyclamenwharf/src/agent/metrics.rs
+++ b/crates/cyclamenwharf/src/agent/agent_metrics.rs
@@ -10,7 +10,7 @@
 
 /// The metrics of an agent.
 #[derive(Debug)]
-pub(super) struct Metrics {
+pub(super) struct AgentMetrics {
     registry: Registry,
     refused: IntCounterVec,
     running: IntGauge,
@@ -21,7 +21,7 @@
     crashes: IntGauge,
 }
 
-impl Metrics {
+impl AgentMetrics {
     /// Creates the metrics and registers them.
     ///
     /// # Errors
--- a/crates/cyclamenwharf/src/agent/agent_state.rs
+++ b/crates/cyclamenwharf/src/agent/agent_state.rs
@@ -19,12 +19,12 @@
 use cw_wire::Work;
 use tokio::sync::Notify;
 
+use super::agent_metrics::AgentMetrics;
 use super::attempt_signals::AttemptSignals;
 use super::call_runner;
-use super::engine_client::EngineClient;
 use super::generate_runner;
 use super::leaving_state::LeavingState;
-use super::metrics::Metrics;
+use super::target_client::TargetClient;
 use crate::AgentSettings;
 use crate::Clock;
 use crate::Supervisor;
@@ -34,8 +34,8 @@
     pub(super) settings: AgentSettings,
     pub(super) clock: Clock,
     pub(super) supervisor: Supervisor,
-    pub(super) engine: EngineClient,
-    pub(super) metrics: Metrics,
+    pub(super) target_client: TargetClient,
+    pub(super) metrics: AgentMetrics,
     /// Requests an immediate reading of the target by the monitor.
     pub(super) check_target: Notify,
     /// Requests an immediate report by the reporter.
@@ -62,10 +62,10 @@
         clock: Clock,
         supervisor: Supervisor,
         table: AttemptTable,
-        metrics: Metrics,
+        metrics: AgentMetrics,
     ) -> Self {
         Self {
-            engine: EngineClient::new(settings.target.address),
+            target_client: TargetClient::new(settings.target.address),
             store: Box::new(EtcdGateway::new(settings.platform.key_value.clone())),
             lease_read: AtomicBool::new(false),
             settings,
--- a/crates/cyclamenwharf/src/agent/call_runner.rs
+++ b/crates/cyclamenwharf/src/agent/call_runner.rs
@@ -73,7 +73,7 @@
         });
     };
     let sent = state
-        .engine
+        .target_client
         .send(method, &call.head.path, headers, call.body)
         .await;
     let response = match sent {
--- a/crates/cyclamenwharf/src/agent/generate_runner.rs
+++ b/crates/cyclamenwharf/src/agent/generate_runner.rs
@@ -70,7 +70,7 @@
 
 /// Sends an abort to the engine, which may not notice the closed connection while it is paused.
 fn send_abort(state: &Arc<AgentState>, id: AttemptId) {
-    let engine = state.engine.clone();
+    let engine = state.target_client.clone();
     state.supervisor.spawn(async move {
         if let Err(error) = engine.abort(id, ABORT_TIMEOUT).await {
             debug!(generation = id.generation.to_string(), attempt = id.attempt.0; "cannot send an abort to the engine: {error}");
@@ -89,7 +89,7 @@
         return Outcome::End(AttemptEnd::Done(FinishReason::Length));
     }
     let (path, body) = CompletionRequest::new(id, rank, &work);
-    let sent = state.engine.post(path, &body).await;
+    let sent = state.target_client.post(path, &body).await;
     // The prompt is not needed during a long run, so its memory is released.
     drop(work);
     let response = match sent {
--- a/crates/cyclamenwharf/src/agent/mod.rs
+++ b/crates/cyclamenwharf/src/agent/mod.rs
@@ -6,22 +6,22 @@
 mod admin_api;
 mod admin_server;
 mod agent_handle;
+mod agent_metrics;
 mod agent_state;
 mod attempt_signals;
 mod call_runner;
-mod engine_client;
 mod engine_json;
 mod frame_stream;
 mod generate_runner;
 mod host_watch;
 mod leaving_state;
-mod metrics;
 mod monitor;
 mod order_runner;
 mod peer_api;
 mod planner_lease;
 mod reporter;
 mod sse;
+mod target_client;
 
 pub use agent_handle::Agent;
 pub use agent_handle::AgentHandle;
--- a/crates/cyclamenwharf/src/agent/monitor.rs
+++ b/crates/cyclamenwharf/src/agent/monitor.rs
@@ -11,15 +11,15 @@
 use log::info;
 
 use super::agent_state::AgentState;
-use super::engine_client::EngineError;
 use super::engine_json::EngineLoad;
+use super::target_client::TargetClientError;
 
 /// The time limit for reading the load.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// The delay after a failed reading. It is short, as nothing starts before the target responds.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The number of consecutive failed readings after which the target counts as down.
-const FAILURES_MAX: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 
 /// The state that is kept between readings.
 #[derive(Default)]
@@ -41,7 +41,7 @@
         }
         let pause = match monitor.failures {
             0 => state.settings.engine.report,
-            _ => RETRY_PAUSE.min(state.settings.engine.report),
+            _ => RETRY_DELAY.min(state.settings.engine.report),
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -62,10 +62,10 @@
     let requested_at = state.clock.now();
     match read_load(state).await {
         Ok(reading) => on_reading(state, monitor, requested_at, reading),
-        Err(EngineError::Refused) => on_refused(state, monitor),
+        Err(TargetClientError::Refused) => on_refused(state, monitor),
         Err(_) => {
             monitor.failures += 1;
-            if monitor.failures >= FAILURES_MAX {
+            if monitor.failures >= MAX_FAILURES {
                 state.apply_event(|table, now| table.on_down(now));
             }
         }
@@ -73,15 +73,18 @@
 }
 
 /// Reads the load of an engine. A plain service only shows that it accepts connections.
-async fn read_load(state: &Arc<AgentState>) -> Result<Option<EngineLoad>, EngineError> {
+async fn read_load(state: &Arc<AgentState>) -> Result<Option<EngineLoad>, TargetClientError> {
     if state.settings.target.kind != TargetKind::Engine {
-        return state.engine.check_connection().await.map(|()| None);
+        return state.target_client.check_connection().await.map(|()| None);
     }
     let none: Option<&()> = None;
-    let (_, body) = state.engine.control("/v1/load", none, READ_TIMEOUT).await?;
+    let (_, body) = state
+        .target_client
+        .control("/v1/load", none, READ_TIMEOUT)
+        .await?;
     serde_json::from_slice(&body)
         .map(Some)
-        .map_err(|error| EngineError::Broken {
+        .map_err(|error| TargetClientError::Broken {
             message: error.to_string(),
         })
 }
--- a/crates/cyclamenwharf/src/agent/order_runner.rs
+++ b/crates/cyclamenwharf/src/agent/order_runner.rs
@@ -93,7 +93,7 @@
         order: &order.kind,
     };
     let sent = state
-        .engine
+        .target_client
         .control("/v1/orders", Some(&body), ORDER_TIMEOUT)
         .await;
     match sent {
--- a/crates/cyclamenwharf/src/agent/peer_api.rs
+++ b/crates/cyclamenwharf/src/agent/peer_api.rs
@@ -32,7 +32,7 @@
 use crate::stream_server::Handler;
 
 /// The largest message from a peer, in bytes.
-const MESSAGE_MAX: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// A response, or the status of a refused request.
 type HandlerResult = Result<Response<Body>, StatusCode>;
@@ -71,7 +71,7 @@
     if parts.method != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
-    let body = Limited::new(body, MESSAGE_MAX).collect().await;
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let bytes = body.map_err(|_| StatusCode::BAD_REQUEST)?.to_bytes();
     match parts.uri.path() {
         path::ATTEMPTS => attempts(state, decode(&bytes)?),
--- a/crates/cyclamenwharf/src/agent/planner_lease.rs
+++ b/crates/cyclamenwharf/src/agent/planner_lease.rs
@@ -15,7 +15,7 @@
 use super::agent_state::lock;
 
 /// The key of the planner's lease; its creation revision is the fencing number.
-const LEASE_KEY: &str = "cyclamenwharf/planner";
+const PLANNER_KEY: &str = "cyclamenwharf/planner";
 
 /// Orders cannot be accepted yet.
 #[derive(Debug, Snafu)]
@@ -40,7 +40,7 @@
     if state.lease_read.load(Ordering::Acquire) {
         return Ok(());
     }
-    let found = state.store.get(LEASE_KEY).await.context(ReadSnafu)?;
+    let found = state.store.get(PLANNER_KEY).await.context(ReadSnafu)?;
     let lease = found.ok_or(LeaseError::NoHolder)?;
     let lowest = u64::try_from(lease.created.0).unwrap_or_default();
     lock(&state.orders).observe_fencing(FencingNumber(lowest));
--- a/crates/cyclamenwharf/src/agent/sse.rs
+++ b/crates/cyclamenwharf/src/agent/sse.rs
@@ -10,7 +10,7 @@
 use tokio_util::io::StreamReader;
 
 /// The longest line of an event stream, in bytes.
-const LINE_MAX: usize = 1 << 20;
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Returns the data of each event of a response body.
 ///
@@ -19,7 +19,7 @@
     body: Incoming,
 ) -> impl Stream<Item = Result<String, LinesCodecError>> + Send + Unpin {
     let bytes = http_body_util::BodyExt::into_data_stream(body).map_err(std::io::Error::other);
-    let codec = LinesCodec::new_with_max_length(LINE_MAX);
+    let codec = LinesCodec::new_with_max_length(MAX_LINE_BYTES);
     let lines = FramedRead::new(StreamReader::new(bytes), codec);
     futures::stream::unfold(lines, |mut lines| async {
         let event = next_event(&mut lines).await?;
--- a/crates/cyclamenwharf/src/agent/engine_client.rs
+++ b/crates/cyclamenwharf/src/agent/target_client.rs
@@ -24,11 +24,11 @@
 /// The time limit for establishing a connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The largest response to a control call, in bytes.
-const RESPONSE_MAX: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// An error of a call to the target.
 #[derive(Debug, Snafu)]
-pub(super) enum EngineError {
+pub(super) enum TargetClientError {
     /// The target's address refuses connections, so the call had no effect.
     #[snafu(display("the target refuses connections"))]
     Refused,
@@ -57,19 +57,22 @@
 /// Each call opens its own connection, so that a broken connection affects its call only, and a
 /// call whose connection was never established has certainly not been received.
 #[derive(Clone, Debug)]
-pub(super) struct EngineClient {
+pub(super) struct TargetClient {
     client: Client<HttpConnector, Full<Bytes>>,
     address: SocketAddr,
 }
 
-impl EngineError {
+impl TargetClientError {
     /// Returns whether the call certainly had no effect.
     pub(super) fn had_no_effect(&self) -> bool {
-        matches!(self, EngineError::Refused | EngineError::Connect { .. })
+        matches!(
+            self,
+            TargetClientError::Refused | TargetClientError::Connect { .. }
+        )
     }
 }
 
-impl EngineClient {
+impl TargetClient {
     /// Returns a client for the target at `address`.
     pub(super) fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
@@ -93,21 +96,21 @@
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-    ) -> Result<Response<Incoming>, EngineError> {
+    ) -> Result<Response<Incoming>, TargetClientError> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
             .body(Full::new(body))
-            .map_err(|error| EngineError::Connect {
+            .map_err(|error| TargetClientError::Connect {
                 message: error.to_string(),
             })?;
         request.headers_mut().extend(headers);
         self.client.request(request).await.map_err(|error| {
             let message = error.to_string();
             match error.is_connect() {
-                true if is_refused(&error) => EngineError::Refused,
-                true => EngineError::Connect { message },
-                false => EngineError::Broken { message },
+                true if is_refused(&error) => TargetClientError::Refused,
+                true => TargetClientError::Connect { message },
+                false => TargetClientError::Broken { message },
             }
         })
     }
@@ -121,8 +124,8 @@
         &self,
         path: &str,
         message: &M,
-    ) -> Result<Response<Incoming>, EngineError> {
-        let body = serde_json::to_vec(message).map_err(|error| EngineError::Connect {
+    ) -> Result<Response<Incoming>, TargetClientError> {
+        let body = serde_json::to_vec(message).map_err(|error| TargetClientError::Connect {
             message: error.to_string(),
         })?;
         let json = http::HeaderValue::from_static("application/json");
@@ -140,28 +143,32 @@
         path: &str,
         message: Option<&M>,
         limit: Duration,
-    ) -> Result<(StatusCode, Bytes), EngineError> {
+    ) -> Result<(StatusCode, Bytes), TargetClientError> {
         let work = async {
             let response = match message {
                 Some(message) => self.post(path, message).await?,
                 None => self.get(path).await?,
             };
             let status = response.status();
-            let body = Limited::new(response.into_body(), RESPONSE_MAX)
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
-                .map_err(|error| EngineError::Broken {
+                .map_err(|error| TargetClientError::Broken {
                     message: error.to_string(),
                 })?;
             Ok((status, body.to_bytes()))
         };
         tokio::time::timeout(limit, work)
             .await
-            .unwrap_or(Err(EngineError::Timeout { limit }))
+            .unwrap_or(Err(TargetClientError::Timeout { limit }))
     }
 
     /// Requests that the engine stops an attempt.
-    pub(super) async fn abort(&self, id: AttemptId, limit: Duration) -> Result<(), EngineError> {
+    pub(super) async fn abort(
+        &self,
+        id: AttemptId,
+        limit: Duration,
+    ) -> Result<(), TargetClientError> {
         let message = super::engine_json::AbortRequest {
             request_id: id.to_string(),
         };
@@ -171,21 +178,21 @@
     }
 
     /// Checks that the target accepts connections.
-    pub(super) async fn check_connection(&self) -> Result<(), EngineError> {
+    pub(super) async fn check_connection(&self) -> Result<(), TargetClientError> {
         let connection = tokio::net::TcpStream::connect(self.address);
         match tokio::time::timeout(CONNECT_TIMEOUT, connection).await {
             Ok(Ok(_)) => Ok(()),
-            Ok(Err(error)) if is_refused(&error) => Err(EngineError::Refused),
-            Ok(Err(error)) => Err(EngineError::Connect {
+            Ok(Err(error)) if is_refused(&error) => Err(TargetClientError::Refused),
+            Ok(Err(error)) => Err(TargetClientError::Connect {
                 message: error.to_string(),
             }),
-            Err(_) => Err(EngineError::Timeout {
+            Err(_) => Err(TargetClientError::Timeout {
                 limit: CONNECT_TIMEOUT,
             }),
         }
     }
 
-    async fn get(&self, path: &str) -> Result<Response<Incoming>, EngineError> {
+    async fn get(&self, path: &str) -> Result<Response<Incoming>, TargetClientError> {
         self.send(Method::GET, path, HeaderMap::new(), Bytes::new())
             .await
     }
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -47,7 +47,7 @@
 use crate::listed_host::live_entry;
 
 /// The period of [`Core::on_tick`].
-pub(super) const TICK: Duration = Duration::from_millis(50);
+pub(super) const TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// How often the view is published if nothing urgent has happened.
 const VIEW_PERIOD: Duration = Duration::from_millis(250);
@@ -237,7 +237,7 @@
     }
 
     fn on_hosts(&mut self, hosts: Vec<Host>) {
-        let marks: BTreeMap<_, _> = hosts
+        let statuses: BTreeMap<_, _> = hosts
             .iter()
             .map(|h| (h.host.clone(), host_status(h)))
             .collect();
@@ -247,8 +247,8 @@
         entries.push(own.clone());
         entries.sort_by(|a, b| a.host.cmp(&b.host));
         self.processes
-            .retain(|host| *host == own.host || marks.contains_key(host));
-        self.members.on_hosts(marks, entries.len());
+            .retain(|host| *host == own.host || statuses.contains_key(host));
+        self.members.on_hosts(statuses, entries.len());
         if entries == self.entries {
             return;
         }
--- a/crates/cyclamenwharf/src/control/mod.rs
+++ b/crates/cyclamenwharf/src/control/mod.rs
@@ -3,6 +3,7 @@
 //! One thread owns the control state and publishes an immutable [`View`] for the traffic threads.
 
 pub mod admin;
+mod control_metrics;
 mod core;
 mod core_queries;
 mod counting_key_value;
@@ -10,7 +11,6 @@
 mod event;
 mod hosts_task;
 mod lease_calls;
-mod metrics;
 mod peer_sender;
 mod peer_server;
 mod planner_status;
@@ -26,9 +26,9 @@
 pub use self::planner_status::PlannerStatus;
 pub use self::services::Services;
 
+use self::control_metrics::ControlMetrics;
 use self::event::Event;
 use self::event::Inspection;
-use self::metrics::ControlMetrics;
 use self::peer_sender::PeerSender;
 use self::store_task::StoreAccess;
 
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -25,7 +25,7 @@
 use super::admin::ChangeService;
 use super::core::Core;
 use super::core::CoreParts;
-use super::core::TICK;
+use super::core::TICK_PERIOD;
 use super::counting_key_value::CountingKeyValue;
 use super::hosts_task::poll_hosts;
 use super::lease_calls::LeaseCalls;
@@ -282,7 +282,7 @@
 
 async fn run_core(mut core: Core, clock: Clock, receiver: Arc<Mutex<mpsc::Receiver<Event>>>) {
     let mut receiver = receiver.lock().await;
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -30,7 +30,7 @@
 const LEASE_SHARING: Duration = Duration::from_secs(600);
 
 /// The largest answer body that is stored with its claim, in bytes.
-const ANSWER_MAX_BYTES: usize = 16 << 10;
+const MAX_ANSWER_BYTES: usize = 16 << 10;
 
 /// A claim and the store revision that wrote it.
 pub(crate) type StoredClaim = (Box<Claim>, ClaimRevision);
@@ -187,7 +187,7 @@
             return;
         };
         let length = |body: &Bytes| body.len();
-        if length(&answer.body) > ANSWER_MAX_BYTES {
+        if length(&answer.body) > MAX_ANSWER_BYTES {
             return;
         }
         let claim = Claim {
--- a/crates/cyclamenwharf/src/entry/completion_request.rs
+++ b/crates/cyclamenwharf/src/entry/completion_request.rs
@@ -9,16 +9,16 @@
 use super::api_error::ApiError;
 
 /// The default of `max_tokens`.
-const MAX_TOKENS_DEFAULT: u64 = 256;
+const DEFAULT_MAX_TOKENS: u64 = 256;
 
 /// The upper limit of `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1 << 20;
 
 /// The most stop sequences in one request.
-const STOP_MAX: usize = 16;
+const MAX_STOP_SEQUENCES: usize = 16;
 
 /// The upper limit of `temperature`.
-const TEMPERATURE_MAX: f64 = 2.0;
+const MAX_TEMPERATURE: f64 = 2.0;
 
 /// A prompt as text or as token ids.
 #[derive(Clone, Debug, Deserialize)]
@@ -126,7 +126,7 @@
         Self {
             model: body.model,
             prompt,
-            max_tokens: TokenCount(body.max_tokens.unwrap_or(MAX_TOKENS_DEFAULT)),
+            max_tokens: TokenCount(body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)),
             seed: body.seed,
             temperature: body.temperature.unwrap_or(1.0),
             top_p: body.top_p.unwrap_or(1.0),
@@ -153,7 +153,7 @@
         Self {
             model: body.model,
             prompt: Prompt::Chat(body.messages),
-            max_tokens: TokenCount(max_tokens.unwrap_or(MAX_TOKENS_DEFAULT)),
+            max_tokens: TokenCount(max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)),
             seed: body.seed,
             temperature: body.temperature.unwrap_or(1.0),
             top_p: body.top_p.unwrap_or(1.0),
@@ -174,7 +174,7 @@
                 "max_tokens: expected 1 to {limit}"
             )));
         }
-        if !(0.0..=TEMPERATURE_MAX).contains(&self.temperature) {
+        if !(0.0..=MAX_TEMPERATURE).contains(&self.temperature) {
             return Err(ApiError::bad_request("temperature: expected 0 to 2"));
         }
         if !(self.top_p > 0.0 && self.top_p <= 1.0) {
@@ -182,9 +182,9 @@
                 "top_p: expected more than 0 and at most 1",
             ));
         }
-        if self.stop.len() > STOP_MAX || self.stop.iter().any(String::is_empty) {
+        if self.stop.len() > MAX_STOP_SEQUENCES || self.stop.iter().any(String::is_empty) {
             return Err(ApiError::bad_request(format!(
-                "stop: expected at most {STOP_MAX} texts, none empty"
+                "stop: expected at most {MAX_STOP_SEQUENCES} texts, none empty"
             )));
         }
         Ok(self)
--- a/crates/cyclamenwharf/src/entry/driver/mod.rs
+++ b/crates/cyclamenwharf/src/entry/driver/mod.rs
@@ -184,7 +184,7 @@
                 }
             }
             Step::ConfirmCancel { attempt, .. } => return self.confirm_cancel(attempt),
-            Step::Enqueue => self.queue(now),
+            Step::Enqueue => self.enqueue(now),
             Step::CheckCrashes => self.check_crashes(),
             Step::Ack { attempt, next, .. } => {
                 if let Some(sent) = self.attempts.get(attempt) {
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -24,7 +24,7 @@
 const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// The most checks of the reports before the request is taken not to cause the crash.
-const CRASH_CHECKS: u32 = 15;
+const MAX_CRASH_CHECKS: u32 = 15;
 
 impl Driver {
     pub(super) fn choose(
@@ -74,7 +74,7 @@
     }
 
     /// Puts the request into the queue.
-    pub(super) fn queue(&mut self, now: Time) {
+    pub(super) fn enqueue(&mut self, now: Time) {
         let request = QueuedRequest {
             id: self.job.generation,
             pool: TargetPool::from(&self.job.destination),
@@ -127,7 +127,7 @@
         let request = self.job.fingerprint;
         let known = self.known_crashes;
         self.sources.push(async move {
-            for _ in 0..CRASH_CHECKS {
+            for _ in 0..MAX_CRASH_CHECKS {
                 tokio::time::sleep(CRASH_CHECK_PERIOD).await;
                 let view = context.view.load_full();
                 let now = context.clock.now();
--- a/crates/cyclamenwharf/src/entry/entry_context.rs
+++ b/crates/cyclamenwharf/src/entry/entry_context.rs
@@ -41,7 +41,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The most tries of one cancellation.
-const CANCEL_TRIES: u32 = 3;
+const MAX_CANCEL_TRIES: u32 = 3;
 
 /// The delay between tries of one cancellation.
 const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -109,7 +109,7 @@
     pub(crate) fn cancel(self: &Arc<Self>, peer: SocketAddr, cancel: Cancel) {
         let context = Arc::clone(self);
         tokio::spawn(async move {
-            for _ in 0..CANCEL_TRIES {
+            for _ in 0..MAX_CANCEL_TRIES {
                 if context.cancel_once(peer, cancel.clone()).await.is_some() {
                     return;
                 }
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/entry_handle.rs
@@ -31,7 +31,7 @@
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
-use super::api::CallerApi;
+use super::caller_api::CallerApi;
 use super::claims::Claims;
 use super::entry_context::EntryContext;
 use super::entry_metrics::EntryMetrics;
--- a/crates/cyclamenwharf/src/entry/event_body.rs
+++ b/crates/cyclamenwharf/src/entry/event_body.rs
@@ -20,7 +20,7 @@
 use super::output::Output;
 
 /// The most outputs that are written into one frame of the body.
-const BATCH_MAX: usize = 32;
+const MAX_BATCH_OUTPUTS: usize = 32;
 
 /// The response body of a streamed answer.
 pub(crate) struct EventBody {
@@ -92,7 +92,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         let mut bytes = BytesMut::new();
-        for _ in 0..BATCH_MAX {
+        for _ in 0..MAX_BATCH_OUTPUTS {
             if self.ended {
                 break;
             }
--- a/crates/cyclamenwharf/src/entry/idempotency.rs
+++ b/crates/cyclamenwharf/src/entry/idempotency.rs
@@ -27,13 +27,13 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// The longest idempotency key, in bytes.
-const KEY_MAX_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// How many outputs are buffered for a slow caller before the driver stops reading from its links.
 const OUTPUT_BUFFER: usize = 64;
 
 /// The most tries to claim a key when other calls claim it at the same time.
-const CLAIM_TRIES: u32 = 3;
+const MAX_CLAIM_TRIES: u32 = 3;
 
 /// The delay before the next try to claim a key.
 const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -66,10 +66,10 @@
         return Ok(None);
     };
     let key = value.to_str().map_err(ApiError::bad_request)?.trim();
-    match (1..=KEY_MAX_BYTES).contains(&key.len()) {
+    match (1..=MAX_KEY_BYTES).contains(&key.len()) {
         true => Ok(Some(key.to_owned())),
         false => Err(ApiError::bad_request(format!(
-            "{IDEMPOTENCY_KEY_HEADER}: expected 1 to {KEY_MAX_BYTES} characters"
+            "{IDEMPOTENCY_KEY_HEADER}: expected 1 to {MAX_KEY_BYTES} characters"
         ))),
     }
 }
@@ -125,7 +125,7 @@
     job: Job,
     key: String,
 ) -> Result<StartedRequest, ApiError> {
-    for _ in 0..CLAIM_TRIES {
+    for _ in 0..MAX_CLAIM_TRIES {
         let stored = context.claims.read(&key).await.map_err(claim_error)?;
         if stored
             .as_ref()
--- a/crates/cyclamenwharf/src/entry/mod.rs
+++ b/crates/cyclamenwharf/src/entry/mod.rs
@@ -1,21 +1,21 @@
 //! The entry, which serves callers' requests.
 
 mod answer_format;
-mod api;
 mod api_error;
 mod attempts;
 mod caller;
+mod caller_api;
 mod claims;
 mod completion_request;
 mod completions;
 mod delivery;
 mod driver;
 mod entry_context;
+mod entry_handle;
 mod entry_metrics;
 mod event_body;
 mod event_id;
 mod event_sources;
-mod handle;
 mod idempotency;
 mod idempotency_cache;
 mod job;
@@ -30,6 +30,6 @@
 mod shared_quotas;
 mod suspicion_tracker;
 
-pub use handle::Entry;
-pub use handle::EntryHandle;
-pub use handle::EntryParts;
+pub use entry_handle::Entry;
+pub use entry_handle::EntryHandle;
+pub use entry_handle::EntryParts;
--- a/crates/cyclamenwharf/src/entry/periodic_tasks.rs
+++ b/crates/cyclamenwharf/src/entry/periodic_tasks.rs
@@ -16,7 +16,7 @@
 const EXCHANGE_PERIODS: u64 = 20;
 
 /// The most queued requests of one target pool that start in one period.
-const STARTS_MAX: usize = 16;
+const MAX_STARTS: usize = 16;
 
 /// Runs the periodic tasks for as long as the entry runs.
 pub(crate) async fn run(context: Arc<EntryContext>) {
@@ -43,7 +43,7 @@
         .router
         .capacity(now, &view, &RouteTarget::from(pool));
     // Without targets the requests start too, so that they fail with the error for it.
-    for _ in 0..capacity.unwrap_or(STARTS_MAX).min(STARTS_MAX) {
+    for _ in 0..capacity.unwrap_or(MAX_STARTS).min(MAX_STARTS) {
         if !context.queue.start_one(now, pool) {
             return;
         }
--- a/crates/cyclamenwharf/src/forward/caller_api.rs
+++ b/crates/cyclamenwharf/src/forward/caller_api.rs
@@ -28,8 +28,8 @@
 
 use super::exchange_driver::AcceptedRequest;
 use super::exchange_driver::ExchangeDriver;
+use super::forward_context::ForwardContext;
 use super::response::set_connection_close;
-use super::shared::Shared;
 
 /// The timeout of a request whose caller states none. The limit of the route is usually shorter.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -41,7 +41,7 @@
 
 /// Serves the callers of a forwarding entry.
 pub(super) struct CallerApi {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
 }
 
 /// A request that was refused on arrival.
@@ -66,7 +66,7 @@
                 Ok(driver) => driver.run().await,
                 Err(refusal) => self.refuse(&refusal),
             };
-            if self.shared.health.is_draining() {
+            if self.context.health.is_draining() {
                 set_connection_close(&mut response);
             }
             response
@@ -78,9 +78,9 @@
 impl CallerApi {
     /// Reads a request, and selects its route and service.
     async fn accept(&self, request: Request<Body>) -> Result<ExchangeDriver, Refusal> {
-        let arrived = self.shared.now();
+        let arrived = self.context.now();
         let (parts, body) = request.into_parts();
-        let head = self.shared.dialect.read_request(&parts);
+        let head = self.context.dialect.read_request(&parts);
         let head = head.map_err(Refusal::from_head_error)?;
         let refuse = |reason| Refusal::new(reason, &head);
         let (config, admitted, service) = self
@@ -112,8 +112,8 @@
             admitted,
             service,
         };
-        let shared = Arc::clone(&self.shared);
-        Ok(ExchangeDriver::new(shared, accepted, Exchange::new(plan)))
+        let context = Arc::clone(&self.context);
+        Ok(ExchangeDriver::new(context, accepted, Exchange::new(plan)))
     }
 
     /// Selects the route and the service of a request.
@@ -122,9 +122,9 @@
         parts: &request::Parts,
         head: &RequestHead,
     ) -> Result<(Arc<ForwardConfig>, Admitted, ServiceName), ErrorKind> {
-        let config = self.shared.config().ok_or(ErrorKind::NotReady)?;
+        let config = self.context.config().ok_or(ErrorKind::NotReady)?;
         let admitted = config.admit(&head.host, parts.uri.path(), head.key.as_deref())?;
-        let draw = self.shared.state().rng.random();
+        let draw = self.context.state().rng.random();
         let service = admitted.route.service(draw).cloned();
         let service = service.ok_or(ErrorKind::NoTarget)?;
         Ok((config, admitted, service))
@@ -156,14 +156,14 @@
             request = refusal.id.as_deref().unwrap_or("none"),
             outcome = refusal.kind.code(),
             reason = refusal.reason.as_str(),
-            version = self.shared.metrics.version.get();
+            version = self.context.metrics.version.get();
             "request refused on arrival"
         );
-        self.shared
+        self.context
             .metrics
             .record_request(None, refusal.kind.code());
         refusal_response(
-            &self.shared,
+            &self.context,
             refusal.kind,
             refusal.timeout,
             None,
@@ -205,19 +205,19 @@
 /// Returns an error response of the entry itself. `time_left` is the time until the caller's
 /// timeout, and `soonest` the shortest delay after which the request could be served, if known.
 pub(super) fn refusal_response(
-    shared: &Shared,
+    context: &ForwardContext,
     kind: ErrorKind,
     time_left: Option<Duration>,
     soonest: Option<Duration>,
     id: Option<&str>,
 ) -> Response<Body> {
-    let share = shared.state().rng.random_range(RETRY_AFTER_SHARE);
+    let share = context.state().rng.random_range(RETRY_AFTER_SHARE);
     let max_share = RETRY_AFTER_SHARE.end;
     let retry_after = time_left.filter(|_| kind.is_retryable()).map(|time_left| {
         let soonest = soonest.unwrap_or_default().max(time_left.mul_f64(share));
         soonest.min(time_left.mul_f64(max_share))
     });
-    shared
+    context
         .dialect
         .refusal(kind, retry_after, id)
         .map(|()| Body::empty())
--- a/crates/cyclamenwharf/src/forward/copy_renewal.rs
+++ b/crates/cyclamenwharf/src/forward/copy_renewal.rs
@@ -22,8 +22,8 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::exchange_driver::ExchangeDriver;
+use super::forward_context::ForwardContext;
 use super::guards::CopyGuard;
-use super::shared::Shared;
 use super::target_connection::TargetConnection;
 
 /// The timeout for making a copy, which transfers some hundred megabytes over a fast link.
@@ -88,15 +88,15 @@
             .is_none_or(|guard| !guard.is_at(&keeper))
         {
             let demand = self.request.head.demand;
-            renewal.guard = Some(CopyGuard::acquire(&self.shared, &keeper, demand));
+            renewal.guard = Some(CopyGuard::acquire(&self.context, &keeper, demand));
         }
         renewal.task = self.start_copy(now, keeper);
     }
 
     /// Returns the keeper of the next copy, `None` if the current copy needs no renewal.
     fn next_keeper(&mut self, now: Time) -> Option<TargetId> {
-        let shared = Arc::clone(&self.shared);
-        let mut state = shared.state();
+        let context = Arc::clone(&self.context);
+        let mut state = context.state();
         let state = &mut *state;
         if let Some(copy) = self.exchange.copy()
             && state.fleet.has_copy(now, copy)
@@ -118,10 +118,10 @@
             return;
         };
         self.exchange.set_copy(None);
-        let call = self.shared.dialect.drop_call(&name.name);
-        let shared = Arc::clone(&self.shared);
+        let call = self.context.dialect.drop_call(&name.name);
+        let context = Arc::clone(&self.context);
         tokio::spawn(async move {
-            let dropped = call_target(&shared, &source, name.address, call);
+            let dropped = call_target(&context, &source, name.address, call);
             match tokio::time::timeout(COPY_TIMEOUT, dropped).await {
                 Ok(Ok(_)) => {}
                 Ok(Err(error)) => {
@@ -141,15 +141,15 @@
         let source_address = self.address(&source)?;
         let keeper_address = self.address(&keeper)?;
         let call = self
-            .shared
+            .context
             .dialect
             .copy_call(&self.request.head.id, keeper_address);
-        let shared = Arc::clone(&self.shared);
+        let context = Arc::clone(&self.context);
         let request = self.request.head.id.clone();
         let task = tokio::spawn(async move {
             let copying = tokio::time::timeout(
                 COPY_TIMEOUT,
-                make_copy(&shared, &source, source_address, call),
+                make_copy(&context, &source, source_address, call),
             );
             let result = copying
                 .await
@@ -180,23 +180,23 @@
 
 /// Asks a target to make a copy, and returns the name of the copy.
 async fn make_copy(
-    shared: &Shared,
+    context: &ForwardContext,
     source: &TargetId,
     address: SocketAddr,
     call: Request<Bytes>,
 ) -> Result<String, String> {
-    let (status, body) = call_target(shared, source, address, call).await?;
-    shared.dialect.read_copy(status, &body)
+    let (status, body) = call_target(context, source, address, call).await?;
+    context.dialect.read_copy(status, &body)
 }
 
 /// Sends a call of the entry itself to a target.
 async fn call_target(
-    shared: &Shared,
+    context: &ForwardContext,
     target: &TargetId,
     address: SocketAddr,
     call: Request<Bytes>,
 ) -> Result<(StatusCode, Bytes), String> {
-    let pooled = shared.pool.take(shared.now(), target, address).await;
+    let pooled = context.pool.take(context.now(), target, address).await;
     let mut connection: TargetConnection = pooled.map_err(|error| error.to_string())?.connection;
     let answer = connection
         .send(call.map(Full::new))
@@ -204,11 +204,11 @@
         .map_err(|error| error.to_string())?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map_err(|error| error.to_string())?;
-    let answer = shared.dialect.read_answer(&head);
+    let answer = context.dialect.read_answer(&head);
     if !answer.close {
-        shared
+        context
             .pool
-            .put(shared.now(), target, connection, answer.idle);
+            .put(context.now(), target, connection, answer.idle);
     }
     Ok((head.status, body.to_bytes()))
 }
--- a/crates/cyclamenwharf/src/forward/directory_sync.rs
+++ b/crates/cyclamenwharf/src/forward/directory_sync.rs
@@ -23,10 +23,10 @@
 use log::info;
 use log::warn;
 
+use super::forward_context::ForwardContext;
+use super::forward_context::ForwardState;
 use super::peer_api::CONFIG_PATH;
 use super::peer_api::TARGETS_PATH;
-use super::shared::ForwardState;
-use super::shared::Shared;
 
 /// The delay after failed calls. The service charges for failed calls too, and its data must be
 /// applied within seconds of its recovery.
@@ -53,7 +53,7 @@
 
 /// Keeps one part of the key-value service in sync.
 pub(super) struct DirectorySync {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
     pub(super) store: Arc<dyn KeyValue>,
     pub(super) topic: Topic,
     /// The client for calls to the other entries.
@@ -76,7 +76,7 @@
             self.record_failure(&error);
             self.query_peers().await;
             let pause = {
-                let mut state = self.shared.state();
+                let mut state = self.context.state();
                 BACKOFF.delay(failures, &mut state.rng)
             };
             failures += 1;
@@ -86,8 +86,8 @@
 
     fn prefix(&self) -> &str {
         match self.topic {
-            Topic::Config => self.shared.dialect.config_key(),
-            Topic::Targets => self.shared.dialect.targets_prefix(),
+            Topic::Config => self.context.dialect.config_key(),
+            Topic::Targets => self.context.dialect.targets_prefix(),
         }
     }
 
@@ -95,11 +95,11 @@
     /// because another entry has newer data.
     async fn wait_until_needed(&self) {
         loop {
-            let behind = self.shared.directory_behind.notified();
+            let behind = self.context.directory_behind.notified();
             // A timeout continues as well, since the role of this entry may have changed.
             let _ = tokio::time::timeout(ROLE_CHECK_PERIOD, behind).await;
-            let now = self.shared.now();
-            let state = self.shared.state();
+            let now = self.context.now();
+            let state = self.context.state();
             let is_behind = match self.topic {
                 Topic::Targets => state.directory_log.is_behind(),
                 Topic::Config => {
@@ -139,22 +139,22 @@
     }
 
     fn is_watcher(&self) -> bool {
-        let now = self.shared.now();
-        self.shared.state().fleet.is_watcher(now)
+        let now = self.context.now();
+        self.context.state().fleet.is_watcher(now)
     }
 
     // ---- State of the service ----
 
     fn record_success(&self) {
-        self.shared.metrics.record_store_message("answered");
-        let now = self.shared.now();
-        if self.topic == Topic::Targets && self.shared.state().fleet.directory_answered(now) {
+        self.context.metrics.record_store_message("answered");
+        let now = self.context.now();
+        if self.topic == Topic::Targets && self.context.state().fleet.directory_answered(now) {
             info!("the key-value service answers again");
         }
     }
 
     fn record_failure(&self, error: &StoreError) {
-        self.shared.metrics.record_store_message("failed");
+        self.context.metrics.record_store_message("failed");
         if *error == StoreError::Compacted {
             info!(
                 topic:? = self.topic;
@@ -162,7 +162,7 @@
             );
             return;
         }
-        if self.topic == Topic::Targets && self.shared.state().fleet.directory_failed() {
+        if self.topic == Topic::Targets && self.context.state().fleet.directory_failed() {
             warn!("the key-value service does not answer: {error}");
         }
     }
@@ -178,12 +178,12 @@
             .iter()
             .filter_map(|item| self.target_id(&item.key))
             .collect();
-        let now = self.shared.now();
-        let mut state = self.shared.state();
+        let now = self.context.now();
+        let mut state = self.context.state();
         for item in items {
             if let Some(id) = self.target_id(&item.key) {
                 apply_listing(
-                    &self.shared,
+                    &self.context,
                     now,
                     &mut state,
                     &id,
@@ -194,7 +194,7 @@
         }
         state.fleet.retain_listed(now, &names);
         state.directory_log.record_read(revision.0);
-        set_target_count(&self.shared, state.fleet.len());
+        set_target_count(&self.context, state.fleet.len());
     }
 
     fn apply_put(&self, item: &Versioned) {
@@ -205,28 +205,28 @@
     }
 
     fn apply_config(&self, item: &Versioned) {
-        if item.key == self.shared.dialect.config_key() {
+        if item.key == self.context.dialect.config_key() {
             self.activate_config(&item.value, "the key-value service");
         }
     }
 
     /// Activates a configuration if it can be parsed and is newer than the current one.
     fn activate_config(&self, document: &Bytes, source: &str) {
-        let config = match self.shared.dialect.read_config(document) {
+        let config = match self.context.dialect.read_config(document) {
             Ok(config) => config,
             Err(error) => {
                 warn!(source = source; "failed to parse the configuration: {error}");
                 return;
             }
         };
-        let mut state = self.shared.state();
+        let mut state = self.context.state();
         let current = state.config.as_ref().map(|config| config.version());
         if current.is_some_and(|current| current >= config.version()) {
             return;
         }
         info!(version = config.version(), source = source; "activated a configuration");
         let version = i64::try_from(config.version()).unwrap_or(i64::MAX);
-        self.shared.metrics.version.set(version);
+        self.context.metrics.version.set(version);
         let services: BTreeSet<_> = config.services().cloned().collect();
         state.budgets.retain(|service| services.contains(service));
         state.run_times.retain(|service| services.contains(service));
@@ -235,8 +235,8 @@
             .retain(|service| services.contains(service));
         state.config = Some(Arc::new(config));
         state.config_bytes = Some(document.clone());
-        self.shared.health.set_configured();
-        self.shared.peer_update.notify_one();
+        self.context.health.set_configured();
+        self.context.peer_update.notify_one();
     }
 
     // ---- Data of the other entries ----
@@ -247,7 +247,7 @@
         loop {
             tokio::time::sleep(PEER_QUERY_PERIOD).await;
             let is_known = {
-                let state = self.shared.state();
+                let state = self.context.state();
                 match self.topic {
                     Topic::Config => state.config.is_some(),
                     Topic::Targets => !state.fleet.is_empty(),
@@ -266,7 +266,7 @@
             Topic::Config => CONFIG_PATH,
             Topic::Targets => TARGETS_PATH,
         };
-        for (entry, address) in self.shared.other_entries() {
+        for (entry, address) in self.context.other_entries() {
             if !self.is_missing_updates() {
                 return;
             }
@@ -288,7 +288,7 @@
     /// Returns whether this entry lacks data that other entries have announced, or has no targets.
     /// Without targets it would refuse requests that the other entries serve.
     fn is_missing_updates(&self) -> bool {
-        let state = self.shared.state();
+        let state = self.context.state();
         match self.topic {
             Topic::Config => state.config_version() < state.peer_config_version,
             Topic::Targets => state.fleet.is_empty() || state.directory_log.is_behind(),
@@ -311,18 +311,18 @@
             revision = snapshot.newest;
             "applied the targets of another entry"
         );
-        let now = self.shared.now();
-        let mut state = self.shared.state();
+        let now = self.context.now();
+        let mut state = self.context.state();
         if state.fleet.is_empty() {
             // The service has not answered yet, so the changes that other entries send apply from
             // now on.
             state.fleet.directory_failed();
         }
         for (id, value) in &snapshot.targets {
-            apply_listing(&self.shared, now, &mut state, id, value, snapshot.newest);
+            apply_listing(&self.context, now, &mut state, id, value, snapshot.newest);
         }
         state.directory_log.record_read(snapshot.newest);
-        set_target_count(&self.shared, state.fleet.len());
+        set_target_count(&self.context, state.fleet.len());
     }
 
     fn apply_delete(&self, key: &str, revision: ModRevision) {
@@ -334,8 +334,8 @@
     /// Applies a change of the targets that this entry's watch delivered, and announces it to the
     /// other entries.
     fn apply_change(&self, key: &str, value: Option<Bytes>, revision: ModRevision) {
-        let now = self.shared.now();
-        let mut state = self.shared.state();
+        let now = self.context.now();
+        let mut state = self.context.state();
         state
             .directory_log
             .record_change(now, key, value.clone(), revision.0);
@@ -346,29 +346,29 @@
             value,
         };
         let trusted = state.fleet.is_trusted(now);
-        apply_directory_change(&self.shared, now, &mut state, &change, trusted);
-        self.shared.peer_update.notify_one();
+        apply_directory_change(&self.context, now, &mut state, &change, trusted);
+        self.context.peer_update.notify_one();
     }
 
     fn target_id(&self, key: &str) -> Option<TargetId> {
-        target_id(&self.shared, key)
+        target_id(&self.context, key)
     }
 }
 
 /// Applies a change of the targets, from the watch of any entry. `trusted` says whether a target
 /// without a record is gone.
 pub(super) fn apply_directory_change(
-    shared: &Shared,
+    context: &ForwardContext,
     now: Time,
     state: &mut ForwardState,
     change: &DirectoryChange,
     trusted: bool,
 ) {
-    let Some(id) = target_id(shared, &change.key) else {
+    let Some(id) = target_id(context, &change.key) else {
         return;
     };
     match &change.value {
-        Some(value) => apply_listing(shared, now, state, &id, value, change.revision),
+        Some(value) => apply_listing(context, now, state, &id, value, change.revision),
         None => {
             if state.fleet.unlisted(now, &id, trusted) {
                 info!(
@@ -380,18 +380,18 @@
             }
         }
     }
-    set_target_count(shared, state.fleet.len());
+    set_target_count(context, state.fleet.len());
 }
 
 fn apply_listing(
-    shared: &Shared,
+    context: &ForwardContext,
     now: Time,
     state: &mut ForwardState,
     id: &TargetId,
     value: &[u8],
     revision: i64,
 ) {
-    match shared.dialect.read_listing(id.as_str(), value) {
+    match context.dialect.read_listing(id.as_str(), value) {
         Ok(listing) => {
             if state.fleet.listed(now, listing.clone()) {
                 // An outdated record, which does not revert that a target is leaving, is not passed
@@ -418,14 +418,14 @@
     }
 }
 
-fn target_id(shared: &Shared, key: &str) -> Option<TargetId> {
-    key.strip_prefix(shared.dialect.targets_prefix())?
+fn target_id(context: &ForwardContext, key: &str) -> Option<TargetId> {
+    key.strip_prefix(context.dialect.targets_prefix())?
         .parse()
         .ok()
 }
 
 /// Sets the gauge of the number of targets.
-pub(super) fn set_target_count(shared: &Shared, targets: usize) {
+pub(super) fn set_target_count(context: &ForwardContext, targets: usize) {
     let targets = i64::try_from(targets).unwrap_or(i64::MAX);
-    shared.metrics.targets.set(targets);
+    context.metrics.targets.set(targets);
 }
--- a/crates/cyclamenwharf/src/forward/entry_registry.rs
+++ b/crates/cyclamenwharf/src/forward/entry_registry.rs
@@ -14,7 +14,7 @@
 use log::info;
 use log::warn;
 
-use super::shared::Shared;
+use super::forward_context::ForwardContext;
 
 /// The prefix of the keys of entries. The rest of a key is the name of the host.
 const ENTRIES_PREFIX: &str = "cyclamenwharf/entries/";
@@ -41,7 +41,7 @@
 
 /// Maintains the record of this entry, and reads those of the others.
 pub(super) struct EntryRegistry {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
     pub(super) store: Arc<dyn KeyValue>,
 }
 
@@ -52,7 +52,7 @@
         let mut rounds: u32 = 0;
         loop {
             if let Err(error) = self.run_round(&mut lease).await {
-                self.shared.metrics.record_store_message("failed");
+                self.context.metrics.record_store_message("failed");
                 warn!("failed to maintain the record of this entry: {error}");
             }
             rounds = rounds.saturating_add(1);
@@ -88,9 +88,9 @@
     }
 
     async fn register(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let key = format!("{ENTRIES_PREFIX}{}", self.shared.settings.host);
+        let key = format!("{ENTRIES_PREFIX}{}", self.context.settings.host);
         let record = EntryRecord {
-            peers: self.shared.settings.listen.peers,
+            peers: self.context.settings.listen.peers,
         };
         let value = serde_json::to_vec(&record).map_err(|error| StoreError::Protocol {
             message: error.to_string(),
@@ -126,8 +126,8 @@
                 _ => warn!(key = item.key.as_str(); "failed to parse the record of an entry"),
             }
         }
-        entries.remove(&self.shared.settings.host);
-        self.shared.set_registered(entries);
+        entries.remove(&self.context.settings.host);
+        self.context.set_registered(entries);
         Ok(())
     }
 }
--- a/crates/cyclamenwharf/src/forward/exchange_driver.rs
+++ b/crates/cyclamenwharf/src/forward/exchange_driver.rs
@@ -23,9 +23,9 @@
 use log::info;
 
 use super::caller_api::refusal_response;
+use super::forward_context::ForwardContext;
 use super::response::BufferedResponse;
 use super::send_outcome::SendOutcome;
-use super::shared::Shared;
 
 /// An accepted request, with the settings that apply to it.
 pub(super) struct AcceptedRequest {
@@ -47,7 +47,7 @@
 
 /// Drives one request by the decisions of its [`Exchange`].
 pub(super) struct ExchangeDriver {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
     pub(super) request: AcceptedRequest,
     pub(super) exchange: Exchange,
     /// The version of the weights that the answer began with.
@@ -72,12 +72,16 @@
 }
 
 impl ExchangeDriver {
-    pub(super) fn new(shared: Arc<Shared>, request: AcceptedRequest, exchange: Exchange) -> Self {
+    pub(super) fn new(
+        context: Arc<ForwardContext>,
+        request: AcceptedRequest,
+        exchange: Exchange,
+    ) -> Self {
         let now = exchange.plan().arrived;
-        shared.state().budgets.record_first(now, &request.service);
+        context.state().budgets.record_first(now, &request.service);
         let prompt_hash = request.head.prompt.as_deref().map(PromptHash::of);
         Self {
-            shared,
+            context,
             request,
             exchange,
             weights: None,
@@ -126,9 +130,9 @@
 
     /// Records an event, and returns the next step.
     pub(super) fn next_step(&mut self, event: ExchangeEvent) -> ExchangeStep {
-        let now = self.shared.now();
+        let now = self.context.now();
         let placed = self.exchange.placed().cloned();
-        let mut state = self.shared.state();
+        let mut state = self.context.state();
         let state = &mut *state;
         let fault = match event {
             ExchangeEvent::NotRun(fault) | ExchangeEvent::Lost(fault) => Some(fault),
@@ -137,11 +141,11 @@
         };
         if let (Some(placed), Some(fault)) = (&placed, fault) {
             state.fleet.failed(now, &placed.target, fault);
-            self.shared
+            self.context
                 .metrics
                 .record_send(&self.request.service, fault_name(fault));
             if fault == Fault::Unreachable || fault == Fault::Silent {
-                self.shared.pool.close(&placed.target);
+                self.context.pool.close(&placed.target);
             }
         }
         let service = &self.request.service;
@@ -171,15 +175,15 @@
 
     fn refuse(self, kind: ErrorKind) -> Response<Body> {
         self.record_end(kind.code());
-        let time_left = self.shared.now().until(self.exchange.plan().deadline);
+        let time_left = self.context.now().until(self.exchange.plan().deadline);
         let id = Some(self.request.head.id.as_str());
-        refusal_response(&self.shared, kind, Some(time_left), self.retry_after, id)
+        refusal_response(&self.context, kind, Some(time_left), self.retry_after, id)
     }
 
     /// Records in metrics and the log how the request ended.
     pub(super) fn record_end(&self, outcome: &str) {
-        let age = self.shared.now().since(self.exchange.plan().arrived);
-        let metrics = &self.shared.metrics;
+        let age = self.context.now().since(self.exchange.plan().arrived);
+        let metrics = &self.context.metrics;
         metrics.record_request(Some(&self.request.service), outcome);
         if !self.exchange.plan().streaming {
             metrics.record_answer_time(&self.request.service, age);
--- a/crates/cyclamenwharf/src/forward/shared.rs
+++ b/crates/cyclamenwharf/src/forward/forward_context.rs
@@ -33,7 +33,7 @@
 
 use super::ForwardSettings;
 use super::connection_pool::ConnectionPool;
-use super::metrics::ForwardMetrics;
+use super::forward_metrics::ForwardMetrics;
 
 /// The number of entries that share the budgets until the registry has been read or another entry
 /// has sent a message, which usually takes a second. It lies between the sizes of the known
@@ -79,7 +79,7 @@
 }
 
 /// The context that all parts of a forwarding entry share.
-pub(super) struct Shared {
+pub(super) struct ForwardContext {
     pub(super) settings: ForwardSettings,
     pub(super) clock: Clock,
     pub(super) dialect: Arc<dyn Dialect>,
@@ -93,7 +93,7 @@
     state: Mutex<ForwardState>,
 }
 
-impl Shared {
+impl ForwardContext {
     pub(super) fn new(
         settings: ForwardSettings,
         dialect: Arc<dyn Dialect>,
--- a/crates/cyclamenwharf/src/forward/metrics.rs
+++ b/crates/cyclamenwharf/src/forward/forward_metrics.rs
@@ -13,7 +13,7 @@
 use prometheus::Registry;
 
 /// The histogram buckets, for durations between 5 ms and 30 s, in seconds.
-const BUCKETS_S: [f64; 12] = [
+const SECONDS_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 30.0,
 ];
 
@@ -49,7 +49,8 @@
     pub(crate) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let opts =
             |name: &str, help: &str| Opts::new(format!("cyclamenwharf_forward_{name}"), help);
-        let times = |name, help| HistogramOpts::from(opts(name, help)).buckets(BUCKETS_S.to_vec());
+        let times =
+            |name, help| HistogramOpts::from(opts(name, help)).buckets(SECONDS_BUCKETS.to_vec());
         let gauge = |name, help| IntGauge::with_opts(opts(name, help));
         let metrics = Self {
             requests: IntCounterVec::new(
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -24,13 +24,13 @@
 use super::directory_sync::DirectorySync;
 use super::directory_sync::Topic;
 use super::directory_sync::set_target_count;
-use super::metrics::ForwardMetrics;
+use super::forward_context::ForwardContext;
+use super::forward_context::ForwardState;
+use super::forward_metrics::ForwardMetrics;
 use super::operator_api::OperatorApi;
 use super::peer_api::PeerApi;
 use super::peer_exchange::PeerExchange;
 use super::prompt_location_store::PromptLocationStore;
-use super::shared::ForwardState;
-use super::shared::Shared;
 
 /// The maximum number of concurrent caller connections. A process has about four thousand file
 /// descriptors.
@@ -81,7 +81,7 @@
     pub callers: SocketAddr,
     /// The address for readiness checks.
     pub health: SocketAddr,
-    shared: Arc<Shared>,
+    context: Arc<ForwardContext>,
     supervisor: Supervisor,
     server: StreamServer,
     _operator_servers: Vec<StreamServer>,
@@ -100,25 +100,25 @@
         let registry = Registry::new();
         let metrics = ForwardMetrics::new(&registry).map_err(StartError::new)?;
         let listen = settings.listen.clone();
-        let shared = Arc::new(Shared::new(settings, parts.dialect, metrics));
+        let context = Arc::new(ForwardContext::new(settings, parts.dialect, metrics));
         let supervisor = Supervisor::new("forward");
-        start_directory_tasks(&supervisor, &shared, &parts.store);
-        start_peer_exchange(&supervisor, &shared, listen.peers)?;
+        start_directory_tasks(&supervisor, &context, &parts.store);
+        start_peer_exchange(&supervisor, &context, listen.peers)?;
         let callers = ServerLimits {
             max_connections: MAX_CALLER_CONNECTIONS,
             header_timeout: Some(CALLER_IDLE_TIMEOUT),
         };
         let caller_api = Arc::new(CallerApi {
-            shared: Arc::clone(&shared),
+            context: Arc::clone(&context),
         });
         let server =
             StreamServer::start(listen.callers, callers, caller_api).map_err(StartError::new)?;
         let operator_servers =
-            start_operator_servers(&shared, &listen, registry).map_err(StartError::new)?;
+            start_operator_servers(&context, &listen, registry).map_err(StartError::new)?;
         Ok(ForwarderHandle {
             callers: server.local_addr(),
             health: operator_servers[0].local_addr(),
-            shared,
+            context,
             supervisor,
             server,
             _operator_servers: operator_servers,
@@ -129,7 +129,7 @@
 /// Starts the servers for the load balancer, for metrics if configured, and for the other entries,
 /// in this order.
 fn start_operator_servers(
-    shared: &Arc<Shared>,
+    context: &Arc<ForwardContext>,
     listen: &ForwardListen,
     registry: Registry,
 ) -> io::Result<Vec<StreamServer>> {
@@ -138,11 +138,11 @@
         header_timeout: Some(OPERATOR_IDLE_TIMEOUT),
     };
     let api = Arc::new(OperatorApi {
-        shared: Arc::clone(shared),
+        context: Arc::clone(context),
         registry,
     });
     let peers = Arc::new(PeerApi {
-        shared: Arc::clone(shared),
+        context: Arc::clone(context),
     });
     let mut servers = vec![StreamServer::start(
         listen.health,
@@ -157,12 +157,16 @@
 }
 
 /// Starts the tasks that sync with the key-value service, and the task that drops outdated state.
-fn start_directory_tasks(supervisor: &Supervisor, shared: &Arc<Shared>, store: &Arc<dyn KeyValue>) {
+fn start_directory_tasks(
+    supervisor: &Supervisor,
+    context: &Arc<ForwardContext>,
+    store: &Arc<dyn KeyValue>,
+) {
     for (name, topic) in [("config", Topic::Config), ("targets", Topic::Targets)] {
-        let (shared, store) = (Arc::clone(shared), Arc::clone(store));
+        let (context, store) = (Arc::clone(context), Arc::clone(store));
         supervisor.supervise(name, move || {
             let directory = DirectorySync {
-                shared: Arc::clone(&shared),
+                context: Arc::clone(&context),
                 store: Arc::clone(&store),
                 topic,
                 entries: HttpClient::default().with_patience(PEER_TIMEOUT),
@@ -170,25 +174,25 @@
             directory.run()
         });
     }
-    let (task_shared, task_store) = (Arc::clone(shared), Arc::clone(store));
+    let (task_context, task_store) = (Arc::clone(context), Arc::clone(store));
     supervisor.supervise("registry", move || {
         let registry = super::entry_registry::EntryRegistry {
-            shared: Arc::clone(&task_shared),
+            context: Arc::clone(&task_context),
             store: Arc::clone(&task_store),
         };
         registry.run()
     });
-    let (task_shared, task_store) = (Arc::clone(shared), Arc::clone(store));
+    let (task_context, task_store) = (Arc::clone(context), Arc::clone(store));
     supervisor.supervise("ledger", move || {
         let locations = PromptLocationStore {
-            shared: Arc::clone(&task_shared),
+            context: Arc::clone(&task_context),
             store: Arc::clone(&task_store),
         };
         locations.run()
     });
-    let task_shared = Arc::clone(shared);
+    let task_context = Arc::clone(context);
     supervisor.supervise("upkeep", move || {
-        expire_periodically(Arc::clone(&task_shared))
+        expire_periodically(Arc::clone(&task_context))
     });
 }
 
@@ -196,8 +200,8 @@
     /// Reports the entry as not ready, stops accepting requests, and returns when all requests in
     /// progress have ended or the grace period is over.
     pub async fn drain(self) {
-        let grace = self.shared.settings.grace.saturating_sub(EXIT_RESERVE);
-        self.shared.health.set_draining();
+        let grace = self.context.settings.grace.saturating_sub(EXIT_RESERVE);
+        self.context.health.set_draining();
         let work = async {
             // The load balancer still sends requests until it notices that this entry is not ready.
             tokio::time::sleep(BALANCER_DELAY.min(grace)).await;
@@ -206,7 +210,7 @@
         match tokio::time::timeout(grace, work).await {
             Ok(()) => info!("all requests in progress have ended"),
             Err(_) => info!(
-                streams = self.shared.metrics.streams.get();
+                streams = self.context.metrics.streams.get();
                 "the grace period is over; aborting the requests in progress"
             ),
         }
@@ -217,7 +221,7 @@
 /// Starts to send and receive messages between entries.
 fn start_peer_exchange(
     supervisor: &Supervisor,
-    shared: &Arc<Shared>,
+    context: &Arc<ForwardContext>,
     address: SocketAddr,
 ) -> Result<(), StartError> {
     let socket = std::net::UdpSocket::bind(address).map_err(StartError::new)?;
@@ -225,11 +229,11 @@
     let socket = Arc::new(UdpSocket::from_std(socket).map_err(StartError::new)?);
     let incarnation = new_incarnation();
     for name in ["peers/tell", "peers/hear"] {
-        let shared = Arc::clone(shared);
+        let context = Arc::clone(context);
         let socket = Arc::clone(&socket);
         supervisor.supervise(name, move || {
             let exchange = PeerExchange {
-                shared: Arc::clone(&shared),
+                context: Arc::clone(&context),
                 socket: Arc::clone(&socket),
                 incarnation,
             };
@@ -244,25 +248,25 @@
     Ok(())
 }
 
-async fn expire_periodically(shared: Arc<Shared>) {
+async fn expire_periodically(context: Arc<ForwardContext>) {
     loop {
         tokio::time::sleep(EXPIRY_PERIOD).await;
-        let now = shared.now();
-        let mut state = shared.state();
+        let now = context.now();
+        let mut state = context.state();
         for id in state.fleet.expire(now) {
             info!(target_id = id.as_str(); "a target did not register again in time; dropping it");
         }
         for host in state.fleet.expire_peers(now) {
             info!(entry = host.as_str(); "no more messages from another entry");
         }
-        set_target_count(&shared, state.fleet.len());
+        set_target_count(&context, state.fleet.len());
         state.own_prompts.expire(now);
         state.peer_prompts.expire(now);
         let ForwardState {
             fleet, listings, ..
         } = &mut *state;
         listings.retain(|id, _| fleet.listing(id).is_some());
-        shared
+        context
             .pool
             .close_expired(now, |id| fleet.listing(id).is_some());
     }
--- a/crates/cyclamenwharf/src/forward/guards.rs
+++ b/crates/cyclamenwharf/src/forward/guards.rs
@@ -5,25 +5,29 @@
 use cw_policy::forward::Demand;
 use cw_types::TargetId;
 
-use super::shared::Shared;
+use super::forward_context::ForwardContext;
 
 /// Counts a request in the load of its target.
 pub(super) struct RequestGuard {
-    shared: Arc<Shared>,
+    context: Arc<ForwardContext>,
     target: TargetId,
     demand: Demand,
     began: bool,
 }
 
 impl RequestGuard {
-    pub(super) fn acquire(shared: &Arc<Shared>, target: &TargetId, demand: Demand) -> Self {
-        let now = shared.now();
-        shared.state().fleet.sent(now, target, demand);
+    pub(super) fn acquire(
+        context: &Arc<ForwardContext>,
+        target: &TargetId,
+        demand: Demand,
+    ) -> Self {
+        let now = context.now();
+        context.state().fleet.sent(now, target, demand);
         if demand.prompt > 0 {
-            shared.peer_update.notify_one();
+            context.peer_update.notify_one();
         }
         Self {
-            shared: Arc::clone(shared),
+            context: Arc::clone(context),
             target: target.clone(),
             demand,
             began: false,
@@ -34,8 +38,8 @@
     pub(super) fn mark_begun(&mut self) {
         if !self.began {
             self.began = true;
-            let now = self.shared.now();
-            let mut state = self.shared.state();
+            let now = self.context.now();
+            let mut state = self.context.state();
             state.fleet.began(now, &self.target, self.demand);
         }
     }
@@ -43,8 +47,8 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let now = self.shared.now();
-        let mut state = self.shared.state();
+        let now = self.context.now();
+        let mut state = self.context.state();
         let fleet = &mut state.fleet;
         fleet.ended(now, &self.target, self.demand, self.began);
     }
@@ -52,16 +56,20 @@
 
 /// Counts the memory of a run's copy in the load of the target that keeps it.
 pub(super) struct CopyGuard {
-    shared: Arc<Shared>,
+    context: Arc<ForwardContext>,
     keeper: TargetId,
     demand: Demand,
 }
 
 impl CopyGuard {
-    pub(super) fn acquire(shared: &Arc<Shared>, keeper: &TargetId, demand: Demand) -> Self {
-        shared.state().fleet.count_copy(keeper, demand, true);
+    pub(super) fn acquire(
+        context: &Arc<ForwardContext>,
+        keeper: &TargetId,
+        demand: Demand,
+    ) -> Self {
+        context.state().fleet.count_copy(keeper, demand, true);
         Self {
-            shared: Arc::clone(shared),
+            context: Arc::clone(context),
             keeper: keeper.clone(),
             demand,
         }
@@ -77,7 +85,7 @@
 
 impl Drop for CopyGuard {
     fn drop(&mut self) {
-        let mut state = self.shared.state();
+        let mut state = self.context.state();
         state.fleet.count_copy(&self.keeper, self.demand, false);
     }
 }
--- a/crates/cyclamenwharf/src/forward/operator_api.rs
+++ b/crates/cyclamenwharf/src/forward/operator_api.rs
@@ -15,11 +15,11 @@
 
 use crate::stream_server::Handler;
 
-use super::shared::Shared;
+use super::forward_context::ForwardContext;
 
 /// Serves the readiness check and the metrics.
 pub(super) struct OperatorApi {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
     pub(super) registry: Registry,
 }
 
@@ -36,7 +36,7 @@
 
 impl OperatorApi {
     fn readiness(&self) -> Response<Body> {
-        status(match self.shared.health.is_ready() {
+        status(match self.context.health.is_ready() {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
         })
--- a/crates/cyclamenwharf/src/forward/peer_api.rs
+++ b/crates/cyclamenwharf/src/forward/peer_api.rs
@@ -14,7 +14,7 @@
 
 use crate::stream_server::Handler;
 
-use super::shared::Shared;
+use super::forward_context::ForwardContext;
 
 /// The path of the configuration.
 pub(super) const CONFIG_PATH: &str = "/config";
@@ -24,13 +24,13 @@
 
 /// Serves the other entries.
 pub(super) struct PeerApi {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
 }
 
 impl Handler for PeerApi {
     fn handle(self: Arc<Self>, request: Request<Body>) -> BoxFuture<'static, Response<Body>> {
         let body = match request.uri().path() {
-            CONFIG_PATH => self.shared.state().config_bytes.clone(),
+            CONFIG_PATH => self.context.state().config_bytes.clone(),
             TARGETS_PATH => self.targets(),
             _ => None,
         };
@@ -47,7 +47,7 @@
     /// Returns the known targets in encoded form, `None` if there are none.
     fn targets(&self) -> Option<Bytes> {
         let snapshot = {
-            let state = self.shared.state();
+            let state = self.context.state();
             let listings = state.listings.iter();
             let known = listings.filter(|(id, _)| state.fleet.listing(id).is_some());
             DirectorySnapshot {
--- a/crates/cyclamenwharf/src/forward/peer_exchange.rs
+++ b/crates/cyclamenwharf/src/forward/peer_exchange.rs
@@ -19,8 +19,8 @@
 use tokio::net::UdpSocket;
 
 use super::directory_sync::apply_directory_change;
-use super::shared::ForwardState;
-use super::shared::Shared;
+use super::forward_context::ForwardContext;
+use super::forward_context::ForwardState;
 
 /// The longest time between two messages. A new prompt triggers a message at once.
 const MAX_SEND_INTERVAL: Duration = Duration::from_millis(200);
@@ -40,7 +40,7 @@
 
 /// Sends messages to the other entries and receives theirs.
 pub(super) struct PeerExchange {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
     pub(super) socket: Arc<UdpSocket>,
     pub(super) incarnation: Incarnation,
 }
@@ -51,23 +51,23 @@
         let mut sequence = 0;
         let mut last_sent = Time::default();
         loop {
-            let entries = self.shared.other_entries();
+            let entries = self.context.other_entries();
             let count = u32::try_from(entries.len()).unwrap_or(u32::MAX);
             tokio::time::sleep(MIN_SEND_INTERVAL).await;
             // Watchers keep the short interval for any number of entries, so that none of them is
             // taken for failed.
-            let now = self.shared.now();
-            let interval = match self.shared.state().fleet.is_watcher(now) {
+            let now = self.context.now();
+            let interval = match self.context.state().fleet.is_watcher(now) {
                 true => MAX_SEND_INTERVAL,
                 false => MAX_SEND_INTERVAL + INTERVAL_PER_ENTRY.saturating_mul(count),
             };
             // A timeout continues as well: the other entries must learn that this one is alive.
-            let _ = tokio::time::timeout(interval, self.shared.peer_update.notified()).await;
+            let _ = tokio::time::timeout(interval, self.context.peer_update.notified()).await;
             if entries.is_empty() {
                 continue;
             }
             sequence += 1;
-            let now = self.shared.now();
+            let now = self.context.now();
             let message = self.build_message(now, sequence, last_sent);
             last_sent = now;
             match encode(&message) {
@@ -78,7 +78,7 @@
     }
 
     fn build_message(&self, now: Time, sequence: u64, last_sent: Time) -> OutstandingWork {
-        let mut state = self.shared.state();
+        let mut state = self.context.state();
         let state = &mut *state;
         let config = state.config_version();
         let directory = match state.fleet.is_watcher(now) {
@@ -88,7 +88,7 @@
         let mut shares = state.fleet.shares();
         shares.truncate(MAX_SHARES);
         OutstandingWork {
-            host: self.shared.settings.host.clone(),
+            host: self.context.settings.host.clone(),
             incarnation: self.incarnation,
             sequence,
             shares,
@@ -141,21 +141,21 @@
         }
         match state.directory_log.receive(update) {
             NewsStep::Nothing => {}
-            NewsStep::Reread => self.shared.directory_behind.notify_waiters(),
+            NewsStep::Reread => self.context.directory_behind.notify_waiters(),
             NewsStep::Apply(changes) => {
                 for change in &changes {
-                    apply_directory_change(&self.shared, now, state, change, update.trusted);
+                    apply_directory_change(&self.context, now, state, change, update.trusted);
                 }
             }
         }
         if update.config > state.config_version() {
-            self.shared.directory_behind.notify_waiters();
+            self.context.directory_behind.notify_waiters();
         }
     }
 
     fn receive(&self, message: &OutstandingWork, from: SocketAddr) {
-        let now = self.shared.now();
-        let mut state = self.shared.state();
+        let now = self.context.now();
+        let mut state = self.context.state();
         state.roster.record_message(now, &message.host, from);
         let before = state.fleet.peers();
         if state.fleet.receive_peer(now, message) {
@@ -167,7 +167,7 @@
             }
         }
         if state.fleet.peers() > before {
-            self.shared.update_entries(now, &mut state);
+            self.context.update_entries(now, &mut state);
             info!(entry = message.host.as_str(); "received the first message from another entry");
         }
     }
--- a/crates/cyclamenwharf/src/forward/placement_choice.rs
+++ b/crates/cyclamenwharf/src/forward/placement_choice.rs
@@ -16,7 +16,7 @@
 
 use super::exchange_driver::ExchangeDriver;
 use super::exchange_driver::millis;
-use super::shared::ForwardState;
+use super::forward_context::ForwardState;
 
 /// The result of the selection.
 pub(super) enum PlacementChoice {
@@ -31,8 +31,8 @@
 impl ExchangeDriver {
     /// Selects the target of the next send.
     pub(super) fn place(&self, now: Time, resume: &Resume) -> PlacementChoice {
-        let shared = Arc::clone(&self.shared);
-        let mut state = shared.state();
+        let context = Arc::clone(&self.context);
+        let mut state = context.state();
         let state = &mut *state;
         let need = self.need(now, state);
         if let Some(copy) = &resume.copy
@@ -105,7 +105,7 @@
             service: &self.request.service,
             memory: self.request.memory,
             demand: self.request.head.demand,
-            zone: &self.shared.settings.zone,
+            zone: &self.context.settings.zone,
             excluded: self.exchange.excluded(),
             copy: self.request.copies && self.exchange.wants_copy(),
             read_at: self.read_at(now, state),
@@ -122,8 +122,8 @@
 
     /// Records the backlog at the selected target, and logs the inputs of the decision.
     pub(super) fn record_send(&mut self, now: Time, placement: &Placement, resumed: bool) {
-        let shared = Arc::clone(&self.shared);
-        let state = shared.state();
+        let context = Arc::clone(&self.context);
+        let state = context.state();
         let load = state.fleet.load(now, &placement.target);
         let need = self.need(now, &state);
         let reader = need.read_at;
@@ -133,7 +133,7 @@
         info!(
             request = self.request.head.id.as_str(),
             route = self.request.admitted.route.name.as_str(),
-            version = self.shared.metrics.version.get(),
+            version = self.context.metrics.version.get(),
             target_id = placement.target.as_str(),
             copy_at = placement.copy.as_ref().map_or("none", TargetId::as_str),
             resumed = u64::from(resumed),
@@ -149,7 +149,7 @@
 
     /// Returns the address of a target.
     pub(super) fn address(&self, id: &TargetId) -> Option<SocketAddr> {
-        let state = self.shared.state();
+        let state = self.context.state();
         state.fleet.listing(id).map(|listing| listing.address)
     }
 }
--- a/crates/cyclamenwharf/src/forward/prompt_location_store.rs
+++ b/crates/cyclamenwharf/src/forward/prompt_location_store.rs
@@ -16,7 +16,7 @@
 use log::info;
 use log::warn;
 
-use super::shared::Shared;
+use super::forward_context::ForwardContext;
 
 /// The key of the prompt locations.
 const PROMPTS_KEY: &str = "cyclamenwharf/prompts";
@@ -34,7 +34,7 @@
 
 /// Reads the key at startup, and writes it if this entry is the writer.
 pub(super) struct PromptLocationStore {
-    pub(super) shared: Arc<Shared>,
+    pub(super) context: Arc<ForwardContext>,
     pub(super) store: Arc<dyn KeyValue>,
 }
 
@@ -49,7 +49,7 @@
                 is_restored = self.log_failure(self.restore().await);
             }
             let prompts = self.recent_prompts();
-            let is_writer = self.shared.state().fleet.is_writer(self.shared.now());
+            let is_writer = self.context.state().fleet.is_writer(self.context.now());
             if is_restored && is_writer && prompts != last_written {
                 let swap = self.write(&prompts, &mut revision).await;
                 if self.log_failure(swap) {
@@ -65,7 +65,7 @@
         match result {
             Ok(()) => true,
             Err(error) => {
-                self.shared.metrics.record_store_message("failed");
+                self.context.metrics.record_store_message("failed");
                 warn!("failed to read or write the prompt locations: {error}");
                 false
             }
@@ -77,11 +77,11 @@
         let Some(item) = self.store.get(PROMPTS_KEY).await? else {
             return Ok(());
         };
-        let now = self.shared.now();
+        let now = self.context.now();
         match decode::<Vec<CachedPrompt>>(&item.value) {
             Ok(prompts) => {
                 info!(prompts = prompts.len(); "restored the prompt locations");
-                let mut state = self.shared.state();
+                let mut state = self.context.state();
                 for prompt in prompts {
                     state.peer_prompts.record(now, prompt);
                 }
@@ -92,8 +92,8 @@
     }
 
     fn recent_prompts(&self) -> Vec<CachedPrompt> {
-        let since = self.shared.now().before(MAX_AGE);
-        let state = self.shared.state();
+        let since = self.context.now().before(MAX_AGE);
+        let state = self.context.state();
         let mut prompts = state.own_prompts.recorded_since(since);
         prompts.extend(state.peer_prompts.recorded_since(since));
         prompts.truncate(MAX_PROMPTS);
--- a/crates/cyclamenwharf/src/forward/sending.rs
+++ b/crates/cyclamenwharf/src/forward/sending.rs
@@ -73,7 +73,7 @@
 impl ExchangeDriver {
     /// Sends the request once.
     pub(super) async fn send(&mut self, resume: &Resume) -> SendOutcome {
-        let now = self.shared.now();
+        let now = self.context.now();
         let deadline = self.exchange.plan().deadline;
         if now >= deadline {
             return SendOutcome::Event(ExchangeEvent::Expired);
@@ -92,7 +92,7 @@
         self.record_send(now, &placement, resumed);
         if let Some(prompt) = self.prompt_hash {
             let target = TargetHash::from(&placement.target);
-            let mut state = self.shared.state();
+            let mut state = self.context.state();
             state
                 .own_prompts
                 .record(now, CachedPrompt { prompt, target });
@@ -100,7 +100,7 @@
         self.exchange.send(now, placement.clone());
         self.sent_at = now;
         let prompt_time = {
-            let state = self.shared.state();
+            let state = self.context.state();
             let prompt = self.request.head.demand.prompt;
             state
                 .run_times
@@ -138,10 +138,10 @@
         let demand = self.request.head.demand;
         // The guard is acquired before the first await, so that the next selection counts this
         // request.
-        let guard = RequestGuard::acquire(&self.shared, id, demand);
+        let guard = RequestGuard::acquire(&self.context, id, demand);
         let keeper = destination.placement.copy.as_ref();
-        let copy_guard = keeper.map(|keeper| CopyGuard::acquire(&self.shared, keeper, demand));
-        let pooled = self.shared.pool.take(now, id, destination.address).await;
+        let copy_guard = keeper.map(|keeper| CopyGuard::acquire(&self.context, keeper, demand));
+        let pooled = self.context.pool.take(now, id, destination.address).await;
         let PooledConnection {
             mut connection,
             mut reused,
@@ -165,7 +165,7 @@
             self.log_break(&error);
             match self.after_break(&error, reused) {
                 AfterBreak::Reconnect => {
-                    self.shared.pool.close(id);
+                    self.context.pool.close(id);
                     let reconnected = TargetConnection::connect(destination.address).await;
                     connection = reconnected.map_err(|error| self.on_unreachable(id, &error))?;
                     reused = false;
@@ -217,20 +217,20 @@
     ) -> SendOutcome {
         let resumed = destination.resume_from.is_some();
         let (parts, body) = response.into_parts();
-        let answer = self.shared.dialect.read_answer(&parts);
+        let answer = self.context.dialect.read_answer(&parts);
         if let Some(event) = self.mismatch_event(&answer, resumed) {
             return SendOutcome::Event(event);
         }
         if let Some(load) = answer.load {
-            let now = self.shared.now();
-            let mut state = self.shared.state();
+            let now = self.context.now();
+            let mut state = self.context.state();
             state
                 .fleet
                 .reported(now, &destination.placement.target, load);
         }
         let head = BufferedResponse {
             status: parts.status,
-            headers: self.shared.dialect.to_caller(&parts.headers),
+            headers: self.context.dialect.to_caller(&parts.headers),
             body: Bytes::new(),
         };
         let reuse = match answer.close {
@@ -276,7 +276,7 @@
         *request.method_mut() = accepted.parts.method.clone();
         *request.uri_mut() = accepted.parts.uri.clone();
         *request.headers_mut() = self
-            .shared
+            .context
             .dialect
             .to_target(&accepted.parts.headers, &send);
         request
@@ -329,8 +329,8 @@
             return;
         };
         if let Some(placed) = self.exchange.placed() {
-            let now = self.shared.now();
-            self.shared
+            let now = self.context.now();
+            self.context
                 .pool
                 .put(now, &placed.target, active.connection, idle);
         }
@@ -403,8 +403,8 @@
     fn record_prompt_time(&self, resumed: bool) {
         let prompt = self.request.head.demand.prompt;
         if !resumed {
-            let time = self.shared.now().since(self.sent_at);
-            let mut state = self.shared.state();
+            let time = self.context.now().since(self.sent_at);
+            let mut state = self.context.state();
             let ahead = (self.backlog.excess == 0).then_some(self.backlog.unread);
             let service = &self.request.service;
             state.run_times.record_prompt(service, prompt, ahead, time);
@@ -419,12 +419,12 @@
     ) -> Result<T, ExchangeEvent> {
         let deadline = self.exchange.plan().deadline;
         let until = give_up_at.map_or(deadline, |give_up_at| give_up_at.min(deadline));
-        let instant = self.shared.clock.instant(until);
+        let instant = self.context.clock.instant(until);
         tokio::select! {
             biased;
             done = work => Ok(done),
             () = tokio::time::sleep_until(instant) => {
-                Err(match self.shared.now() >= deadline {
+                Err(match self.context.now() >= deadline {
                     true => ExchangeEvent::Expired,
                     false => ExchangeEvent::Lost(Fault::Silent),
                 })
@@ -446,8 +446,8 @@
         let id = &placed.target;
         loop {
             tokio::time::sleep(SUSPICION_CHECK_PERIOD).await;
-            let now = self.shared.now();
-            if !self.shared.state().fleet.is_suspect(now, id) {
+            let now = self.context.now();
+            if !self.context.state().fleet.is_suspect(now, id) {
                 continue;
             }
             let Some(address) = self.address(id) else {
@@ -455,9 +455,9 @@
             };
             match TargetConnection::connect(address).await {
                 Ok(connection) => {
-                    let now = self.shared.now();
-                    self.shared.state().fleet.responded(now, id);
-                    self.shared.pool.put(now, id, connection, None);
+                    let now = self.context.now();
+                    self.context.state().fleet.responded(now, id);
+                    self.context.pool.put(now, id, connection, None);
                     tokio::time::sleep(PROBE_PERIOD).await;
                 }
                 Err(error) => {
--- a/crates/cyclamenwharf/src/forward/streaming.rs
+++ b/crates/cyclamenwharf/src/forward/streaming.rs
@@ -59,9 +59,9 @@
         // The length that the target states does not apply to a stream that continues at another
         // target.
         response.headers_mut().remove(CONTENT_LENGTH);
-        let age = self.shared.now().since(self.exchange.plan().arrived);
+        let age = self.context.now().since(self.exchange.plan().arrived);
         self.first_event_age = Some(age);
-        self.shared
+        self.context
             .metrics
             .record_answer_time(&self.request.service, age);
         tokio::spawn(self.run_stream(stream, events));
@@ -69,9 +69,9 @@
     }
 
     async fn run_stream(mut self, stream: TargetStream, events: EventSender) {
-        self.shared.metrics.streams.inc();
+        self.context.metrics.streams.inc();
         let outcome = self.pass_on(stream, &events).await;
-        self.shared.metrics.streams.dec();
+        self.context.metrics.streams.dec();
         match outcome {
             Ok(outcome) => self.record_end(outcome),
             Err(kind) => {
@@ -105,7 +105,7 @@
             };
             // The previous target must stop before another one resumes the run.
             drop(stream);
-            let lost_at = self.shared.now();
+            let lost_at = self.context.now();
             let step = self.next_step(event);
             let resumed = tokio::select! {
                 resumed = self.resume(step) => resumed?,
@@ -115,8 +115,8 @@
                 Some(resumed) => resumed,
                 None => return Ok("answered"),
             };
-            let now = self.shared.now();
-            self.shared.metrics.record_resumption(now.since(lost_at));
+            let now = self.context.now();
+            self.context.metrics.record_resumption(now.since(lost_at));
         }
     }
 
@@ -145,7 +145,7 @@
     /// Passes on the events that one target sends.
     async fn relay(&mut self, stream: &mut TargetStream, events: &EventSender) -> RelayEnd {
         let deadline = self.exchange.plan().deadline;
-        let mut last_received = self.shared.now();
+        let mut last_received = self.context.now();
         self.record_pause(last_received);
         self.target_started_at = Some(last_received);
         let first = std::mem::take(&mut stream.first);
@@ -168,7 +168,7 @@
                 .unwrap_or(deadline);
             timer
                 .as_mut()
-                .reset(self.shared.clock.instant(until.min(deadline)));
+                .reset(self.context.clock.instant(until.min(deadline)));
             let frame = tokio::select! {
                 biased;
                 frame = stream.body.frame() => frame,
@@ -180,12 +180,12 @@
                 Err(end) => return end,
             };
             if !complete.is_empty() {
-                self.record_pause(self.shared.now());
+                self.record_pause(self.context.now());
                 if !self.send_events(complete, events).await {
                     return RelayEnd::CallerGone;
                 }
             }
-            last_received = self.shared.now();
+            last_received = self.context.now();
         }
     }
 
@@ -227,8 +227,8 @@
     /// Records the duration of a run, from its first event to its last, if a single target ran it.
     fn record_run(&self) {
         if let (1, Some(first)) = (self.exchange.sends(), self.target_started_at) {
-            let time = self.shared.now().since(first);
-            let mut state = self.shared.state();
+            let time = self.context.now().since(first);
+            let mut state = self.context.state();
             state.run_times.record_run(&self.request.service, time);
         }
     }
@@ -238,18 +238,18 @@
         if let Some(last) = self.last_event_at.replace(now) {
             let pause = now.since(last);
             self.longest_pause = self.longest_pause.max(pause);
-            self.shared.metrics.record_pause(pause);
+            self.context.metrics.record_pause(pause);
         }
     }
 
     /// Passes events on to the caller. Returns whether it is still connected.
     async fn send_events(&self, complete: Bytes, events: &EventSender) -> bool {
-        self.shared.metrics.events.inc();
+        self.context.metrics.events.inc();
         events.send(Ok(complete)).await.is_ok()
     }
 
     fn timeout_end(&self, deadline: Time) -> RelayEnd {
-        RelayEnd::Event(match self.shared.now() >= deadline {
+        RelayEnd::Event(match self.context.now() >= deadline {
             true => ExchangeEvent::Expired,
             false => ExchangeEvent::Lost(Fault::Silent),
         })
@@ -262,8 +262,8 @@
         let Some(placed) = self.exchange.placed() else {
             return false;
         };
-        let now = self.shared.now();
-        let mut state = self.shared.state();
+        let now = self.context.now();
+        let mut state = self.context.state();
         state.fleet.responded(last_received, &placed.target);
         let copy = self.exchange.copy();
         self.has_run_long_enough(now)
--- a/crates/cyclamenwharf/src/settings/agent_settings.rs
+++ b/crates/cyclamenwharf/src/settings/agent_settings.rs
@@ -20,18 +20,18 @@
 use super::SettingsError;
 
 /// The shortest period of heartbeats.
-const HEARTBEAT_MIN: Duration = Duration::from_millis(10);
+const MIN_HEARTBEAT: Duration = Duration::from_millis(10);
 /// The longest period of heartbeats; entries treat a longer silence as a failure.
-const HEARTBEAT_MAX: Duration = Duration::from_millis(300);
+const MAX_HEARTBEAT: Duration = Duration::from_millis(300);
 /// The shortest period of reading and reporting the load of the target.
-const REPORT_MIN: Duration = Duration::from_millis(10);
+const MIN_REPORT_PERIOD: Duration = Duration::from_millis(10);
 /// The shortest retention of the ids of ended attempts.
 ///
 /// Entries take the age in their stamps from full reports, which arrive every two minutes, and one
 /// of which may be lost.
-const TOMBSTONE_MIN: Duration = Duration::from_secs(300);
+const MIN_TOMBSTONE: Duration = Duration::from_secs(300);
 /// The smallest output buffer for each running attempt, in bytes.
-const OUTPUT_PER_ATTEMPT_MIN: u64 = 4 << 10;
+const MIN_OUTPUT_BYTES_PER_ATTEMPT: u64 = 4 << 10;
 
 /// The settings of an agent.
 #[data]
@@ -160,16 +160,16 @@
 impl EngineSettings {
     /// Returns the first key with an invalid value, and the expected value.
     fn first_invalid(&self) -> Option<(&'static str, &'static str)> {
-        if self.heartbeat < HEARTBEAT_MIN || self.heartbeat > HEARTBEAT_MAX {
+        if self.heartbeat < MIN_HEARTBEAT || self.heartbeat > MAX_HEARTBEAT {
             return Some(("engine.heartbeat", "expected from 10ms to 300ms"));
         }
-        if self.report < REPORT_MIN {
+        if self.report < MIN_REPORT_PERIOD {
             return Some(("engine.report", "expected at least 10ms"));
         }
-        if self.tombstone < TOMBSTONE_MIN {
+        if self.tombstone < MIN_TOMBSTONE {
             return Some(("engine.tombstone", "expected at least 5m"));
         }
-        if self.kept.0 / u64::from(self.running.max(1)) < OUTPUT_PER_ATTEMPT_MIN {
+        if self.kept.0 / u64::from(self.running.max(1)) < MIN_OUTPUT_BYTES_PER_ATTEMPT {
             return Some((
                 "engine.kept",
                 "expected at least 4KiB for each of engine.running",
--- a/crates/cyclamenwharf/src/stream_server.rs
+++ b/crates/cyclamenwharf/src/stream_server.rs
@@ -28,10 +28,10 @@
 use tokio_util::task::TaskTracker;
 
 /// The size of the read buffer in bytes, which also limits the head of a request.
-const BUFFER_MAX: usize = 16 << 10;
+const MAX_BUFFER_BYTES: usize = 16 << 10;
 
 /// The pause after a failed accept, such as when the process has no free file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Handles the requests of a server.
 pub(crate) trait Handler: Send + Sync + 'static {
@@ -131,7 +131,7 @@
         loop {
             let permit = Arc::clone(&permits).acquire_owned().await;
             let Ok((socket, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let connection = serve_connection(
@@ -167,7 +167,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
-        .max_buf_size(BUFFER_MAX)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(socket), service);
     let mut connection = pin!(connection);
     // Connection errors are ignored: the client sees them itself.
--- a/crates/cyclamenwharf/src/supervisor.rs
+++ b/crates/cyclamenwharf/src/supervisor.rs
@@ -8,7 +8,7 @@
 use tokio_util::task::TaskTracker;
 
 /// The delay before a task is restarted.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 /// A node of the supervisor tree, which restarts its tasks when they end and stops them together.
 #[derive(Clone, Debug, Default)]
@@ -54,7 +54,7 @@
                         if let Err(join_error) = result {
                             error!(task = name.as_str(); "a supervised task failed: {join_error}");
                         }
-                        tokio::time::sleep(RESTART_PAUSE).await;
+                        tokio::time::sleep(RESTART_DELAY).await;
                     }
                 }
             }
