--- a/crates/cyclamenwharf/src/agent/engine_json.rs
+++ b/crates/cyclamenwharf/src/agent/engine_json.rs
@@ -20,7 +20,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The engine's priority for rank 0. The engine prefers lower numbers, dispatches higher ranks.
+/// The engine's priority for rank 0. The engine runs lower priority numbers first, while a dispatch
+/// with a higher rank goes first.
 const LOWEST_PRIORITY: u8 = u8::MAX;
 
 /// A prompt in the engine's format.
--- a/crates/cyclamenwharf/src/agent/generate_runner.rs
+++ b/crates/cyclamenwharf/src/agent/generate_runner.rs
@@ -25,7 +25,7 @@
 use super::engine_json::remaining_tokens;
 use super::sse;
 
-/// The time limit for an abort request.
+/// The timeout for an abort request.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The data of the last event of a stream.
 const DONE_MARKER: &str = "[DONE]";
--- a/crates/cyclamenwharf/src/agent/monitor.rs
+++ b/crates/cyclamenwharf/src/agent/monitor.rs
@@ -14,7 +14,7 @@
 use super::engine_json::EngineLoad;
 use super::target_client::TargetClientError;
 
-/// The time limit for reading the load.
+/// The timeout for reading the load.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// The delay after a failed reading. It is short, as nothing starts before the target responds.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/cyclamenwharf/src/agent/order_runner.rs
+++ b/crates/cyclamenwharf/src/agent/order_runner.rs
@@ -20,7 +20,7 @@
 use super::engine_json::OrderState;
 use super::planner_lease;
 
-/// The time limit for the engine's response to an order.
+/// The timeout for the engine's response to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The result of an order that was sent to the engine.
@@ -71,7 +71,8 @@
     });
 }
 
-/// Decides whether to send an order, and atomically closes an unpinned version to new work.
+/// Decides whether to send an order. If it unloads a version, this also closes the version to new
+/// work, in the same step as the check that the version is not pinned.
 fn admit(state: &Arc<AgentState>, order: &Order) -> OrderStep {
     let mut orders = lock(&state.orders);
     state.update_table(|table, _| {
--- a/crates/cyclamenwharf/src/agent/reporter.rs
+++ b/crates/cyclamenwharf/src/agent/reporter.rs
@@ -17,7 +17,7 @@
 use crate::PeerClient;
 use crate::listed_host::live_entry;
 
-/// The time limit for a relay's response.
+/// The timeout for a relay's response.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sends reports periodically, and immediately on changes.
--- a/crates/cyclamenwharf/src/agent/target_client.rs
+++ b/crates/cyclamenwharf/src/agent/target_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the target.
+//! The HTTP client of the target, which is an engine or a plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// The time limit for establishing a connection to the target.
+/// The timeout for establishing a connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The largest response to a control call, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
@@ -45,10 +45,10 @@
         message: String,
     },
     /// The target did not respond in time.
-    #[snafu(display("no response from the target within {limit:?}"))]
+    #[snafu(display("no response from the target within {timeout:?}"))]
     Timeout {
-        /// The time limit.
-        limit: Duration,
+        /// The timeout.
+        timeout: Duration,
     },
 }
 
@@ -142,7 +142,7 @@
         &self,
         path: &str,
         message: Option<&M>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), TargetClientError> {
         let work = async {
             let response = match message {
@@ -158,21 +158,21 @@
                 })?;
             Ok((status, body.to_bytes()))
         };
-        tokio::time::timeout(limit, work)
+        tokio::time::timeout(timeout, work)
             .await
-            .unwrap_or(Err(TargetClientError::Timeout { limit }))
+            .unwrap_or(Err(TargetClientError::Timeout { timeout }))
     }
 
     /// Requests that the engine stops an attempt.
     pub(super) async fn abort(
         &self,
         id: AttemptId,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(), TargetClientError> {
         let message = super::engine_json::AbortRequest {
             request_id: id.to_string(),
         };
-        self.control("/v1/abort", Some(&message), limit)
+        self.control("/v1/abort", Some(&message), timeout)
             .await
             .map(drop)
     }
@@ -187,7 +187,7 @@
                 message: error.to_string(),
             }),
             Err(_) => Err(TargetClientError::Timeout {
-                limit: CONNECT_TIMEOUT,
+                timeout: CONNECT_TIMEOUT,
             }),
         }
     }
--- a/crates/cyclamenwharf/src/control/admin/change_service.rs
+++ b/crates/cyclamenwharf/src/control/admin/change_service.rs
@@ -54,7 +54,7 @@
 /// The delay before a retry after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The number of changes in the history of a snapshot from which old proposals are removed.
+/// The minimum number of changes in the history of a snapshot for old proposals to be removed.
 const PRUNE_MIN_CHANGES: usize = 512;
 
 /// The number of revisions between two removals of old proposals.
--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -183,7 +183,7 @@
     }
 
     fn on_store(&mut self, now: Time, snapshot: Option<Snapshot>) {
-        // A deleted key counts as the empty history.
+        // A deleted key counts as an empty history.
         let outcome = match snapshot {
             None if !self.active_config.is_known() => return,
             None => self.active_config.apply(Source::Store, Snapshot::default()),
--- a/crates/cyclamenwharf/src/control/hosts_task.rs
+++ b/crates/cyclamenwharf/src/control/hosts_task.rs
@@ -13,7 +13,7 @@
 /// The shortest period between two reads of the host list.
 const MIN_PERIOD: Duration = Duration::from_secs(1);
 
-/// The maximum average number of hosts read per second, which are about 4 KB of JSON.
+/// The maximum average number of hosts read per second. Their records take about 4 KB of JSON.
 const MAX_HOSTS_PER_SECOND: u32 = 24;
 
 /// Polls the host list until the receiver of events is closed or the task is dropped.
@@ -37,8 +37,8 @@
 /// Returns the period at which a list of this many hosts is read. A longer list is read less often,
 /// because each read costs more.
 ///
-/// Agents also read the list and report to their relays when their host is leaving, so entries may
-/// see a change of a host's state late.
+/// An entry may see a change of a host's state late. This is acceptable, because agents also read
+/// the list and report to their relays when their host is leaving.
 fn poll_period(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
     let seconds = f64::from(hosts) / f64::from(MAX_HOSTS_PER_SECOND);
--- a/crates/cyclamenwharf/src/control/mod.rs
+++ b/crates/cyclamenwharf/src/control/mod.rs
@@ -94,7 +94,7 @@
     pub async fn start_with(parts: ControlParts, services: Services) -> Result<Self, StartError> {
         let view = SharedView::default();
         let demands = Arc::<DemandExchange>::default();
-        let shared = thread::Shared {
+        let shared = thread::SharedState {
             view: view.clone(),
             demands: demands.clone(),
         };
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -45,7 +45,7 @@
 /// The period at which the descriptions of weights are refreshed from the weight store.
 const WEIGHTS_PERIOD: Duration = Duration::from_secs(30);
 
-/// The period at which they are requested while the description of any weights is unknown.
+/// The period at which the descriptions are requested while at least one of them is unknown.
 const UNKNOWN_WEIGHTS_PERIOD: Duration = Duration::from_millis(500);
 
 /// The result of an asynchronous call.
--- a/crates/cyclamenwharf/src/control/thread.rs
+++ b/crates/cyclamenwharf/src/control/thread.rs
@@ -44,7 +44,7 @@
 /// The maximum number of attempts to bind the listen addresses.
 const LISTEN_ATTEMPTS: u32 = 40;
 
-/// The delay between two attempts.
+/// The delay between two attempts to bind the listen addresses.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// The running servers of peers and operators, which stop when they are dropped.
@@ -52,7 +52,7 @@
 
 /// The state shared with the traffic threads.
 #[derive(Clone)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     pub(super) view: SharedView,
     pub(super) demands: Arc<DemandExchange>,
 }
@@ -68,7 +68,7 @@
 pub(super) async fn start(
     parts: ControlParts,
     services: Services,
-    shared: Shared,
+    shared: SharedState,
 ) -> Result<Addresses, StartError> {
     let (started, addresses) = oneshot::channel();
     std::thread::Builder::new()
@@ -88,7 +88,7 @@
 fn run(
     parts: ControlParts,
     services: Services,
-    shared: Shared,
+    shared: SharedState,
     started: oneshot::Sender<Result<Addresses, StartError>>,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -122,7 +122,7 @@
 async fn serve_with_retries(
     parts: &ControlParts,
     services: &Services,
-    shared: &Shared,
+    shared: &SharedState,
 ) -> Result<(Addresses, Servers), StartError> {
     let mut outcome = serve(parts, services.clone(), shared.clone());
     for _ in 1..LISTEN_ATTEMPTS {
@@ -138,7 +138,7 @@
 fn serve(
     parts: &ControlParts,
     services: Services,
-    shared: Shared,
+    shared: SharedState,
 ) -> Result<(Addresses, Servers), StartError> {
     let (events, receiver) = mpsc::channel(EVENT_CAPACITY);
     let settings = &parts.settings;
--- a/crates/cyclamenwharf/src/entry/caller_api.rs
+++ b/crates/cyclamenwharf/src/entry/caller_api.rs
@@ -18,7 +18,7 @@
 use super::models;
 use super::service;
 
-/// The path prefix in context of the name of a plain service.
+/// The path prefix before the name of a plain service.
 const SERVICE_PREFIX: &str = "/v1/services/";
 
 /// Routes callers' HTTP requests to their endpoints.
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -23,7 +23,7 @@
 use log::error;
 use tokio::sync::Mutex;
 
-/// The least time that a claim stays in the store after it is written.
+/// The minimum time that a claim stays in the store after it is written.
 const CLAIM_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// How long new claims share one lease.
--- a/crates/cyclamenwharf/src/entry/completion_request.rs
+++ b/crates/cyclamenwharf/src/entry/completion_request.rs
@@ -14,7 +14,7 @@
 /// The upper limit of `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1 << 20;
 
-/// The most stop sequences in one request.
+/// The maximum number of stop sequences in one request.
 const MAX_STOP_SEQUENCES: usize = 16;
 
 /// The upper limit of `temperature`.
@@ -91,7 +91,7 @@
     pub(crate) model: String,
     /// The prompt.
     pub(crate) prompt: Prompt,
-    /// The most output tokens.
+    /// The maximum number of output tokens.
     pub(crate) max_tokens: TokenCount,
     /// The sampling seed, if the caller sets one.
     pub(crate) seed: Option<u64>,
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -23,7 +23,7 @@
 /// The interval between checks of the reports for crashes that a request caused.
 const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// The most checks of the reports before the request is taken not to cause the crash.
+/// The maximum number of checks of the reports, after which the request counts as not at fault.
 const MAX_CRASH_CHECKS: u32 = 15;
 
 impl Driver {
--- a/crates/cyclamenwharf/src/entry/entry_context.rs
+++ b/crates/cyclamenwharf/src/entry/entry_context.rs
@@ -40,7 +40,7 @@
 /// The timeout of a call to an agent that returns no output.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The most tries of one cancellation.
+/// The maximum number of tries of one cancellation.
 const MAX_CANCEL_TRIES: u32 = 3;
 
 /// The delay between tries of one cancellation.
--- a/crates/cyclamenwharf/src/entry/entry_handle.rs
+++ b/crates/cyclamenwharf/src/entry/entry_handle.rs
@@ -43,7 +43,7 @@
 use super::shared_quotas::SharedQuotas;
 use super::suspicion_tracker::SuspicionTracker;
 
-/// The components that an entry's callers' server is built from.
+/// The components from which the server for callers is built.
 pub struct EntryParts {
     /// The entry's settings.
     pub settings: EntrySettings,
--- a/crates/cyclamenwharf/src/entry/event_body.rs
+++ b/crates/cyclamenwharf/src/entry/event_body.rs
@@ -19,7 +19,7 @@
 use super::api_error::ApiError;
 use super::output::Output;
 
-/// The most outputs that are written into one frame of the body.
+/// The maximum number of outputs that are written into one frame of the body.
 const MAX_BATCH_OUTPUTS: usize = 32;
 
 /// The response body of a streamed answer.
--- a/crates/cyclamenwharf/src/entry/idempotency.rs
+++ b/crates/cyclamenwharf/src/entry/idempotency.rs
@@ -32,7 +32,7 @@
 /// How many outputs are buffered for a slow caller before the driver stops reading from its links.
 const OUTPUT_BUFFER: usize = 64;
 
-/// The most tries to claim a key when other calls claim it at the same time.
+/// The maximum number of tries to claim a key when other calls claim it at the same time.
 const MAX_CLAIM_TRIES: u32 = 3;
 
 /// The delay before the next try to claim a key.
@@ -88,7 +88,7 @@
         return run_generation(context, job).await;
     };
     let key = Claim::key(&job.workspace, &key);
-    // A caller that reconnects with an event id has named its generation already.
+    // The key is not needed if the caller reconnects with an event id, which names the generation.
     if job.plan.running_target.is_some() {
         return run_generation(context, job).await;
     }
--- a/crates/cyclamenwharf/src/entry/idempotency_cache.rs
+++ b/crates/cyclamenwharf/src/entry/idempotency_cache.rs
@@ -14,7 +14,7 @@
 /// How long an entry of the cache is kept, which is about as long as agents keep outputs.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// The most requests in the cache.
+/// The maximum number of requests in the cache.
 const CAPACITY: usize = 16_384;
 
 /// An idempotent request, and where it runs or has run.
--- a/crates/cyclamenwharf/src/entry/job.rs
+++ b/crates/cyclamenwharf/src/entry/job.rs
@@ -226,7 +226,8 @@
 /// tokens.
 const FIRST_TOKEN_FACTOR: u32 = 2;
 
-/// How long a resumed attempt may wait at an agent, because another agent may start it sooner.
+/// How long a resumed attempt may wait at an agent. It is short, because another agent may start
+/// the attempt sooner.
 const RESUME_PATIENCE: Duration = Duration::from_millis(1000);
 
 /// The delay before busy targets are asked again to continue a lost attempt.
--- a/crates/cyclamenwharf/src/entry/periodic_tasks.rs
+++ b/crates/cyclamenwharf/src/entry/periodic_tasks.rs
@@ -15,7 +15,7 @@
 /// The interval between exchanges of quota demands, in queue periods.
 const EXCHANGE_PERIODS: u64 = 20;
 
-/// The most queued requests of one target pool that start in one period.
+/// The maximum number of queued requests of one target pool that start in one period.
 const MAX_STARTS: usize = 16;
 
 /// Runs the periodic tasks for as long as the entry runs.
--- a/crates/cyclamenwharf/src/entry/service.rs
+++ b/crates/cyclamenwharf/src/entry/service.rs
@@ -35,7 +35,7 @@
 use super::output::Output;
 use super::output::ServiceAnswer;
 
-/// The path prefix of calls to plain services.
+/// The path prefix before the name of a plain service.
 const SERVICE_PREFIX: &str = "/v1/services/";
 
 /// Request headers that are not forwarded to the service: those that apply to the connection or
--- a/crates/cyclamenwharf/src/forward/connection_pool.rs
+++ b/crates/cyclamenwharf/src/forward/connection_pool.rs
@@ -21,8 +21,8 @@
 /// while a request is in transit.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// How long a connection stays idle before it is reused. A second answer to the previous request
-/// would arrive within milliseconds.
+/// How long a connection must have been idle before it is reused, because a stray second answer to
+/// its previous request would arrive within milliseconds.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
 
 /// An idle connection.
--- a/crates/cyclamenwharf/src/forward/forwarder.rs
+++ b/crates/cyclamenwharf/src/forward/forwarder.rs
@@ -49,7 +49,7 @@
 /// only closes abandoned connections.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// The same for operators. A load balancer checks every second.
+/// The same limit for operators' connections. A load balancer checks every second.
 const OPERATOR_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often old connections are closed and outdated state is dropped, both of which live for
--- a/crates/cyclamenwharf/src/forward/peer_exchange.rs
+++ b/crates/cyclamenwharf/src/forward/peer_exchange.rs
@@ -25,7 +25,7 @@
 /// The longest time between two messages. A new prompt triggers a message at once.
 const MAX_SEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The addition to the longest time for each other entry, so that the total work grows only
+/// The addition to [`MAX_SEND_INTERVAL`] for each other entry, so that the total work grows only
 /// linearly with the number of entries.
 const INTERVAL_PER_ENTRY: Duration = Duration::from_millis(10);
 
--- a/crates/cyclamenwharf/src/forward/streaming.rs
+++ b/crates/cyclamenwharf/src/forward/streaming.rs
@@ -36,8 +36,8 @@
 
 type EventSender = mpsc::Sender<Result<Bytes, io::Error>>;
 
-/// The end of the part of a stream that one target sends.
-enum RelayEnd {
+/// How the stream from one target ends.
+enum TargetStreamEnd {
     /// The stream is complete.
     Complete,
     /// The caller has disconnected.
@@ -70,7 +70,7 @@
 
     async fn run_stream(mut self, stream: TargetStream, events: EventSender) {
         self.context.metrics.streams.inc();
-        let outcome = self.pass_on(stream, &events).await;
+        let outcome = self.forward_stream(stream, &events).await;
         self.context.metrics.streams.dec();
         match outcome {
             Ok(outcome) => self.record_end(outcome),
@@ -83,25 +83,25 @@
         }
     }
 
-    async fn pass_on(
+    async fn forward_stream(
         &mut self,
         mut stream: TargetStream,
         events: &EventSender,
     ) -> Result<&'static str, ErrorKind> {
         loop {
-            let end = self.relay(&mut stream, events).await;
+            let end = self.forward_events(&mut stream, events).await;
             let event = match end {
-                RelayEnd::Complete => {
+                TargetStreamEnd::Complete => {
                     self.record_run();
                     self.drop_copy();
                     self.release_connection(stream.active, stream.reuse);
                     return Ok("answered");
                 }
-                RelayEnd::CallerGone => {
+                TargetStreamEnd::CallerGone => {
                     self.drop_copy();
                     return Ok("caller_gone");
                 }
-                RelayEnd::Event(event) => event,
+                TargetStreamEnd::Event(event) => event,
             };
             // The previous target must stop before another one resumes the run.
             drop(stream);
@@ -142,22 +142,26 @@
         }
     }
 
-    /// Passes on the events that one target sends.
-    async fn relay(&mut self, stream: &mut TargetStream, events: &EventSender) -> RelayEnd {
+    /// Passes the events from one target on to the caller until its stream ends.
+    async fn forward_events(
+        &mut self,
+        stream: &mut TargetStream,
+        events: &EventSender,
+    ) -> TargetStreamEnd {
         let deadline = self.exchange.plan().deadline;
         let mut last_received = self.context.now();
         self.record_pause(last_received);
         self.target_started_at = Some(last_received);
         let first = std::mem::take(&mut stream.first);
         if !self.send_events(first, events).await {
-            return RelayEnd::CallerGone;
+            return TargetStreamEnd::CallerGone;
         }
         let timer = tokio::time::sleep(Duration::ZERO);
         tokio::pin!(timer);
         let mut renewal = CopyRenewal::default();
         loop {
             if self.should_move(last_received) {
-                return RelayEnd::Event(ExchangeEvent::Leaving);
+                return TargetStreamEnd::Event(ExchangeEvent::Leaving);
             }
             if self.has_run_long_enough(last_received) {
                 self.maintain_copy(last_received, &mut renewal);
@@ -172,7 +176,7 @@
             let frame = tokio::select! {
                 biased;
                 frame = stream.body.frame() => frame,
-                () = events.closed() => return RelayEnd::CallerGone,
+                () = events.closed() => return TargetStreamEnd::CallerGone,
                 () = timer.as_mut() => return self.timeout_end(deadline),
             };
             let complete = match self.complete_events(frame) {
@@ -182,19 +186,19 @@
             if !complete.is_empty() {
                 self.record_pause(self.context.now());
                 if !self.send_events(complete, events).await {
-                    return RelayEnd::CallerGone;
+                    return TargetStreamEnd::CallerGone;
                 }
             }
             last_received = self.context.now();
         }
     }
 
-    /// Returns the complete events in a frame, or the end of the target's part.
+    /// Returns the complete events in a frame, or how the stream from the target ends.
     fn complete_events(
         &mut self,
         frame: Option<Result<Frame<Bytes>, hyper::Error>>,
-    ) -> Result<Bytes, RelayEnd> {
-        let broken = || RelayEnd::Event(ExchangeEvent::Lost(Fault::Broken));
+    ) -> Result<Bytes, TargetStreamEnd> {
+        let broken = || TargetStreamEnd::Event(ExchangeEvent::Lost(Fault::Broken));
         let frame = match frame {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => {
@@ -205,7 +209,7 @@
                 info!(request = self.request.head.id.as_str(); "the stream ended within an event");
                 return Err(broken());
             }
-            None => return Err(RelayEnd::Complete),
+            None => return Err(TargetStreamEnd::Complete),
         };
         // Trailers contain no events.
         let data = frame.into_data().unwrap_or_default();
@@ -248,8 +252,8 @@
         events.send(Ok(complete)).await.is_ok()
     }
 
-    fn timeout_end(&self, deadline: Time) -> RelayEnd {
-        RelayEnd::Event(match self.context.now() >= deadline {
+    fn timeout_end(&self, deadline: Time) -> TargetStreamEnd {
+        TargetStreamEnd::Event(match self.context.now() >= deadline {
             true => ExchangeEvent::Expired,
             false => ExchangeEvent::Lost(Fault::Silent),
         })
--- a/crates/cyclamenwharf/src/lib.rs
+++ b/crates/cyclamenwharf/src/lib.rs
@@ -1,8 +1,13 @@
-//! The daemon as a library: entry, agent and forwarding entry, each with its settings.
+//! The daemon as a library: the entry, the agent and the forwarding entry, each with its settings.
 //!
-//! - [`EntrySettings`] and [`AgentSettings`] are read and validated before anything starts.
-//! - [`Entry::start`] and [`Agent::start`] run a role on the current runtime and return a handle.
-//! - [`Forwarder::start`] runs an entry that forwards opaque requests.
+//! - [`EntrySettings`], [`AgentSettings`] and [`ForwardSettings`] are read and validated before
+//!   anything starts.
+//! - [`Entry::start`], [`Agent::start`] and [`Forwarder::start`] run a role in the background and
+//!   return a handle that stops it.
+//! - [`Control`] is the control plane of an entry: it publishes the [`SharedView`] of the targets
+//!   and serves the API of [`admin`].
+//! - [`Supervisor`] restarts background tasks that end, and stops them together.
+//! - [`TraceStore`] keeps the recorded decisions, and [`SloMetrics`] the service-level events.
 //! - [`Clock`] is the only source of the current time; policy code gets the time as an argument.
 
 mod agent;
--- a/crates/cyclamenwharf/src/main.rs
+++ b/crates/cyclamenwharf/src/main.rs
@@ -24,7 +24,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// The exit code for invalid settings.
+/// The exit code if the settings are invalid or the process cannot be set up.
 const EXIT_SETTINGS: u8 = 2;
 
 fn command() -> Command {
@@ -40,12 +40,12 @@
         .subcommand_required(true)
         .subcommand(
             Command::new("entry")
-                .about("Takes callers' requests")
+                .about("Accepts requests from callers")
                 .arg(settings.clone()),
         )
         .subcommand(
             Command::new("agent")
-                .about("Runs attempts on the one target beside it")
+                .about("Runs attempts on a single target")
                 .arg(settings.clone()),
         )
         .subcommand(
--- a/crates/cyclamenwharf/src/peer_client.rs
+++ b/crates/cyclamenwharf/src/peer_client.rs
@@ -27,7 +27,7 @@
 use tokio_util::codec::FramedRead;
 use tokio_util::io::StreamReader;
 
-/// The time limit for establishing a connection.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An error of a call to a peer.
@@ -50,12 +50,12 @@
         message: String,
     },
     /// The peer did not respond in time.
-    #[snafu(display("no response from {peer} within {limit:?}"))]
+    #[snafu(display("no response from {peer} within {timeout:?}"))]
     Timeout {
         /// The address of the peer.
         peer: SocketAddr,
-        /// The time limit.
-        limit: Duration,
+        /// The timeout.
+        timeout: Duration,
     },
     /// The peer responded with an error status.
     #[snafu(display("{peer} responded with {status}"))]
@@ -110,7 +110,7 @@
         peer: SocketAddr,
         path: &str,
         message: &M,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, PeerError>
     where
         M: Serialize,
@@ -124,14 +124,14 @@
             })?;
             cw_wire::decode(&body.to_bytes()).context(WireSnafu)
         };
-        tokio::time::timeout(limit, work)
+        tokio::time::timeout(timeout, work)
             .await
-            .unwrap_or(Err(PeerError::Timeout { peer, limit }))
+            .unwrap_or(Err(PeerError::Timeout { peer, timeout }))
     }
 
     /// Sends a message and returns the frames of the response.
     ///
-    /// The limit applies to the head of the response only, not to the frames.
+    /// The timeout applies to the head of the response only, not to the frames.
     ///
     /// # Errors
     ///
@@ -141,12 +141,12 @@
         peer: SocketAddr,
         path: &str,
         message: &M,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<impl Stream<Item = Result<Frame, WireError>> + Send + Unpin + use<M>, PeerError>
     {
-        let response = tokio::time::timeout(limit, self.post(peer, path, message))
+        let response = tokio::time::timeout(timeout, self.post(peer, path, message))
             .await
-            .unwrap_or(Err(PeerError::Timeout { peer, limit }))?;
+            .unwrap_or(Err(PeerError::Timeout { peer, timeout }))?;
         let bytes = response
             .into_body()
             .into_data_stream()
--- a/crates/cyclamenwharf/src/settings/agent_settings.rs
+++ b/crates/cyclamenwharf/src/settings/agent_settings.rs
@@ -27,8 +27,8 @@
 const MIN_REPORT_PERIOD: Duration = Duration::from_millis(10);
 /// The shortest retention of the ids of ended attempts.
 ///
-/// Entries take the age in their stamps from full reports, which arrive every two minutes, and one
-/// of which may be lost.
+/// An entry takes the age in its stamps from the last full report of the target. Full reports
+/// arrive every two minutes, and one of them may be lost.
 const MIN_TOMBSTONE: Duration = Duration::from_secs(300);
 /// The smallest output buffer for each running attempt, in bytes.
 const MIN_OUTPUT_BYTES_PER_ATTEMPT: u64 = 4 << 10;
--- a/crates/cyclamenwharf/src/supervisor.rs
+++ b/crates/cyclamenwharf/src/supervisor.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Runs a task until the node stops, and restarts it when it panics or returns.
+    /// Runs a task until the node stops, and restarts it when it panics or returns. A panic is
+    /// logged with the path of the task in the tree, which ends in `name`.
     pub fn supervise<F, T>(&self, name: &str, mut start: F)
     where
         F: FnMut() -> T + Send + 'static,
