--- a/crates/cyclamenwharf/src/control/core.rs
+++ b/crates/cyclamenwharf/src/control/core.rs
@@ -47,7 +47,7 @@
 use crate::listed_host::live_entry;
 
 /// The period of [`Core::on_tick`].
-pub(super) const TICK: Duration = Duration::from_millis(50);
+pub(super) const TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// How often the view is published if nothing urgent has happened.
 const VIEW_PERIOD: Duration = Duration::from_millis(250);
@@ -183,7 +183,7 @@
     }
 
     fn on_store(&mut self, now: Time, snapshot: Option<Snapshot>) {
-        // A deleted key counts as the empty history.
+        // A deleted key counts as an empty history.
         let outcome = match snapshot {
             None if !self.active_config.is_known() => return,
             None => self.active_config.apply(Source::Store, Snapshot::default()),
@@ -237,7 +237,7 @@
     }
 
     fn on_hosts(&mut self, hosts: Vec<Host>) {
-        let marks: BTreeMap<_, _> = hosts
+        let statuses: BTreeMap<_, _> = hosts
             .iter()
             .map(|h| (h.host.clone(), host_status(h)))
             .collect();
@@ -247,8 +247,8 @@
         entries.push(own.clone());
         entries.sort_by(|a, b| a.host.cmp(&b.host));
         self.processes
-            .retain(|host| *host == own.host || marks.contains_key(host));
-        self.members.on_hosts(marks, entries.len());
+            .retain(|host| *host == own.host || statuses.contains_key(host));
+        self.members.on_hosts(statuses, entries.len());
         if entries == self.entries {
             return;
         }
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/entry_handle.rs
@@ -31,7 +31,7 @@
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
-use super::api::CallerApi;
+use super::caller_api::CallerApi;
 use super::claims::Claims;
 use super::entry_context::EntryContext;
 use super::entry_metrics::EntryMetrics;
@@ -43,7 +43,7 @@
 use super::shared_quotas::SharedQuotas;
 use super::suspicion_tracker::SuspicionTracker;
 
-/// The components that an entry's callers' server is built from.
+/// The components from which the server for callers is built.
 pub struct EntryParts {
     /// The entry's settings.
     pub settings: EntrySettings,
