--- a/crates/cw_testkit/src/experiment/record.rs
+++ b/crates/cw_testkit/src/experiment/record_traces.rs
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Fails when a deployment does not start, no trace is kept, or a file cannot be written.
-pub async fn record(directory: &Path) -> Result<(), ExperimentError> {
+pub async fn record_traces(directory: &Path) -> Result<(), ExperimentError> {
     std::fs::create_dir_all(directory).map_err(ExperimentError::new)?;
     for (name, fault) in STREAMS {
         for recovery in [Recovery::Latency, Recovery::Thrift] {
--- a/crates/cw_testkit/src/main.rs
+++ b/crates/cw_testkit/src/main.rs
@@ -165,7 +165,7 @@
 
 async fn record(args: &ArgMatches) -> Result<(), String> {
     let directory: &PathBuf = args.get_one("directory").expect("clap requires it");
-    let recorded = experiment::record(directory).await;
+    let recorded = experiment::record_traces(directory).await;
     recorded.map_err(|error| error.to_string())
 }
 
