--- a/crates/cw_testkit/src/experiment/capacity/calls.rs
+++ b/crates/cw_testkit/src/experiment/capacity/call_rate.rs
@@ -1,4 +1,4 @@
-//! Calls to the key-value service, counted by a stand-in of it.
+//! The rate of calls from entries to the key-value service, counted by a fake service.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -25,17 +25,17 @@
 use cyclamenwharf::Supervisor;
 use serde::Serialize;
 
-/// How long calls are counted.
-const COUNTED: Duration = Duration::from_secs(20);
+/// How long calls are counted for each number of entries.
+const COUNT_PERIOD: Duration = Duration::from_secs(20);
 
-/// How long entries get to find each other.
-const SETTLING: Duration = Duration::from_secs(12);
+/// How long entries have to discover each other before the count starts.
+const DISCOVERY_PERIOD: Duration = Duration::from_secs(12);
 
-/// The availability zones, over which entries are spread in turn.
-const ZONES: usize = 6;
+/// The number of availability zones, to which entries are assigned round-robin.
+const ZONE_COUNT: usize = 6;
 
-/// Entries' control states around stand-ins of the platform.
-pub(super) struct Place {
+/// The control states of several entries in one process, with fake platform services.
+pub(super) struct ControlCluster {
     pub(super) controls: Vec<Control>,
     pub(super) key_value: KeyValue,
     supervisor: Supervisor,
@@ -43,54 +43,55 @@
     _weight_store: WeightStore,
 }
 
-/// Calls at one number of entries.
+/// The rate of calls that a number of entries makes.
 #[derive(Debug, Serialize)]
-pub(super) struct CallCount {
+pub(super) struct CallRate {
     processes: usize,
     calls_per_second: f64,
-    /// Calls a second by path.
+    /// Calls per second by path.
     paths: BTreeMap<String, f64>,
     seconds: u64,
 }
 
-/// Runs the control states of `processes` entries and counts their calls.
-pub(super) async fn measure(processes: usize) -> CallCount {
-    let place = Place::start(processes).await;
-    tokio::time::sleep(SETTLING).await;
-    let before = place.key_value.calls();
-    tokio::time::sleep(COUNTED).await;
+/// Measures the rate of calls of `processes` entries.
+pub(super) async fn measure(processes: usize) -> CallRate {
+    let cluster = ControlCluster::start(processes).await;
+    tokio::time::sleep(DISCOVERY_PERIOD).await;
+    let before = cluster.key_value.calls();
+    tokio::time::sleep(COUNT_PERIOD).await;
     let rate = |(path, count): (String, u64)| {
         let calls = count - before.get(&path).copied().unwrap_or_default();
-        (path, calls as f64 / COUNTED.as_secs_f64())
+        (path, calls as f64 / COUNT_PERIOD.as_secs_f64())
     };
-    let paths: BTreeMap<_, _> = place.key_value.calls().into_iter().map(rate).collect();
-    CallCount {
+    let paths: BTreeMap<_, _> = cluster.key_value.calls().into_iter().map(rate).collect();
+    CallRate {
         processes,
         calls_per_second: paths.values().sum(),
         paths,
-        seconds: COUNTED.as_secs(),
+        seconds: COUNT_PERIOD.as_secs(),
     }
 }
 
-impl CallCount {
-    /// Returns the calls a second of all entries together.
+impl CallRate {
+    /// Returns the calls per second of all entries together.
     pub(super) fn calls_per_second(&self) -> f64 {
         self.calls_per_second
     }
 }
 
-impl Place {
-    /// The secret of all processes.
+impl ControlCluster {
+    /// The secret that entries and clients use for authentication.
     pub(super) const SECRET: &str = "0123456789abcdef0123456789abcdef";
 
-    /// Starts so many entries' control states.
+    /// Starts the control states of `count` entries.
     pub(super) async fn start(count: usize) -> Self {
-        let key_value = KeyValue::start().await.expect("a port");
-        let host_list = HostList::start().await.expect("a port");
+        let key_value = KeyValue::start().await.expect("a free port");
+        let host_list = HostList::start().await.expect("a free port");
         let weights = [].into();
         let weight_store = WeightStore::start(weights, ByteSize::mib(1)).await;
-        let weight_store = weight_store.expect("a port");
-        let snapshot = serde_json::to_vec(&Snapshot::default()).expect("JSON");
+        let weight_store = weight_store.expect("a free port");
+        let snapshot =
+            serde_json::to_vec(&Snapshot::default()).expect("a snapshot serializes to JSON");
         key_value.put("cyclamenwharf/config", snapshot);
         let platform = PlatformSettings {
             key_value: vec![key_value.address],
@@ -116,7 +117,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ControlCluster {
     fn drop(&mut self) {
         self.supervisor.stop();
     }
@@ -131,23 +132,25 @@
         health: Arc::new(Health::default()),
         traces: Default::default(),
     };
-    Control::start(parts).await.expect("ports")
+    Control::start(parts).await.expect("free ports")
 }
 
 fn settings(n: usize, platform: PlatformSettings) -> EntrySettings {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     EntrySettings {
         host: format!("entry-{n}").parse().expect("a valid name"),
-        zone: format!("zone-{}", n % ZONES).parse().expect("a valid name"),
+        zone: format!("zone-{}", n % ZONE_COUNT)
+            .parse()
+            .expect("a valid name"),
         region: "region-0".parse().expect("a valid name"),
         listen: EntryListen {
-            callers: any,
-            peers: any,
-            admin: any,
+            callers: any_port,
+            peers: any_port,
+            admin: any_port,
         },
         platform,
         secrets: SecretSettings {
-            peers: vec![Place::SECRET.to_owned()],
+            peers: vec![ControlCluster::SECRET.to_owned()],
         },
         limits: Default::default(),
         recovery: Default::default(),
--- a/crates/cw_testkit/src/experiment/capacity/line.rs
+++ b/crates/cw_testkit/src/experiment/capacity/linear_fit.rs
@@ -1,28 +1,28 @@
-//! A line through measured points.
+//! Linear regression.
 
 use cw_macro::data;
 
-/// A line through measured points, by least squares.
+/// A line that is fitted to measured points by least squares.
 #[data]
-pub(super) struct Line {
-    /// What was measured.
+pub(super) struct LinearFit {
+    /// The measured quantity.
     measure: String,
-    /// The unit of the measure.
+    /// The unit of the quantity.
     unit: String,
-    /// What it was measured against.
+    /// The unit of the independent variable.
     per: String,
-    /// The points: the number of `per`, and the measure.
+    /// The points: the independent variable and the measured quantity.
     points: Vec<(f64, f64)>,
-    /// The measure at none of them.
+    /// The fitted quantity at zero.
     intercept: f64,
-    /// The measure of one more.
+    /// The increase of the quantity for each additional unit of `per`.
     slope: f64,
-    /// The root of the mean squared distance of the points from the line.
+    /// The root mean square error of the fit.
     residual: f64,
 }
 
-impl Line {
-    /// Fits a line to points of at least two different sizes.
+impl LinearFit {
+    /// Fits a line to points that have at least two different values of the independent variable.
     pub(super) fn fit(measure: &str, unit: &str, per: &str, points: Vec<(f64, f64)>) -> Self {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
@@ -33,8 +33,8 @@
         let variance: f64 = points.iter().map(square).sum();
         let slope = covariance / variance;
         let intercept = mean_y - slope * mean_x;
-        let distance = |point: &(f64, f64)| (point.1 - intercept - slope * point.0).powi(2);
-        let residual = (points.iter().map(distance).sum::<f64>() / count).sqrt();
+        let squared_error = |point: &(f64, f64)| (point.1 - intercept - slope * point.0).powi(2);
+        let residual = (points.iter().map(squared_error).sum::<f64>() / count).sqrt();
         Self {
             measure: measure.to_owned(),
             unit: unit.to_owned(),
--- a/crates/cw_testkit/src/experiment/capacity/choice.rs
+++ b/crates/cw_testkit/src/experiment/capacity/target_choice.rs
@@ -27,33 +27,33 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::TARGETS;
-use super::line::Line;
+use super::TARGET_COUNTS;
+use super::linear_fit::LinearFit;
 
-/// The workspaces that ask.
-const WORKSPACES: usize = 420;
-/// Decisions between two reports, 250 ms apart, at 2300 a second.
-const DECISIONS: usize = 575;
-/// How often all decisions are made.
-const REPEATS: usize = 40;
-/// The moment of the first decision.
-const NOW: Time = Time(1_000_000_000);
+/// The number of workspaces that send requests.
+const WORKSPACE_COUNT: usize = 420;
+/// Decisions between two reports that are 250 ms apart, at 2300 decisions per second.
+const DECISIONS_PER_INTERVAL: usize = 575;
+/// The number of report intervals that are simulated.
+const INTERVALS: usize = 40;
+/// The time of the first decision.
+const START: Time = Time(1_000_000_000);
 
-fn name<T: std::str::FromStr>(text: String) -> T
+fn parse<T: std::str::FromStr>(text: String) -> T
 where
     T::Err: std::fmt::Debug,
 {
     text.parse().expect("a valid name")
 }
 
-fn target(number: usize, rng: &mut SmallRng) -> TargetView {
-    let versions = BTreeSet::from([name("v1".to_owned())]);
+fn target_view(number: usize, rng: &mut SmallRng) -> TargetView {
+    let versions = BTreeSet::from([parse("v1".to_owned())]);
     TargetView {
         target: Target {
             agent: "127.0.0.1:1".parse().expect("a valid address"),
-            host: name(format!("host-{number:04}")),
-            zone: name(format!("zone-{}", number % 6)),
-            region: name(format!("region-{}", number % 2)),
+            host: parse(format!("host-{number:04}")),
+            zone: parse(format!("zone-{}", number % 6)),
+            region: parse(format!("region-{}", number % 2)),
             kind: TargetKind::Engine,
             fenced: true,
             versions: BTreeMap::new(),
@@ -65,17 +65,17 @@
             limit: 16,
             ..Load::default()
         },
-        reported_at: NOW,
+        reported_at: START,
         alive_since: Time(0),
-        versions: BTreeMap::from([(name("model".to_owned()), versions)]),
+        versions: BTreeMap::from([(parse("model".to_owned()), versions)]),
         crashes: Vec::new(),
     }
 }
 
 fn request(workspace: usize) -> RouteRequest {
-    let workspace = name(format!("workspace-{workspace:03}"));
-    let model = name("model".to_owned());
-    let version = name("v1".to_owned());
+    let workspace = parse(format!("workspace-{workspace:03}"));
+    let model = parse("model".to_owned());
+    let version = parse("v1".to_owned());
     let prompt = Prompt::Text(format!("The ledger of {workspace}. ").repeat(200));
     let blocks = blocks(&workspace, &model, &version, None, &prompt);
     let to = RouteTarget::Model {
@@ -83,39 +83,39 @@
         version,
         adapter: None,
     };
-    let zone = name("zone-0".to_owned());
-    let region = name("region-0".to_owned());
+    let zone = parse("zone-0".to_owned());
+    let region = parse("region-0".to_owned());
     RouteRequest::new(to, workspace, zone, region).with_prompt(blocks, TokenCount(1200))
 }
 
-/// Times in microseconds.
+/// Mean times in microseconds.
 #[derive(Clone, Copy, Debug)]
-struct Times {
-    /// The mean of a decision, with learning and recording.
+struct MeanTimes {
+    /// The time of one decision, including the updates of the dispatch log and the cache index.
     decision: f64,
-    /// The mean of making an index from a view.
+    /// The time to build an index from a view.
     index: f64,
 }
 
-/// Returns the times over all repeats, each with a new report of all targets.
-fn measure(targets: usize, all_busy: bool) -> Times {
+/// Returns the mean times over all intervals; each starts with a new report of every target.
+fn measure(targets: usize, all_busy: bool) -> MeanTimes {
     let mut rng = SmallRng::seed_from_u64(1);
-    let requests: Vec<_> = (0..WORKSPACES).map(request).collect();
+    let requests: Vec<_> = (0..WORKSPACE_COUNT).map(request).collect();
     let mut view = View {
         targets: (0..targets)
             .map(|number| {
                 (
-                    name(format!("target-{number:04}")),
-                    target(number, &mut rng),
+                    parse(format!("target-{number:04}")),
+                    target_view(number, &mut rng),
                 )
             })
             .collect(),
         ..View::default()
     };
     let mut dispatches = DispatchLog::default();
-    let mut now = NOW;
-    let (mut deciding, mut indexing) = (Duration::ZERO, Duration::ZERO);
-    for _ in 0..REPEATS {
+    let mut now = START;
+    let (mut decision_time, mut index_time) = (Duration::ZERO, Duration::ZERO);
+    for _ in 0..INTERVALS {
         for (id, target) in &mut view.targets {
             target.reported_at = now;
             if all_busy {
@@ -125,11 +125,11 @@
         dispatches.observe(now, &view);
         let start = Instant::now();
         let index = TargetIndex::new(&view);
-        indexing += start.elapsed();
+        index_time += start.elapsed();
         let start = Instant::now();
-        for number in 0..DECISIONS {
+        for number in 0..DECISIONS_PER_INTERVAL {
             now = now + Duration::from_micros(435);
-            let request = &requests[number % WORKSPACES];
+            let request = &requests[number % WORKSPACE_COUNT];
             let choice = index.choose(now, Policy::Affinity, request, &dispatches, &mut rng);
             if let Choice::Target(id) = black_box(choice) {
                 dispatches.record_dispatch(now, &id, request);
@@ -141,25 +141,25 @@
                 );
             }
         }
-        deciding += start.elapsed();
+        decision_time += start.elapsed();
     }
-    Times {
-        decision: deciding.as_secs_f64() * 1e6 / (REPEATS * DECISIONS) as f64,
-        index: indexing.as_secs_f64() * 1e6 / REPEATS as f64,
+    MeanTimes {
+        decision: decision_time.as_secs_f64() * 1e6 / (INTERVALS * DECISIONS_PER_INTERVAL) as f64,
+        index: index_time.as_secs_f64() * 1e6 / INTERVALS as f64,
     }
 }
 
-/// Returns the lines of a decision and of an index, with free and with busy targets.
-pub(super) fn lines() -> Vec<Line> {
-    let mut lines = Vec::new();
+/// Returns linear fits of the time of a decision and of an index, with free and with busy targets.
+pub(super) fn fits() -> Vec<LinearFit> {
+    let mut fits = Vec::new();
     for (all_busy, name) in [(false, "targets free"), (true, "all targets busy")] {
-        let times = TARGETS.map(|count| (count as f64, measure(count, all_busy)));
+        let times = TARGET_COUNTS.map(|count| (count as f64, measure(count, all_busy)));
         let decision = times.map(|(count, times)| (count, times.decision)).to_vec();
         let index = times.map(|(count, times)| (count, times.index)).to_vec();
         let measure = format!("choice of a target, {name}");
-        lines.push(Line::fit(&measure, "us", "target", decision));
+        fits.push(LinearFit::fit(&measure, "us", "target", decision));
         let measure = format!("index of a view, {name}");
-        lines.push(Line::fit(&measure, "us", "target", index));
+        fits.push(LinearFit::fit(&measure, "us", "target", index));
     }
-    lines
+    fits
 }
