--- a/crates/cw_testkit/src/experiment/engine_death.rs
+++ b/crates/cw_testkit/src/experiment/engine_death.rs
@@ -1,4 +1,4 @@
-//! Engines that die in the middle of streams.
+//! Faults of targets in the middle of streams.
 
 use cw_types::Recovery;
 use serde_json::Value;
@@ -11,19 +11,19 @@
 use super::Report;
 use super::fault::FAULTS;
 use super::fault::Fault;
-use super::recovery::STREAMS_EACH;
+use super::recovery::STREAMS_PER_ENGINE;
 use super::recovery::TOKENS;
 use super::recovery::measure;
 use super::recovery::timings;
 
-/// The users' deployments: engines, plain services, availability zones.
+/// The deployment sizes of the users: numbers of engines, plain services and availability zones.
 const SIZES: [(usize, usize, usize); 2] = [(36, 4, 4), (36, 3, 3)];
-/// The entries.
+/// The number of entries.
 const ENTRIES: usize = 3;
-/// Both ways of recovery.
-const RECOVERIES: [Recovery; 2] = [Recovery::Latency, Recovery::Thrift];
+/// Both recovery modes.
+const RECOVERY_MODES: [Recovery; 2] = [Recovery::Latency, Recovery::Thrift];
 
-/// Kills an engine under load, `rounds` times for each way of recovery.
+/// Kills an engine under load, `rounds` times in each recovery mode.
 ///
 /// # Errors
 ///
@@ -34,7 +34,7 @@
     Ok(report)
 }
 
-/// Causes each fault under load at both users' sizes, `rounds` times for each way of recovery.
+/// Injects each fault under load at both deployment sizes, `rounds` times in each recovery mode.
 ///
 /// # Errors
 ///
@@ -50,7 +50,7 @@
 fn setup(rounds: usize) -> Value {
     json!({
         "entries": ENTRIES,
-        "streams_for_each_engine": STREAMS_EACH,
+        "streams_for_each_engine": STREAMS_PER_ENGINE,
         "tokens": TOKENS,
         "step_ms": timings().step.as_millis(),
         "rounds": rounds,
@@ -72,7 +72,7 @@
         .with_forwarders();
     let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
     for &fault in faults {
-        for recovery in RECOVERIES {
+        for recovery in RECOVERY_MODES {
             report.push(&measure(&rig, fault, recovery, rounds).await?);
         }
     }
--- a/crates/cw_testkit/src/experiment/fault.rs
+++ b/crates/cw_testkit/src/experiment/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that experiments cause.
+//! Faults that experiments inject.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Fault {
-    /// An engine is killed under its agent.
+    /// An engine is killed while its agent runs on.
     EngineKilled,
-    /// A target's host is lost, engine and agent together.
+    /// The host of a target is lost, with both its engine and its agent.
     HostLost,
     /// An engine is paused for 3 s.
     #[serde(rename = "engine_paused_3s")]
@@ -22,7 +22,7 @@
     /// An engine is paused for 30 s.
     #[serde(rename = "engine_paused_30s")]
     LongPause,
-    /// The connections to an agent go silent for good.
+    /// Open connections to an agent carry no more data and are never closed.
     ConnectionSilent,
     /// A sixth of all targets is lost at once.
     SixthLost,
@@ -39,8 +39,8 @@
 ];
 
 impl Fault {
-    /// Returns the engines that are hit in a round: a sixth of them, or the one that runs most.
-    pub(super) async fn victims(self, rig: &Rig, round: usize) -> Vec<usize> {
+    /// Returns the engines that a round affects: a sixth of them, or the busiest one.
+    pub(super) async fn affected_engines(self, rig: &Rig, round: usize) -> Vec<usize> {
         let engines = rig.engines.len();
         if self == Fault::SixthLost {
             return (0..engines)
@@ -54,7 +54,7 @@
         vec![busiest.1]
     }
 
-    /// Returns how often the fault is caused, of `rounds`.
+    /// Returns how often the fault is injected in a run of `rounds` rounds.
     pub(super) fn rounds(self, rounds: usize) -> usize {
         match self {
             Fault::LongPause => rounds.div_ceil(6),
@@ -62,20 +62,20 @@
         }
     }
 
-    /// Causes the fault.
-    pub(super) async fn cause(self, rig: &Rig, victims: &[usize]) {
-        for &victim in victims {
+    /// Injects the fault.
+    pub(super) async fn inject(self, rig: &Rig, affected: &[usize]) {
+        for &number in affected {
             match self {
-                Fault::EngineKilled => rig.engines[victim].kill().await,
-                Fault::HostLost | Fault::SixthLost => rig.kill_host(victim).await,
-                Fault::ShortPause | Fault::LongPause => rig.engines[victim].pause(),
-                Fault::ConnectionSilent => rig.forwarders[victim].silence(),
+                Fault::EngineKilled => rig.engines[number].kill().await,
+                Fault::HostLost | Fault::SixthLost => rig.kill_host(number).await,
+                Fault::ShortPause | Fault::LongPause => rig.engines[number].pause(),
+                Fault::ConnectionSilent => rig.forwarders[number].silence(),
             }
         }
     }
 
-    /// Returns how long the fault lasts when its end is a part of it.
-    pub(super) fn lasts(self) -> Option<Duration> {
+    /// Returns how long the fault lasts; `None` if it lasts until the streams have ended.
+    pub(super) fn duration(self) -> Option<Duration> {
         match self {
             Fault::ShortPause => Some(Duration::from_secs(3)),
             Fault::LongPause => Some(Duration::from_secs(30)),
@@ -83,15 +83,15 @@
         }
     }
 
-    /// Ends the fault.
-    pub(super) async fn end(self, rig: &Rig, victims: &[usize]) -> Result<(), ExperimentError> {
-        for &victim in victims {
-            let engine = &rig.engines[victim];
+    /// Ends the fault by restarting or resuming what it affected.
+    pub(super) async fn clear(self, rig: &Rig, affected: &[usize]) -> Result<(), ExperimentError> {
+        for &number in affected {
+            let engine = &rig.engines[number];
             match self {
                 Fault::EngineKilled => engine.restart().await.map_err(ExperimentError::new)?,
                 Fault::HostLost | Fault::SixthLost => {
                     engine.restart().await.map_err(ExperimentError::new)?;
-                    let agent = &rig.agents[victim];
+                    let agent = &rig.agents[number];
                     agent.restart().await.map_err(ExperimentError::new)?;
                 }
                 Fault::ShortPause | Fault::LongPause => engine.wake(),
--- a/crates/cw_testkit/src/experiment/mod.rs
+++ b/crates/cw_testkit/src/experiment/mod.rs
@@ -1,10 +1,11 @@
-//! Measurements of a deployment on loopback.
+//! Experiments that measure a deployment on loopback.
 
 mod capacity;
-mod drive;
+mod concurrent_requests;
 mod engine_death;
+mod engine_work;
 mod fault;
-mod load;
+mod open_loop_load;
 mod overhead;
 mod overload;
 mod page;
@@ -15,7 +16,6 @@
 mod routing;
 mod summary;
 mod tally;
-mod work;
 mod zone_loss;
 
 pub use capacity::capacity;
--- a/crates/cw_testkit/src/experiment/overhead.rs
+++ b/crates/cw_testkit/src/experiment/overhead.rs
@@ -1,4 +1,4 @@
-//! What entry and agent add to an engine.
+//! The latency, processor time and memory that an entry and an agent add to an engine.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -26,33 +26,33 @@
 use super::Report;
 use super::Summary;
 use super::process::cpu_of_threads;
-use super::process::resident;
+use super::process::resident_bytes;
 
-/// The requests by which the time to the first token is measured, for each way.
+/// The number of requests for the time to the first token, both direct and through an entry.
 const SAMPLES: u64 = 2000;
-/// The streams that run at once.
-const STREAMS: u64 = 200;
-/// How long tokens are counted.
-const SPAN: Duration = Duration::from_secs(8);
-/// How long streams run before.
+/// The number of streams that run concurrently to measure throughput.
+const CONCURRENT_STREAMS: u64 = 200;
+/// How long tokens are counted to measure throughput.
+const COUNT_PERIOD: Duration = Duration::from_secs(8);
+/// How long streams run before tokens are counted.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// The streams whose memory is measured, for each way.
-const OPEN: u64 = 600;
-/// The tokens that each of them has received.
-const OPEN_TOKENS: usize = 64;
-/// The tokens of a stream that does not end by itself.
-const ENDLESS: u64 = 1 << 20;
-/// The name of the threads that carry an entry's traffic.
+/// The number of open streams to measure memory, both direct and through an entry.
+const OPEN_STREAMS: u64 = 600;
+/// The number of tokens that each open stream has received when memory is measured.
+const TOKENS_PER_OPEN_STREAM: usize = 64;
+/// An output length in tokens that no stream reaches during an experiment.
+const UNREACHED_TOKENS: u64 = 1 << 20;
+/// The name of the threads that serve an entry's traffic.
 const ENTRY_THREAD: &str = "traffic";
-/// Longer than any experiment.
-const NEVER: Duration = Duration::from_secs(3600);
+/// A time limit that no experiment reaches.
+const UNREACHED_TIME: Duration = Duration::from_secs(3600);
 
-/// The most that may be added to the first token at the median, in milliseconds.
-const AIM_ADDED_MS: f64 = 1.0;
-/// The tokens a second that a core of an entry should carry.
-const AIM_TOKENS: f64 = 100_000.0;
-/// The memory that a stream should take, in bytes.
-const AIM_BYTES: f64 = 65_536.0;
+/// The limit for the added median time to the first token, in milliseconds.
+const MAX_ADDED_MS: f64 = 1.0;
+/// The required throughput of an entry, in tokens per second per core.
+const MIN_TOKENS_PER_CORE_S: f64 = 100_000.0;
+/// The limit for the memory that a stream adds, in bytes.
+const MAX_STREAM_BYTES: f64 = 65_536.0;
 
 #[data]
 struct FirstTokenRow {
@@ -88,7 +88,7 @@
     met: bool,
 }
 
-/// Measures what one entry and its agents add against the same engines called directly.
+/// Compares one entry and its agents with direct calls to the same engines.
 ///
 /// # Errors
 ///
@@ -97,8 +97,8 @@
     let setup = json!({
         "entries": 1,
         "samples": SAMPLES,
-        "streams": STREAMS,
-        "span_s": SPAN.as_secs(),
+        "streams": CONCURRENT_STREAMS,
+        "span_s": COUNT_PERIOD.as_secs(),
         "core": "processor time of the entry's traffic threads, from /proc/self/task",
         "memory": "growth of the process's resident set; callers and engines are in it both ways",
     });
@@ -128,14 +128,14 @@
         .with_services(0)
         .with_timings(timings(step));
     spec.agent.running = 1024;
-    spec.agent.step = NEVER;
-    spec.recovery.stall = NEVER;
-    spec.recovery.latency_stall = NEVER;
+    spec.agent.step = UNREACHED_TIME;
+    spec.recovery.stall = UNREACHED_TIME;
+    spec.recovery.latency_stall = UNREACHED_TIME;
     spec
 }
 
-/// Returns a body for an engine that is called directly.
-fn direct(number: u64, tokens: u64) -> Value {
+/// Returns the body of a request that is sent to an engine directly.
+fn direct_body(number: u64, tokens: u64) -> Value {
     json!({
         "model": MODEL,
         "version": VERSION,
@@ -150,13 +150,13 @@
 // ---- First token
 
 async fn first_token() -> Result<FirstTokenRow, ExperimentError> {
-    let rig = start(spec(1, Duration::ZERO)).await?;
+    let rig = start_rig(spec(1, Duration::ZERO)).await?;
     let engine = Caller::new(rig.engines[0].address, "-");
     let entry = rig.caller(0);
     let (mut direct_times, mut through_times) = (Vec::new(), Vec::new());
     for number in 0..SAMPLES {
         let sent = Instant::now();
-        let mut reading = engine.open_body(&direct(number, 1)).await?;
+        let mut reading = engine.open_body(&direct_body(number, 1)).await?;
         reading.read_tokens(1).await?;
         direct_times.push(sent.elapsed());
         reading.finish().await?;
@@ -176,25 +176,25 @@
         through,
         added_p50_ms,
         added_p95_ms: through.p95_ms - direct.p95_ms,
-        aim_p50_ms: AIM_ADDED_MS,
-        met: added_p50_ms < AIM_ADDED_MS,
+        aim_p50_ms: MAX_ADDED_MS,
+        met: added_p50_ms < MAX_ADDED_MS,
     })
 }
 
 // ---- Throughput
 
 async fn throughput() -> Result<ThroughputRow, ExperimentError> {
-    let rig = start(spec(8, Duration::from_millis(1))).await?;
-    let counted = Arc::new(AtomicU64::new(0));
+    let rig = start_rig(spec(8, Duration::from_millis(1))).await?;
+    let token_count = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
-    for number in 0..STREAMS {
-        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), ENDLESS);
-        tasks.spawn(count(rig.caller(0), ask, Arc::clone(&counted)));
+    for number in 0..CONCURRENT_STREAMS {
+        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), UNREACHED_TOKENS);
+        tasks.spawn(count_tokens(rig.caller(0), ask, Arc::clone(&token_count)));
     }
     tokio::time::sleep(WARM_UP).await;
-    let (start, tokens, cpu) = sample(&counted);
-    tokio::time::sleep(SPAN).await;
-    let (end, tokens_end, cpu_end) = sample(&counted);
+    let (start, tokens, cpu) = sample(&token_count);
+    tokio::time::sleep(COUNT_PERIOD).await;
+    let (end, tokens_end, cpu_end) = sample(&token_count);
     tasks.shutdown().await;
     rig.stop().await;
     let seconds = (end - start).as_secs_f64();
@@ -203,28 +203,28 @@
     let tokens_per_core_s = tokens_per_s / cores_used.max(0.01);
     Ok(ThroughputRow {
         measure: "tokens through one entry".to_owned(),
-        streams: STREAMS,
+        streams: CONCURRENT_STREAMS,
         tokens_per_s,
         cores_used,
         tokens_per_core_s,
-        aim_per_core_s: AIM_TOKENS,
-        met: tokens_per_core_s >= AIM_TOKENS,
+        aim_per_core_s: MIN_TOKENS_PER_CORE_S,
+        met: tokens_per_core_s >= MIN_TOKENS_PER_CORE_S,
     })
 }
 
-fn sample(counted: &AtomicU64) -> (Instant, u64, Duration) {
-    let tokens = counted.load(Ordering::Relaxed);
+fn sample(token_count: &AtomicU64) -> (Instant, u64, Duration) {
+    let tokens = token_count.load(Ordering::Relaxed);
     (Instant::now(), tokens, cpu_of_threads(ENTRY_THREAD))
 }
 
-async fn count(caller: Caller, ask: Ask, counted: Arc<AtomicU64>) {
+async fn count_tokens(caller: Caller, ask: Ask, token_count: Arc<AtomicU64>) {
     let Ok(mut reading) = caller.open(&ask).await else {
         return;
     };
     let mut before = 0;
     while let Ok(Some(_)) = reading.next().await {
         let tokens = reading.answer.ids.len();
-        counted.fetch_add((tokens - before) as u64, Ordering::Relaxed);
+        token_count.fetch_add((tokens - before) as u64, Ordering::Relaxed);
         before = tokens;
     }
 }
@@ -232,52 +232,56 @@
 // ---- Memory
 
 async fn memory() -> Result<MemoryRow, ExperimentError> {
-    let rig = start(spec(4, Duration::from_millis(10))).await?;
+    let rig = start_rig(spec(4, Duration::from_millis(10))).await?;
     for engine in &rig.engines {
         engine.set_faults(EngineFaults {
-            hold: Some(OPEN_TOKENS as u64),
+            hold: Some(TOKENS_PER_OPEN_STREAM as u64),
             ..EngineFaults::default()
         });
     }
-    let empty = resident();
+    let before = resident_bytes();
     let mut direct_readings = Vec::new();
-    for number in 0..OPEN {
+    for number in 0..OPEN_STREAMS {
         let engine = &rig.engines[(number % 4) as usize];
         let caller = Caller::new(engine.address, "-");
-        direct_readings.push(caller.open_body(&direct(number, ENDLESS)).await?);
+        direct_readings.push(
+            caller
+                .open_body(&direct_body(number, UNREACHED_TOKENS))
+                .await?,
+        );
     }
     read_all(&mut direct_readings).await?;
-    let after_direct = resident();
+    let after_direct = resident_bytes();
     let mut readings = Vec::new();
-    for number in 0..OPEN {
-        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), ENDLESS);
+    for number in 0..OPEN_STREAMS {
+        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), UNREACHED_TOKENS);
         readings.push(rig.caller(0).open(&ask).await?);
     }
     read_all(&mut readings).await?;
-    let after_through = resident();
+    let after_through = resident_bytes();
     drop((readings, direct_readings));
     rig.stop().await;
-    let direct_bytes = after_direct.saturating_sub(empty) as f64 / OPEN as f64;
-    let through_bytes = after_through.saturating_sub(after_direct) as f64 / OPEN as f64;
+    let direct_bytes = after_direct.saturating_sub(before) as f64 / OPEN_STREAMS as f64;
+    let through_bytes = after_through.saturating_sub(after_direct) as f64 / OPEN_STREAMS as f64;
     Ok(MemoryRow {
         measure: "memory of an open stream".to_owned(),
-        streams: OPEN,
-        tokens_each: OPEN_TOKENS,
+        streams: OPEN_STREAMS,
+        tokens_each: TOKENS_PER_OPEN_STREAM,
         direct_bytes,
         through_bytes,
         added_bytes: through_bytes - direct_bytes,
-        aim_bytes: AIM_BYTES,
-        met: through_bytes - direct_bytes < AIM_BYTES,
+        aim_bytes: MAX_STREAM_BYTES,
+        met: through_bytes - direct_bytes < MAX_STREAM_BYTES,
     })
 }
 
 async fn read_all(readings: &mut [Reading]) -> Result<(), ExperimentError> {
     for reading in readings {
-        reading.read_tokens(OPEN_TOKENS).await?;
+        reading.read_tokens(TOKENS_PER_OPEN_STREAM).await?;
     }
     Ok(())
 }
 
-async fn start(spec: RigSpec) -> Result<Rig, ExperimentError> {
+async fn start_rig(spec: RigSpec) -> Result<Rig, ExperimentError> {
     Rig::start(spec).await.map_err(ExperimentError::new)
 }
--- a/crates/cw_testkit/src/experiment/overload.rs
+++ b/crates/cw_testkit/src/experiment/overload.rs
@@ -1,4 +1,4 @@
-//! More demand than the engines can serve.
+//! Load beyond the capacity of the engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,23 +14,23 @@
 
 use super::ExperimentError;
 use super::Report;
-use super::drive::Stream;
-use super::load::Demand;
-use super::load::FIRST_TOKEN;
-use super::load::LoadRow;
-use super::routing::demand;
+use super::concurrent_requests::CompletedRequest;
+use super::open_loop_load::FIRST_TOKEN_LIMIT;
+use super::open_loop_load::LoadRow;
+use super::open_loop_load::OpenLoopLoad;
+use super::routing::open_loop_load;
 use super::routing::spec;
 
-/// The demand by which the engines' capacity is found, in requests a second.
-const SATURATION: f64 = 1200.0;
-/// How long requests come.
-const SPAN: Duration = Duration::from_secs(10);
-/// How long the engines fill before their answers are counted.
+/// A rate that saturates the engines, used to measure their capacity, in requests per second.
+const SATURATING_RATE: f64 = 1200.0;
+/// How long requests are sent.
+const LOAD_PERIOD: Duration = Duration::from_secs(10);
+/// How long the engines fill up before answers are counted.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// More than ever wait or run.
+/// A limit on running or waiting requests that no run reaches.
 const UNLIMITED: u32 = 1_000_000;
 
-/// Whether requests are refused before the engines are full.
+/// Whether admission control refuses requests before the engines are full.
 #[data(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 enum Admission {
@@ -46,14 +46,14 @@
     load: LoadRow,
 }
 
-/// Offers up to twice of what the engines can serve, with and without admission.
+/// Offers up to twice the engines' capacity, with and without admission control.
 ///
 /// # Errors
 ///
 /// Fails when a deployment does not start.
 pub async fn overload() -> Result<Report, ExperimentError> {
-    let capacity = capacity().await?;
-    let setup = json!({ "capacity_per_s": capacity, "span_s": SPAN.as_secs() });
+    let capacity = measure_capacity().await?;
+    let setup = json!({ "capacity_per_s": capacity, "span_s": LOAD_PERIOD.as_secs() });
     let mut report = Report::new("overload", setup);
     let cases = [
         (Policy::Affinity, Admission::Adaptive, 0.5),
@@ -68,7 +68,12 @@
         (Policy::RoundRobin, Admission::Adaptive, 0.8),
     ];
     for (policy, admission, share) in cases {
-        let load = run(policy, admission, &demand(capacity * share, SPAN)).await?;
+        let load = run(
+            policy,
+            admission,
+            &open_loop_load(capacity * share, LOAD_PERIOD),
+        )
+        .await?;
         report.push(&OverloadRow {
             policy,
             admission,
@@ -79,34 +84,37 @@
     Ok(report)
 }
 
-/// Finds how many requests a second the engines answer when they are full.
-async fn capacity() -> Result<f64, ExperimentError> {
+/// Measures how many requests per second the saturated engines answer.
+async fn measure_capacity() -> Result<f64, ExperimentError> {
     let rig = Rig::start(spec(Policy::Affinity)).await;
     let rig = rig.map_err(ExperimentError::new)?;
     let start = Instant::now();
-    let (_, streams) = demand(SATURATION, SPAN).run_streams(&rig).await;
+    let (_, requests) = open_loop_load(SATURATING_RATE, LOAD_PERIOD)
+        .run_with_requests(&rig)
+        .await;
     rig.stop().await;
-    let counted = (start + WARM_UP)..(start + SPAN);
-    let is_whole = |stream: &&Stream| stream.outcome.as_ref().is_ok_and(Answer::is_whole);
-    let whole = streams.iter().filter(is_whole);
+    let count_period = (start + WARM_UP)..(start + LOAD_PERIOD);
+    let is_whole =
+        |request: &&CompletedRequest| request.outcome.as_ref().is_ok_and(Answer::is_whole);
+    let whole = requests.iter().filter(is_whole);
     let count = whole
-        .filter(|stream| counted.contains(&stream.ended))
+        .filter(|request| count_period.contains(&request.ended_at))
         .count();
-    Ok(count as f64 / (SPAN - WARM_UP).as_secs_f64())
+    Ok(count as f64 / (LOAD_PERIOD - WARM_UP).as_secs_f64())
 }
 
 async fn run(
     policy: Policy,
     admission: Admission,
-    demand: &Demand,
+    load: &OpenLoopLoad,
 ) -> Result<LoadRow, ExperimentError> {
     let mut spec = spec(policy);
-    spec.patience = FIRST_TOKEN;
+    spec.patience = FIRST_TOKEN_LIMIT;
     if admission == Admission::None {
         spec = without_admission(spec);
     }
     let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
-    let row = demand.run(&rig).await;
+    let row = load.run(&rig).await;
     rig.stop().await;
     Ok(row)
 }
--- a/crates/cw_testkit/src/experiment/page.rs
+++ b/crates/cw_testkit/src/experiment/page.rs
@@ -1,4 +1,4 @@
-//! The page of measurements, written from reports.
+//! Writes the tables of reports into the Markdown page of measurements.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,10 +8,10 @@
 use super::ExperimentError;
 use super::Report;
 
-/// A column: its head, and where in a row its value is.
+/// A column: its heading, and the JSON pointer to its value in a row.
 type Column = (&'static str, &'static str);
 
-/// The columns of recovery from faults.
+/// The columns of the experiments on recovery from faults.
 const RECOVERY: &[Column] = &[
     ("engines", "/engines"),
     ("zones", "/zones"),
@@ -30,7 +30,7 @@
     ("mixed", "/tally/mixed"),
     ("lost", "/tally/lost"),
 ];
-/// The columns of overhead.
+/// The columns of the overhead experiment.
 const OVERHEAD: &[Column] = &[
     ("measure", "/measure"),
     ("direct p50 ms", "/direct/p50_ms"),
@@ -42,7 +42,7 @@
     ("bytes a stream", "/added_bytes"),
     ("aim met", "/met"),
 ];
-/// The columns of slopes, and of what an entry pays for control.
+/// The columns of linear fits, and of the cost of control traffic for an entry.
 const CAPACITY: &[Column] = &[
     ("measure", "/measure"),
     ("unit", "/unit"),
@@ -66,7 +66,7 @@
     ("age of a load p50 ms", "/age_p50_ms"),
     ("max ms", "/age_max_ms"),
 ];
-/// The columns of changes coming into force.
+/// The columns of the propagation of configuration changes.
 const IN_FORCE: &[Column] = &[
     ("case", "/case"),
     ("entries", "/entries"),
@@ -74,7 +74,7 @@
     ("p50 ms", "/p50_ms"),
     ("max ms", "/max_ms"),
 ];
-/// The columns of open demand.
+/// The columns of the experiments under open-loop load.
 const LOAD: &[Column] = &[
     ("policy", "/policy"),
     ("entries", "/entries"),
@@ -97,7 +97,7 @@
     ("wrong tokens", "/load/tally/mixed"),
 ];
 
-/// Writes a report's table into its place on a page, or at the page's end.
+/// Replaces the section of a report on a page, or appends it if the page has none.
 ///
 /// # Errors
 ///
@@ -119,7 +119,7 @@
     std::fs::write(page, new).map_err(ExperimentError::new)
 }
 
-/// Returns a report as Markdown.
+/// Formats a report as a Markdown section, without the columns that no row has a value for.
 fn section(report: &Report) -> String {
     let columns: Vec<Column> = columns(&report.experiment)
         .iter()
@@ -131,11 +131,11 @@
         })
         .copied()
         .collect();
-    let heads: Vec<&str> = columns.iter().map(|column| column.0).collect();
+    let headings: Vec<&str> = columns.iter().map(|column| column.0).collect();
     let mut text = format!("## {}\n\n`{}`\n\n", report.experiment, report.command);
     let _ = writeln!(text, "Setup: `{}`\n", report.setup);
-    let _ = writeln!(text, "| {} |", heads.join(" | "));
-    let _ = writeln!(text, "|{}", "---|".repeat(heads.len()));
+    let _ = writeln!(text, "| {} |", headings.join(" | "));
+    let _ = writeln!(text, "|{}", "---|".repeat(headings.len()));
     for row in &report.rows {
         let cells: Vec<String> = columns.iter().map(|column| cell(row, column.1)).collect();
         let _ = writeln!(text, "| {} |", cells.join(" | "));
@@ -161,17 +161,17 @@
         Some(Value::String(text)) => text.clone(),
         Some(Value::Number(number)) => match number.as_u64() {
             Some(whole) => whole.to_string(),
-            None => rounded(number.as_f64().unwrap_or_default()),
+            None => format_rounded(number.as_f64().unwrap_or_default()),
         },
         Some(other) => other.to_string(),
     }
 }
 
-/// Returns a number with as many digits as its size gives sense to.
-fn rounded(number: f64) -> String {
+/// Formats a number with fewer decimal places the larger it is.
+fn format_rounded(number: f64) -> String {
     match number.abs() {
-        size if size >= 100.0 => format!("{number:.0}"),
-        size if size >= 1.0 => format!("{number:.2}"),
+        magnitude if magnitude >= 100.0 => format!("{number:.0}"),
+        magnitude if magnitude >= 1.0 => format!("{number:.2}"),
         _ => format!("{number:.4}"),
     }
 }
--- a/crates/cw_testkit/src/experiment/report.rs
+++ b/crates/cw_testkit/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! Reports as JSON.
+//! The JSON report of an experiment.
 
 use std::path::Path;
 
@@ -9,16 +9,16 @@
 
 use crate::CallError;
 
-/// An experiment that could not be run or written.
+/// The error of an experiment that cannot be run, or of a report that cannot be read or written.
 #[derive(Debug, Snafu)]
 #[snafu(display("{message}"))]
 pub struct ExperimentError {
-    /// What happened.
+    /// What went wrong.
     pub message: String,
 }
 
 impl ExperimentError {
-    /// Returns an error with the text of another.
+    /// Returns an error with the message of another error.
     pub(super) fn new(error: impl std::fmt::Display) -> Self {
         let message = error.to_string();
         Self { message }
@@ -31,21 +31,21 @@
     }
 }
 
-/// What an experiment found.
+/// The results of an experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Report {
-    /// The experiment.
+    /// The name of the experiment.
     pub experiment: String,
     /// The command that made the report.
     pub command: String,
-    /// How the deployment and the load were set.
+    /// The parameters of the deployment and the load.
     pub setup: Value,
-    /// The findings, one row each.
+    /// The results, one JSON object per case.
     pub rows: Vec<Value>,
 }
 
 impl Report {
-    /// Returns a report without findings.
+    /// Returns a report without rows.
     pub fn new(experiment: &str, setup: Value) -> Self {
         Self {
             experiment: experiment.to_owned(),
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Adds a finding.
+    /// Adds a row and prints it.
     pub(super) fn push<T: Serialize>(&mut self, row: &T) {
-        let value = serde_json::to_value(row).expect("rows have string keys");
+        let value = serde_json::to_value(row).expect("a row serializes to JSON");
         println!("{value}");
         self.rows.push(value);
     }
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read or is no report.
+    /// Fails when the file cannot be read or does not contain a report.
     pub fn read(file: &Path) -> Result<Self, ExperimentError> {
         let bytes = std::fs::read(file).map_err(ExperimentError::new)?;
         serde_json::from_slice(&bytes).map_err(ExperimentError::new)
--- a/crates/cw_testkit/src/experiment/routing.rs
+++ b/crates/cw_testkit/src/experiment/routing.rs
@@ -1,4 +1,4 @@
-//! The routing policy and its baselines.
+//! Compares the routing policy with its baselines.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 
 use super::ExperimentError;
 use super::Report;
-use super::load::Demand;
-use super::load::LoadRow;
+use super::open_loop_load::LoadRow;
+use super::open_loop_load::OpenLoopLoad;
 
-/// The policy and its baselines.
+/// The routing policy and its baselines.
 pub(super) const POLICIES: [Policy; 4] = [
     Policy::Affinity,
     Policy::RoundRobin,
     Policy::LeastReported,
     Policy::PowerOfTwo,
 ];
-/// The engines, plain services and availability zones.
-const SIZE: (usize, usize, usize) = (36, 4, 4);
-/// The requests a second that load the engines to about 80 % without their caches.
+/// The numbers of engines, plain services and availability zones.
+const DEPLOYMENT_SIZE: (usize, usize, usize) = (36, 4, 4);
+/// Requests per second that would load the engines to about 80 % if they had no caches.
 const RATE: f64 = 220.0;
-/// How long requests come.
-const SPAN: Duration = Duration::from_secs(12);
-/// The seed of the demand.
+/// How long requests are sent.
+const LOAD_PERIOD: Duration = Duration::from_secs(12);
+/// The seed of the load.
 const SEED: u64 = 11;
 
 #[data]
@@ -39,24 +39,24 @@
     load: LoadRow,
 }
 
-/// Compares the routing policy with its baselines under equal demand.
+/// Compares the routing policy with its baselines under equal load.
 ///
 /// # Errors
 ///
 /// Fails when a deployment does not start.
 pub async fn routing() -> Result<Report, ExperimentError> {
-    let demand = demand(RATE, SPAN);
+    let offered = open_loop_load(RATE, LOAD_PERIOD);
     let mut report = Report::new(
         "routing",
         json!({
-            "engines": SIZE.0,
-            "services": SIZE.1,
-            "zones": SIZE.2,
+            "engines": DEPLOYMENT_SIZE.0,
+            "services": DEPLOYMENT_SIZE.1,
+            "zones": DEPLOYMENT_SIZE.2,
             "seed": SEED,
-            "documents": demand.documents,
-            "prompt_words": demand.words,
-            "tokens": demand.tokens,
-            "span_s": SPAN.as_secs(),
+            "documents": offered.documents,
+            "prompt_words": offered.document_words,
+            "tokens": offered.output_tokens,
+            "span_s": LOAD_PERIOD.as_secs(),
             "batch": timings().batch,
             "cache_tokens": timings().capacity,
         }),
@@ -66,7 +66,7 @@
             let mut spec = spec(policy).with_entries(entries);
             spec.timings.report_lag = Duration::from_millis(lag);
             let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
-            let load = demand.run(&rig).await;
+            let load = offered.run(&rig).await;
             rig.stop().await;
             report.push(&RoutingRow {
                 policy,
@@ -79,12 +79,12 @@
     Ok(report)
 }
 
-/// Returns a deployment of the users' size.
+/// Returns the specification of a deployment of the users' size.
 pub(super) fn spec(policy: Policy) -> RigSpec {
     let mut spec = RigSpec::default()
-        .with_engines(SIZE.0)
-        .with_services(SIZE.1)
-        .with_zones(SIZE.2)
+        .with_engines(DEPLOYMENT_SIZE.0)
+        .with_services(DEPLOYMENT_SIZE.1)
+        .with_zones(DEPLOYMENT_SIZE.2)
         .with_entries(3)
         .with_timings(timings())
         .with_policy(policy);
@@ -92,7 +92,7 @@
     spec
 }
 
-/// Returns engines that are small enough to be loaded by callers on the same machine.
+/// Returns timings of engines that callers on the same machine can saturate.
 pub(super) fn timings() -> EngineTimings {
     EngineTimings {
         step: Duration::from_millis(20),
@@ -105,15 +105,15 @@
     }
 }
 
-/// Returns demand for a few hundred documents that do not fit into one cache.
-pub(super) fn demand(rate: f64, span: Duration) -> Demand {
-    Demand {
+/// Returns load on a few hundred documents, more than fit into one engine's cache.
+pub(super) fn open_loop_load(rate: f64, duration: Duration) -> OpenLoopLoad {
+    OpenLoopLoad {
         seed: SEED,
         rate,
-        span,
+        duration,
         workspaces: 10,
         documents: 300,
-        words: 200,
-        tokens: 24,
+        document_words: 200,
+        output_tokens: 24,
     }
 }
--- a/crates/cw_testkit/src/experiment/tally.rs
+++ b/crates/cw_testkit/src/experiment/tally.rs
@@ -1,4 +1,4 @@
-//! Comparison of what callers received with what they should have received.
+//! Compares the answers that callers received with the expected ones.
 
 use cw_macro::data;
 use cw_types::TokenId;
@@ -9,25 +9,25 @@
 use crate::MODEL;
 use crate::VERSION;
 
-/// How far ahead a token is looked for before it counts as another generation's.
-const LOOK_AHEAD: usize = 256;
+/// How many expected tokens are searched for a received one before it counts as foreign.
+const LOOKAHEAD_TOKENS: usize = 256;
 
-/// What was wrong with the answers of a run.
+/// Counts of requests by outcome, and of tokens that differ from the expected answers.
 #[data(Default, Eq)]
 pub struct Tally {
-    /// Answers that came whole.
+    /// Complete answers.
     pub whole: u64,
-    /// Requests that were refused as not run.
+    /// Requests that were refused without being run.
     pub refused: u64,
-    /// Requests that ended otherwise than by a whole answer or a refusal.
+    /// Requests that ended with neither a complete answer nor a refusal.
     pub lost: u64,
-    /// Tokens delivered.
+    /// Tokens that callers received.
     pub delivered: u64,
-    /// Tokens that a whole answer lacks.
+    /// Expected tokens that an answer skips, or that a complete answer lacks at its end.
     pub missing: u64,
-    /// Tokens delivered twice.
+    /// Tokens that were delivered more than once.
     pub repeated: u64,
-    /// Tokens that do not belong to the answer.
+    /// Tokens that do not belong to the answer, such as those of another generation.
     pub mixed: u64,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns whether every answer came whole and right.
+    /// Returns whether no request was lost and every answer was correct.
     pub fn is_clean(&self) -> bool {
         self.lost + self.missing + self.repeated + self.mixed == 0
     }
@@ -49,21 +49,21 @@
     fn add_answer(&mut self, ask: &Ask, answer: &Answer) {
         self.delivered += answer.ids.len() as u64;
         let expected = ask.expected(MODEL, VERSION);
-        let reached = self.compare(&expected, &answer.ids);
+        let covered = self.compare(&expected, &answer.ids);
         match answer.is_whole() {
             true => {
                 self.whole += 1;
-                self.missing += (expected.len() - reached) as u64;
+                self.missing += (expected.len() - covered) as u64;
             }
             false => self.lost += 1,
         }
     }
 
-    /// Compares tokens in order, and returns how far they reach.
-    fn compare(&mut self, expected: &[TokenId], found: &[TokenId]) -> usize {
+    /// Compares tokens in order, and returns the number of expected tokens that they cover.
+    fn compare(&mut self, expected: &[TokenId], received: &[TokenId]) -> usize {
         let mut next = 0;
-        for token in found {
-            let ahead = expected[next..].iter().take(LOOK_AHEAD);
+        for token in received {
+            let ahead = expected[next..].iter().take(LOOKAHEAD_TOKENS);
             match ahead.clone().position(|other| other == token) {
                 Some(0) => next += 1,
                 _ if expected[..next].contains(token) => self.repeated += 1,
--- a/crates/cw_testkit/src/experiment/zone_loss.rs
+++ b/crates/cw_testkit/src/experiment/zone_loss.rs
@@ -1,4 +1,4 @@
-//! An availability zone that is lost under load.
+//! The loss of an availability zone under load.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,17 +11,17 @@
 
 use super::ExperimentError;
 use super::Report;
-use super::load::Demand;
-use super::load::LoadRow;
-use super::routing::demand;
+use super::open_loop_load::LoadRow;
+use super::open_loop_load::OpenLoopLoad;
+use super::routing::open_loop_load;
 use super::routing::spec;
 
-/// Requests a second: about half of what the engines can serve.
+/// Requests per second, about half of the engines' capacity.
 const RATE: f64 = 50.0;
-/// How long requests come.
-const SPAN: Duration = Duration::from_secs(14);
-/// When the availability zone is lost.
-const LOSS: Duration = Duration::from_secs(5);
+/// How long requests are sent.
+const LOAD_PERIOD: Duration = Duration::from_secs(14);
+/// The time from the start of the load until the availability zone is lost.
+const TIME_TO_LOSS: Duration = Duration::from_secs(5);
 /// The policies that are compared.
 const POLICIES: [Policy; 2] = [Policy::Affinity, Policy::PowerOfTwo];
 
@@ -33,13 +33,14 @@
     load: LoadRow,
 }
 
-/// Loses all targets of one availability zone under load, for the policy and a baseline.
+/// Kills all targets of one availability zone under load, for the routing policy and a baseline.
 ///
 /// # Errors
 ///
 /// Fails when a deployment does not start.
 pub async fn zone_loss() -> Result<Report, ExperimentError> {
-    let setup = json!({ "rate": RATE, "span_s": SPAN.as_secs(), "loss_s": LOSS.as_secs() });
+    let setup =
+        json!({ "rate": RATE, "span_s": LOAD_PERIOD.as_secs(), "loss_s": TIME_TO_LOSS.as_secs() });
     let mut report = Report::new("zone-loss", setup);
     for policy in POLICIES {
         report.push(&run(policy).await?);
@@ -51,29 +52,30 @@
     let rig = Rig::start(spec(policy))
         .await
         .map_err(ExperimentError::new)?;
-    let demand = Demand {
-        tokens: 60,
-        ..demand(RATE, SPAN)
+    let offered = OpenLoopLoad {
+        output_tokens: 60,
+        ..open_loop_load(RATE, LOAD_PERIOD)
     };
     let lost: Vec<usize> = (0..rig.engines.len())
         .filter(|number| number.is_multiple_of(rig.spec.zones))
         .collect();
     let loss = async {
-        tokio::time::sleep(LOSS).await;
-        let moment = Instant::now();
+        tokio::time::sleep(TIME_TO_LOSS).await;
+        let lost_at = Instant::now();
         for &number in &lost {
             rig.kill_host(number).await;
         }
-        moment
+        lost_at
     };
-    let ((load, streams), moment) = futures::future::join(demand.run_streams(&rig), loss).await;
+    let ((load, requests), lost_at) =
+        futures::future::join(offered.run_with_requests(&rig), loss).await;
     rig.stop().await;
-    let gaps = streams.iter().filter_map(|stream| {
-        let answer = stream.outcome.as_ref().ok()?;
-        let target = answer.target_at(moment)?;
+    let gaps = requests.iter().filter_map(|request| {
+        let answer = request.outcome.as_ref().ok()?;
+        let target = answer.target_at(lost_at)?;
         let number = rig.engine_number(target);
         lost.contains(&number)
-            .then(|| answer.resumed_after(moment))?
+            .then(|| answer.resumed_after(lost_at))?
     });
     Ok(ZoneLossRow {
         policy,
