--- a/crates/cw_testkit/src/experiment/page.rs
+++ b/crates/cw_testkit/src/experiment/page.rs
@@ -67,7 +67,7 @@
     ("max ms", "/age_max_ms"),
 ];
 /// The columns of the propagation of configuration changes.
-const IN_FORCE: &[Column] = &[
+const PROPAGATION: &[Column] = &[
     ("case", "/case"),
     ("entries", "/entries"),
     ("changes", "/changes"),
@@ -148,7 +148,7 @@
         "engine-death" | "faults" => RECOVERY,
         "overhead" => OVERHEAD,
         "capacity" => CAPACITY,
-        "in-force" => IN_FORCE,
+        "in-force" => PROPAGATION,
         _ => LOAD,
     }
 }
