--- a/crates/cw_policy/src/admission/admission_control.rs
+++ b/crates/cw_policy/src/admission/admission_control.rs
@@ -16,9 +16,9 @@
 /// The share of the engine's KV cache that running attempts may fill, in percent.
 const CACHE_PERCENT: u64 = 95;
 /// The shortest retry delay given to a refused caller.
-const RETRY_MIN: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest retry delay given to a refused caller.
-const RETRY_MAX: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// The newest interval weighs one part in this many in the smoothed time between releases.
 const SMOOTHING_DIVISOR: u32 = 8;
 
@@ -60,7 +60,7 @@
         displaced: Option<AttemptId>,
     },
     /// The attempt is refused.
-    Busy {
+    Refuse {
         /// The delay after which the caller should retry.
         retry: Duration,
     },
@@ -94,7 +94,7 @@
             cached_tokens: 0,
             engine_load: Load::default(),
             last_release: None,
-            release_interval: RETRY_MIN,
+            release_interval: MIN_RETRY_DELAY,
             paused: false,
         }
     }
@@ -193,7 +193,7 @@
     /// It is the time in which the attempts in the queue start, by the recent rate of releases.
     pub fn retry(&self) -> Duration {
         let ahead = self.queue.len() as u32 + 1;
-        (self.release_interval * ahead).clamp(RETRY_MIN, RETRY_MAX)
+        (self.release_interval * ahead).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
     // ---- Capacity
@@ -224,7 +224,7 @@
     }
 
     fn refuse(&self) -> AdmissionOutcome {
-        AdmissionOutcome::Busy {
+        AdmissionOutcome::Refuse {
             retry: self.retry(),
         }
     }
--- a/crates/cw_policy/src/attempt/crash_log.rs
+++ b/crates/cw_policy/src/attempt/crash_log.rs
@@ -13,7 +13,7 @@
 /// How long a crash is reported.
 const REPORT_RETENTION: Duration = Duration::from_secs(300);
 /// The maximum number of crashes that are reported.
-const CRASHES_MAX: usize = 16;
+const MAX_CRASHES: usize = 16;
 
 /// The crashes of an engine, with the attempts that may have caused them.
 ///
@@ -63,7 +63,7 @@
             suspects: suspects.into_iter().collect(),
         };
         self.crashes.push_back((now, report));
-        if self.crashes.len() > CRASHES_MAX {
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.pop_front();
         }
     }
--- a/crates/cw_policy/src/attempt/output.rs
+++ b/crates/cw_policy/src/attempt/output.rs
@@ -9,7 +9,7 @@
 use cw_wire::Token;
 
 /// The maximum number of tokens in one frame.
-const FRAME_TOKENS_MAX: usize = 64;
+const MAX_FRAME_TOKENS: usize = 64;
 /// The memory that a buffered part takes beside its content, in bytes.
 const PART_OVERHEAD: usize = size_of::<(u64, Part)>();
 
@@ -164,7 +164,7 @@
             Part::Token(token) => Some(token.clone()),
             Part::Body(_) => None,
         };
-        let parts = self.parts.range(at..).take(FRAME_TOKENS_MAX);
+        let parts = self.parts.range(at..).take(MAX_FRAME_TOKENS);
         let tokens: Vec<Token> = parts.map_while(token).collect();
         let end = first + tokens.len() as u64;
         let first = TokenIndex(first);
--- a/crates/cw_policy/src/attempt/table/peer_events.rs
+++ b/crates/cw_policy/src/attempt/table/peer_events.rs
@@ -59,7 +59,7 @@
             return (self.refuse_permanently(now, id, reason), steps);
         }
         match self.admission.submit(now, ticket(now, &dispatch)) {
-            AdmissionOutcome::Busy { .. } => {
+            AdmissionOutcome::Refuse { .. } => {
                 return (self.refuse_permanently(now, id, NotRunReason::Busy), steps);
             }
             AdmissionOutcome::Start => {
--- a/crates/cw_policy/src/configuration/accept_flow.rs
+++ b/crates/cw_policy/src/configuration/accept_flow.rs
@@ -16,7 +16,7 @@
 
 /// The way in which a call to the key-value service failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum StoreFault {
     /// The call had no effect.
     Unavailable,
     /// The response was lost: the call may have taken effect, or may still do so.
@@ -38,7 +38,7 @@
     /// The compare-and-swap was executed; true if it took effect, false if it met another write.
     Written(bool),
     /// The call failed.
-    Failed(Fault),
+    Failed(StoreFault),
 }
 
 /// The next step of the caller.
@@ -185,8 +185,8 @@
         }
     }
 
-    fn on_failed(&mut self, fault: Fault) -> FlowStep {
-        if let (Stage::Writing(next), Fault::Lost) = (&self.stage, fault) {
+    fn on_failed(&mut self, fault: StoreFault) -> FlowStep {
+        if let (Stage::Writing(next), StoreFault::Lost) = (&self.stage, fault) {
             self.lost_base = Some(Revision(next.revision.0.saturating_sub(1)));
         }
         self.retry()
--- a/crates/cw_policy/src/forward/directory_log.rs
+++ b/crates/cw_policy/src/forward/directory_log.rs
@@ -19,11 +19,11 @@
 
 /// The maximum number of changes in one message. An entry that misses older ones reads the
 /// directory.
-const CHANGES_MAX: usize = 128;
+const MAX_CHANGES: usize = 128;
 
 /// What an entry does after a [`DirectoryUpdate`] message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NewsStep {
+pub enum DirectoryUpdateStep {
     /// The message contains no new change.
     Nothing,
     /// The new changes, which directly follow the last known revision.
@@ -74,14 +74,14 @@
         };
         self.newest = revision;
         self.recent.push_back((now, change));
-        while self.recent.len() > CHANGES_MAX {
+        while self.recent.len() > MAX_CHANGES {
             self.recent.pop_front();
         }
     }
 
     /// Returns the message for the other entries, after dropping changes that have been
     /// sent for long enough.
-    pub fn news(&mut self, now: Time, fleet: &Fleet, config: u64) -> DirectoryUpdate {
+    pub fn update(&mut self, now: Time, fleet: &Fleet, config: u64) -> DirectoryUpdate {
         while let Some((at, _)) = self.recent.front()
             && now.since(*at) > RESEND_TIME
         {
@@ -101,11 +101,11 @@
     }
 
     /// Processes a message of another entry.
-    pub fn receive(&mut self, news: &DirectoryUpdate) -> NewsStep {
-        if news.newest <= self.newest {
-            return NewsStep::Nothing;
+    pub fn receive(&mut self, update: &DirectoryUpdate) -> DirectoryUpdateStep {
+        if update.newest <= self.newest {
+            return DirectoryUpdateStep::Nothing;
         }
-        let new: Vec<DirectoryChange> = news
+        let new: Vec<DirectoryChange> = update
             .changes
             .iter()
             .filter(|change| change.revision > self.newest)
@@ -116,13 +116,13 @@
             .is_some_and(|change| change.previous <= self.newest);
         let ends = new
             .last()
-            .is_some_and(|change| change.revision == news.newest);
+            .is_some_and(|change| change.revision == update.newest);
         if !follows || !ends {
             self.behind = true;
-            return NewsStep::Reread;
+            return DirectoryUpdateStep::Reread;
         }
-        self.newest = news.newest;
-        NewsStep::Apply(new)
+        self.newest = update.newest;
+        DirectoryUpdateStep::Apply(new)
     }
 
     /// Returns the revision of the last known change.
--- a/crates/cw_policy/src/forward/roster.rs
+++ b/crates/cw_policy/src/forward/entry_list.rs
@@ -17,12 +17,12 @@
 /// The record of an entry expires when the service rejects the entry's calls for long. The entry
 /// depends on the others most in that time, so its messages keep it listed.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct EntryList {
     registered: BTreeMap<HostId, SocketAddr>,
     last_messages: BTreeMap<HostId, (SocketAddr, Time)>,
 }
 
-impl Roster {
+impl EntryList {
     /// Replaces the entries that are registered in the key-value service.
     pub fn set_registered(&mut self, registered: BTreeMap<HostId, SocketAddr>) {
         self.registered = registered;
--- a/crates/cw_policy/src/forward/event_stream.rs
+++ b/crates/cw_policy/src/forward/event_stream.rs
@@ -5,7 +5,7 @@
 use snafu::Snafu;
 
 /// The maximum size of one event. A target that exceeds it is not sending events.
-const EVENT_MAX_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Why a stream cannot be passed on any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -22,7 +22,7 @@
     #[snafu(display("an event has no numeric id"))]
     MissingId,
     /// An event exceeds the maximum size.
-    #[snafu(display("an event is longer than {EVENT_MAX_BYTES} bytes"))]
+    #[snafu(display("an event is longer than {MAX_EVENT_BYTES} bytes"))]
     TooLong,
 }
 
@@ -83,7 +83,7 @@
             return self.take_new(bytes.slice(..count), &bytes[count..]);
         }
         self.partial.extend_from_slice(bytes);
-        if self.partial.len() > EVENT_MAX_BYTES {
+        if self.partial.len() > MAX_EVENT_BYTES {
             return Err(StreamError::TooLong);
         }
         let count = self.complete_len(&self.partial).unwrap_or(0);
--- a/crates/cw_policy/src/forward/exchange.rs
+++ b/crates/cw_policy/src/forward/exchange.rs
@@ -14,7 +14,7 @@
 
 /// The maximum number of sends that did not run, which allows one refusal from each of a few
 /// targets.
-const REFUSALS_MAX: u32 = 6;
+const MAX_REFUSALS: u32 = 6;
 
 /// The delay before a request that found every target full is placed again. It is half the duration
 /// of a short request, after which a slot is free.
@@ -45,7 +45,7 @@
 const SILENCE_GROWTH: f64 = 2.0;
 
 /// The longest pause for a route without a setting for it.
-const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
+const DEFAULT_MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// The limits of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,7 +63,7 @@
     /// The latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
     /// The objective for the longest pause between events.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
 }
 
 /// An event that ends a send or an attempt to place the request.
@@ -173,8 +173,8 @@
     }
 
     /// Records that the request is sent to a target.
-    pub fn send(&mut self, now: Time, placement: Placement) {
-        self.copy = placement.copy.clone().map(|keeper| RunCopy {
+    pub fn record_send(&mut self, now: Time, placement: Placement) {
+        self.copy = placement.keeper.clone().map(|keeper| RunCopy {
             keeper,
             since: now,
             name: None,
@@ -195,7 +195,7 @@
     }
 
     /// Records that a part of the answer is passed on.
-    pub fn begin(&mut self) {
+    pub fn record_start(&mut self) {
         self.begun = true;
         self.answering = true;
     }
@@ -218,7 +218,7 @@
         match self.plan.repeat {
             Repeat::Never => None,
             Repeat::Whole => Some(now + now.until(self.plan.deadline).mul_f64(REPEAT_SHARE)),
-            Repeat::Resume if resumed => Some(now + self.pause().mul_f64(self.silence_factor)),
+            Repeat::Resume if resumed => Some(now + self.max_pause().mul_f64(self.silence_factor)),
             Repeat::Resume => {
                 let start = self.plan.objective.mul_f64(START_SHARE);
                 Some(now + start.max(reading.unwrap_or(self.plan.objective)))
@@ -233,8 +233,8 @@
         resumes.then(|| now + self.silence_limit())
     }
 
-    fn pause(&self) -> Duration {
-        self.plan.pause.unwrap_or(DEFAULT_PAUSE)
+    fn max_pause(&self) -> Duration {
+        self.plan.max_pause.unwrap_or(DEFAULT_MAX_PAUSE)
     }
 
     /// Returns the maximum silence of a stream that has begun.
@@ -243,7 +243,7 @@
             Some(_) => SILENCE_SHARE * self.silence_factor,
             None => NO_COPY_PAUSES * self.silence_factor,
         };
-        self.pause().mul_f64(share)
+        self.max_pause().mul_f64(share)
     }
 
     /// Returns the action after an event. `spend` asks the budget for one more send.
@@ -295,7 +295,7 @@
         }
         // A send that reached no target costs no budget, so the next one takes its place.
         let allowed = fault == Fault::Unreachable || spend();
-        if !self.begun && (self.refused >= REFUSALS_MAX || !allowed) {
+        if !self.begun && (self.refused >= MAX_REFUSALS || !allowed) {
             let kind = match fault {
                 Fault::Full => ErrorKind::Overloaded,
                 _ => ErrorKind::NoTarget,
--- a/crates/cw_policy/src/forward/fleet.rs
+++ b/crates/cw_policy/src/forward/fleet.rs
@@ -19,7 +19,7 @@
 
 /// The minimum number of targets of one availability zone that must be lost within
 /// [`ZONE_LOSS_WINDOW`] to count as a loss of the zone.
-const ZONE_LOSS_MIN: usize = 3;
+const MIN_ZONE_LOSSES: usize = 3;
 
 /// The time window for the losses of one zone. A silent target is detected within a second.
 const ZONE_LOSS_WINDOW: Duration = Duration::from_secs(1);
@@ -31,14 +31,14 @@
     /// register again after the outage.
     pub relist_grace: Duration,
     /// How long the directory still lists a target that has stopped.
-    pub lapse: Duration,
+    pub record_ttl: Duration,
 }
 
 impl Default for FleetLimits {
     fn default() -> Self {
         Self {
             relist_grace: Duration::from_secs(2),
-            lapse: Duration::from_secs(4),
+            record_ttl: Duration::from_secs(4),
         }
     }
 }
@@ -76,7 +76,7 @@
     pub(super) own_host: Option<HostId>,
     /// All entries, including this one.
     pub(super) entries: BTreeSet<HostId>,
-    /// The last loss of each availability zone, see [`ZONE_LOSS_MIN`].
+    /// The last loss of each availability zone, see [`MIN_ZONE_LOSSES`].
     zone_losses: BTreeMap<ZoneId, Time>,
 }
 
@@ -97,7 +97,7 @@
     // ---- The directory ----
 
     /// Records that the directory lists a target. Returns whether the state changed.
-    pub fn listed(&mut self, now: Time, listing: Listing) -> bool {
+    pub fn record_listing(&mut self, now: Time, listing: Listing) -> bool {
         match self.members.get_mut(&listing.id) {
             Some(member) if member.listing == listing && member.missing_since.is_none() => false,
             Some(member) if member.listing.is_same_instance(&listing) => {
@@ -126,14 +126,14 @@
     ///
     /// A record that expired during an outage of the directory may be registered again. Until then
     /// its target stays in use.
-    pub fn removed(&mut self, now: Time, id: &TargetId) -> bool {
+    pub fn record_removal(&mut self, now: Time, id: &TargetId) -> bool {
         let trusted = self.is_trusted(now);
-        self.unlisted(now, id, trusted)
+        self.apply_removal(now, id, trusted)
     }
 
     /// Records that the directory no longer lists a target, which is dropped if `trusted` is set
     /// and marked as missing otherwise. Returns whether the state changed.
-    pub fn unlisted(&mut self, now: Time, id: &TargetId, trusted: bool) -> bool {
+    pub fn apply_removal(&mut self, now: Time, id: &TargetId, trusted: bool) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return false;
         };
@@ -146,7 +146,7 @@
         first
     }
 
-    /// Calls [`Self::removed`] for each target that is not in `names`, the full list of the
+    /// Calls [`Self::record_removal`] for each target that is not in `names`, the full list of the
     /// directory.
     pub fn retain_listed(&mut self, now: Time, names: &BTreeSet<TargetId>) {
         let gone: Vec<TargetId> = self
@@ -156,19 +156,19 @@
             .cloned()
             .collect();
         for id in gone {
-            self.removed(now, &id);
+            self.record_removal(now, &id);
         }
     }
 
     /// Records that a call to the directory failed. Returns whether the call before had succeeded.
-    pub fn directory_failed(&mut self) -> bool {
+    pub fn record_directory_failure(&mut self) -> bool {
         let was_up = self.directory != Directory::Down;
         self.directory = Directory::Down;
         was_up
     }
 
     /// Records that the directory answered a call. Returns whether the call before had failed.
-    pub fn directory_answered(&mut self, now: Time) -> bool {
+    pub fn record_directory_answer(&mut self, now: Time) -> bool {
         let was_down = self.directory == Directory::Down;
         if was_down {
             self.directory = Directory::Up(now);
@@ -213,7 +213,7 @@
     // ---- Traffic ----
 
     /// Records that a request was sent to a target.
-    pub fn sent(&mut self, now: Time, id: &TargetId, demand: Demand) {
+    pub fn record_send(&mut self, now: Time, id: &TargetId, demand: Demand) {
         if let Some(member) = self.members.get_mut(id) {
             member.runs += 1;
             member.update_unread(now, |member| member.unread += demand.prompt);
@@ -222,15 +222,15 @@
     }
 
     /// Records that the answer to a request has begun.
-    pub fn began(&mut self, now: Time, id: &TargetId, demand: Demand) {
+    pub fn record_start(&mut self, now: Time, id: &TargetId, demand: Demand) {
         if let Some(member) = self.members.get_mut(id) {
             member.update_unread(now, |member| member.finish_read(demand));
-            member.responded(now);
+            member.record_response(now);
         }
     }
 
     /// Records that a request has ended at its target. `began` says whether its answer had begun.
-    pub fn ended(&mut self, now: Time, id: &TargetId, demand: Demand, began: bool) {
+    pub fn record_end(&mut self, now: Time, id: &TargetId, demand: Demand, began: bool) {
         if let Some(member) = self.members.get_mut(id) {
             member.runs = member.runs.saturating_sub(1);
             member.tokens = member.tokens.saturating_sub(demand.tokens());
@@ -255,24 +255,24 @@
     }
 
     /// Records the load that a target reported in an answer.
-    pub fn reported(&mut self, now: Time, id: &TargetId, load: ReportedLoad) {
+    pub fn record_load(&mut self, now: Time, id: &TargetId, load: ReportedLoad) {
         if let Some(member) = self.members.get_mut(id) {
-            member.reported(now, load);
+            member.record_load(now, load);
         }
     }
 
     /// Records a failure at a target.
-    pub fn failed(&mut self, now: Time, id: &TargetId, fault: Fault) {
+    pub fn record_failure(&mut self, now: Time, id: &TargetId, fault: Fault) {
         if let Some(member) = self.members.get_mut(id) {
-            member.failed(now, fault);
+            member.record_failure(now, fault);
         }
         self.record_zone_loss(now, id);
     }
 
     /// Records a response of a target, which shows that it is up.
-    pub fn responded(&mut self, now: Time, id: &TargetId) {
+    pub fn record_response(&mut self, now: Time, id: &TargetId) {
         if let Some(member) = self.members.get_mut(id) {
-            member.responded(now);
+            member.record_response(now);
         }
     }
 
@@ -288,7 +288,7 @@
                 .filter(|at| now.since(*at) < ZONE_LOSS_WINDOW);
             member.listing.zone == *zone && at.is_some()
         });
-        if lost.count() >= ZONE_LOSS_MIN {
+        if lost.count() >= MIN_ZONE_LOSSES {
             self.zone_losses.insert(zone.clone(), now);
         }
     }
@@ -298,7 +298,9 @@
     pub(super) fn is_zone_suspect(&self, now: Time, member: &Member) -> bool {
         let lost = self.zone_losses.get(&member.listing.zone);
         lost.is_some_and(|&at| {
-            now.since(at) < self.limits.lapse && member.responded_at < at && member.listed_at < at
+            now.since(at) < self.limits.record_ttl
+                && member.responded_at < at
+                && member.listed_at < at
         })
     }
 
@@ -336,7 +338,7 @@
     /// their messages, and the number of all other requests by the target's last report.
     pub fn load(&self, now: Time, id: &TargetId) -> Option<(TargetShare, TargetShare, f64)> {
         let member = self.members.get(id)?;
-        Some((member.share(), member.peers, member.others(now)))
+        Some((member.share(), member.peers, member.other_requests(now)))
     }
 
     /// Returns the number of targets.
--- a/crates/cw_policy/src/forward/forward_config.rs
+++ b/crates/cw_policy/src/forward/forward_config.rs
@@ -41,7 +41,7 @@
     /// The latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
     /// The objective for the longest pause between events.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
     /// The maximum number of targets that may run one request.
     pub attempts: u32,
     /// The priority, where 0 is the most urgent.
@@ -75,16 +75,16 @@
     /// Whether engines replicate the cache memory of runs to each other.
     pub copies: bool,
     /// How long an engine keeps a copy that was made on request.
-    pub copy_life: Duration,
+    pub copy_lifetime: Duration,
 }
 
 /// Limits on a caller's requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The maximum size of a body, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// The maximum time that a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// The holder of a key.
--- a/crates/cw_policy/src/forward/member.rs
+++ b/crates/cw_policy/src/forward/member.rs
@@ -173,7 +173,7 @@
         self.penalty * (-age * std::f64::consts::LN_2).exp()
     }
 
-    pub(super) fn failed(&mut self, now: Time, fault: Fault) {
+    pub(super) fn record_failure(&mut self, now: Time, fault: Fault) {
         self.penalty = self.penalty(now) + fault.weight();
         self.penalized_at = now;
         if fault == Fault::Replaced {
@@ -215,7 +215,7 @@
     }
 
     /// Records a response of the target, which shows that it is up.
-    pub(super) fn responded(&mut self, now: Time) {
+    pub(super) fn record_response(&mut self, now: Time) {
         self.responded_at = now;
         self.losses = 0;
         self.suspected_at = None;
@@ -223,7 +223,7 @@
     }
 
     /// Records that another entry found the target lost.
-    pub(super) fn suspect(&mut self, now: Time) {
+    pub(super) fn record_suspicion(&mut self, now: Time) {
         self.suspected_at = Some(now);
         self.backoff_until = self.backoff_until.max(now + BACKOFF_BASE);
     }
@@ -238,14 +238,14 @@
         }
     }
 
-    pub(super) fn reported(&mut self, now: Time, load: ReportedLoad) {
+    pub(super) fn record_load(&mut self, now: Time, load: ReportedLoad) {
         let all = f64::from(load.running) + f64::from(load.waiting);
         self.reported_others = (all - f64::from(self.runs)).max(0.0);
         self.reported_at = now;
     }
 
     /// Returns the estimated number of other entries' requests, by the last report of the target.
-    pub(super) fn others(&self, now: Time) -> f64 {
+    pub(super) fn other_requests(&self, now: Time) -> f64 {
         let age = now.since(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
         self.reported_others * (1.0 - age).max(0.0)
     }
--- a/crates/cw_policy/src/forward/mod.rs
+++ b/crates/cw_policy/src/forward/mod.rs
@@ -8,7 +8,7 @@
 //!   keys.
 //! - [`Fleet`]: the targets and their load, and the choice of one for a request ([`Placement`]).
 //! - [`Fleet::receive_peer`]: the load that the other entries report to have at the targets.
-//! - [`Roster`]: the list of the other entries.
+//! - [`EntryList`]: the list of the other entries.
 //! - [`RunCopy`]: a copy of a run's cache memory at another engine.
 //! - [`PromptLocations`]: the target that has read each prompt.
 //! - [`RunTimes`]: the mean times in which targets read prompts and generate answers.
@@ -19,6 +19,7 @@
 //! - [`EventStream`]: splits a target's bytes into events and keeps them in order.
 
 mod directory_log;
+mod entry_list;
 mod event_stream;
 mod exchange;
 mod fleet;
@@ -28,14 +29,14 @@
 mod peers;
 mod placement;
 mod prompt_locations;
-mod roster;
 mod run_copy;
 mod run_times;
 mod standing_queues;
 mod start_estimate;
 
 pub use directory_log::DirectoryLog;
-pub use directory_log::NewsStep;
+pub use directory_log::DirectoryUpdateStep;
+pub use entry_list::EntryList;
 pub use event_stream::EventStream;
 pub use event_stream::StreamError;
 pub use exchange::Exchange;
@@ -58,11 +59,10 @@
 pub use member::Fault;
 pub use member::ReportedLoad;
 pub use peers::PeerLimits;
-pub use placement::Need;
 pub use placement::Placement;
+pub use placement::Requirements;
 pub use prompt_locations::PromptLocationLimits;
 pub use prompt_locations::PromptLocations;
-pub use roster::Roster;
 pub use run_copy::CopyName;
 pub use run_copy::RunCopy;
 pub use run_times::RunTimes;
--- a/crates/cw_policy/src/forward/peers.rs
+++ b/crates/cw_policy/src/forward/peers.rs
@@ -98,7 +98,7 @@
             incarnation: message.incarnation,
             sequence: message.sequence,
             shares: message.shares.iter().copied().collect(),
-            watching: message.directory.as_ref().is_some_and(|news| news.up),
+            watching: message.directory.as_ref().is_some_and(|update| update.up),
         };
         self.peers.peers.insert(message.host.clone(), peer);
         self.update_peer_shares(now);
@@ -110,7 +110,7 @@
             .collect();
         for id in lost {
             if let Some(member) = self.members.get_mut(&id) {
-                member.suspect(now);
+                member.record_suspicion(now);
             }
             self.record_zone_loss(now, &id);
         }
@@ -163,7 +163,7 @@
     }
 
     /// Returns the number of other entries with a valid message.
-    pub fn peers(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.peers.peers.len()
     }
 
--- a/crates/cw_policy/src/forward/placement.rs
+++ b/crates/cw_policy/src/forward/placement.rs
@@ -51,7 +51,7 @@
 
 /// The requirements of a request on its target.
 #[derive(Clone, Debug)]
-pub struct Need<'a> {
+pub struct Requirements<'a> {
     /// The service that the request is for.
     pub service: &'a ServiceName,
     /// The cache memory of one engine of the service in tokens, `None` for a service without
@@ -64,12 +64,12 @@
     /// The targets that the request must not be sent to.
     pub excluded: &'a BTreeSet<TargetId>,
     /// Whether another engine should keep a copy of the run.
-    pub copy: bool,
+    pub wants_copy: bool,
     /// The target that has already read the prompt.
-    pub read_at: Option<TargetHash>,
+    pub reader: Option<TargetHash>,
     /// Whether the load that other entries report is known. The targets' own reports are used
     /// otherwise.
-    pub peers: bool,
+    pub peers_known: bool,
 }
 
 /// The targets selected for a request.
@@ -78,32 +78,37 @@
     /// The target that runs the request.
     pub target: TargetId,
     /// The target that keeps a copy of the run.
-    pub copy: Option<TargetId>,
+    pub keeper: Option<TargetId>,
 }
 
 impl Fleet {
     /// Selects a target, and one for the copy, preferably in another availability zone.
     ///
     /// Targets in backoff are used only when there is no other.
-    pub fn place(&self, now: Time, need: &Need<'_>, rng: &mut impl Rng) -> Option<Placement> {
+    pub fn place(
+        &self,
+        now: Time,
+        requirements: &Requirements<'_>,
+        rng: &mut impl Rng,
+    ) -> Option<Placement> {
         let target = self
-            .cheapest(now, need, rng, |member| {
+            .cheapest(now, requirements, rng, |member| {
                 member.backoff_until <= now && !member.replaced
             })
-            .or_else(|| self.cheapest(now, need, rng, |_| true))?;
-        let copy = need
-            .copy
-            .then(|| self.keeper(now, need, &target, rng))
+            .or_else(|| self.cheapest(now, requirements, rng, |_| true))?;
+        let keeper = requirements
+            .wants_copy
+            .then(|| self.select_keeper(now, requirements, &target, rng))
             .flatten();
-        Some(Placement { target, copy })
+        Some(Placement { target, keeper })
     }
 
     /// Selects the target that keeps a copy of a run at `target`. It has free memory, and is in
     /// another availability zone if possible.
-    pub fn keeper(
+    pub fn select_keeper(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         target: &TargetId,
         rng: &mut impl Rng,
     ) -> Option<TargetId> {
@@ -113,53 +118,58 @@
                 && member.backoff_until <= now
                 && !member.replaced
                 && !self.is_zone_suspect(now, member)
-                && has_memory(member, need)
+                && has_memory(member, requirements)
         };
-        self.cheapest(now, need, rng, |member| {
+        self.cheapest(now, requirements, rng, |member| {
             fits(member) && member.listing.zone != *zone
         })
-        .or_else(|| self.cheapest(now, need, rng, fits))
+        .or_else(|| self.cheapest(now, requirements, rng, fits))
     }
 
     /// Returns the eligible targets that are neither in backoff nor suspected.
     pub(super) fn candidates<'a>(
         &'a self,
         now: Time,
-        need: &'a Need<'_>,
+        requirements: &'a Requirements<'_>,
     ) -> impl Iterator<Item = &'a Member> {
-        self.eligible(need).filter(move |member| {
+        self.eligible(requirements).filter(move |member| {
             member.backoff_until <= now && !member.replaced && !self.is_zone_suspect(now, member)
         })
     }
 
     /// Returns the targets of the service that are neither leaving nor excluded.
-    fn eligible<'a>(&'a self, need: &'a Need<'_>) -> impl Iterator<Item = &'a Member> {
+    fn eligible<'a>(
+        &'a self,
+        requirements: &'a Requirements<'_>,
+    ) -> impl Iterator<Item = &'a Member> {
         self.members
             .values()
-            .filter(|member| member.listing.service == *need.service && !member.listing.leaving)
-            .filter(|member| !need.excluded.contains(&member.listing.id))
+            .filter(|member| {
+                member.listing.service == *requirements.service && !member.listing.leaving
+            })
+            .filter(|member| !requirements.excluded.contains(&member.listing.id))
     }
 
     /// Returns the eligible target with the lowest cost among those that `accept` selects.
     fn cheapest(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         rng: &mut impl Rng,
         accept: impl Fn(&Member) -> bool,
     ) -> Option<TargetId> {
-        self.eligible(need)
+        self.eligible(requirements)
             .filter(|member| accept(member))
             .map(|member| {
                 let jitter = rng.random_range(0.0..JITTER);
                 // Trying the target that has read the prompt usually costs a few milliseconds, even
                 // if it is down, while reading the prompt elsewhere costs a second.
-                let is_reader = need.read_at == Some(member.hash);
+                let is_reader = requirements.reader == Some(member.hash);
                 let suspicion = match self.is_zone_suspect(now, member) && !is_reader {
                     true => ZONE_SUSPECT_COST,
                     false => 0.0,
                 };
-                let cost = cost(now, member, need) + suspicion + jitter;
+                let cost = cost(now, member, requirements) + suspicion + jitter;
                 (cost, &member.listing.id)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -168,39 +178,39 @@
 }
 
 /// Returns the cost of sending a request to a target, in requests.
-fn cost(now: Time, member: &Member, need: &Need<'_>) -> f64 {
+fn cost(now: Time, member: &Member, requirements: &Requirements<'_>) -> f64 {
     let peers = member.peers;
-    let others = match need.peers {
+    let others = match requirements.peers_known {
         true => f64::from(peers.runs),
-        false => member.others(now),
+        false => member.other_requests(now),
     };
     let requests = f64::from(member.runs) + others;
     let mut cost = requests
         + UNREAD_COST * (member.unread + peers.unread) as f64 / 1000.0
         + COPY_COST * f64::from(member.copies + peers.copies)
         + PENALTY_COST * member.penalty(now);
-    if member.listing.zone != *need.zone {
+    if member.listing.zone != *requirements.zone {
         cost += ZONE_COST;
     }
     if !member.preferred {
         cost += NOT_PREFERRED_COST;
     }
-    if need.read_at == Some(member.hash) {
-        cost -= UNREAD_COST * need.demand.prompt as f64 / 1000.0;
+    if requirements.reader == Some(member.hash) {
+        cost -= UNREAD_COST * requirements.demand.prompt as f64 / 1000.0;
     }
     let slots = f64::from(member.listing.slots.max(1));
-    if requests >= slots || !has_memory(member, need) {
+    if requests >= slots || !has_memory(member, requirements) {
         cost += FULL_COST;
     }
     cost
 }
 
 /// Returns whether the target has enough free cache memory for the request.
-fn has_memory(member: &Member, need: &Need<'_>) -> bool {
-    let Some(memory) = need.memory else {
+fn has_memory(member: &Member, requirements: &Requirements<'_>) -> bool {
+    let Some(memory) = requirements.memory else {
         return true;
     };
     let used = member.tokens.saturating_add(member.peers.tokens);
-    let needed = used.saturating_add(need.demand.tokens());
+    let needed = used.saturating_add(requirements.demand.tokens());
     needed as f64 <= memory as f64 * MEMORY_SHARE
 }
--- a/crates/cw_policy/src/forward/start_estimate.rs
+++ b/crates/cw_policy/src/forward/start_estimate.rs
@@ -6,7 +6,7 @@
 use cw_types::Time;
 
 use super::Fleet;
-use super::Need;
+use super::Requirements;
 use super::RunTimes;
 use super::StandingQueues;
 use super::member::Member;
@@ -47,10 +47,18 @@
 
 impl Fleet {
     /// Returns the work that would precede a request at a target now, zero for an unknown target.
-    pub fn backlog(&self, now: Time, id: &TargetId, need: &Need<'_>, times: &RunTimes) -> Backlog {
+    pub fn backlog(
+        &self,
+        now: Time,
+        id: &TargetId,
+        requirements: &Requirements<'_>,
+        times: &RunTimes,
+    ) -> Backlog {
         self.members
             .get(id)
-            .map_or_else(Backlog::default, |member| backlog(now, member, need, times))
+            .map_or_else(Backlog::default, |member| {
+                backlog(now, member, requirements, times)
+            })
     }
 
     /// Returns whether a request can start in time at some target, according to its `objective`.
@@ -60,26 +68,33 @@
     pub fn estimate_start(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         times: &RunTimes,
         queues: &mut StandingQueues,
         objective: Duration,
     ) -> StartEstimate {
-        let own_time = times.prompt_time(need.service, need.demand.prompt);
+        let own_time = times.prompt_time(requirements.service, requirements.demand.prompt);
         let own_time = own_time.unwrap_or_default();
         let first = self
-            .candidates(now, need)
-            .map(|member| start_delay(backlog(now, member, need, times), need, times))
+            .candidates(now, requirements)
+            .map(|member| {
+                start_delay(
+                    backlog(now, member, requirements, times),
+                    requirements,
+                    times,
+                )
+            })
             .min();
         let after = match first {
             Some(after) if !objective.is_zero() => after,
             _ => return StartEstimate::InTime,
         };
         let standing_limit = own_time + objective.mul_f64(STANDING_WAIT_SHARE);
-        let limit = match queues.observe(now, need.service, after > standing_limit, objective) {
-            true => standing_limit,
-            false => objective.mul_f64(START_SHARE).max(standing_limit),
-        };
+        let limit =
+            match queues.observe(now, requirements.service, after > standing_limit, objective) {
+                true => standing_limit,
+                false => objective.mul_f64(START_SHARE).max(standing_limit),
+            };
         match after <= limit {
             true => StartEstimate::InTime,
             false => StartEstimate::Late { after, limit },
@@ -88,22 +103,27 @@
 }
 
 /// Returns the work that would precede a request at a target.
-fn backlog(now: Time, member: &Member, need: &Need<'_>, times: &RunTimes) -> Backlog {
-    let prompt = need.demand.prompt;
-    let own = match need.read_at == Some(member.hash) {
+fn backlog(
+    now: Time,
+    member: &Member,
+    requirements: &Requirements<'_>,
+    times: &RunTimes,
+) -> Backlog {
+    let prompt = requirements.demand.prompt;
+    let own = match requirements.reader == Some(member.hash) {
         true => 0,
         false => prompt,
     };
     // The current prompt may have been read in part. It is assumed to be as long as this one.
-    let read = times.tokens_within(need.service, now.since(member.reading_since));
+    let read = times.tokens_within(requirements.service, now.since(member.reading_since));
     let read = read.unwrap_or_default().min(prompt);
     let tokens = member
         .tokens
         .saturating_add(member.peers.tokens)
-        .saturating_add(need.demand.tokens());
+        .saturating_add(requirements.demand.tokens());
     Backlog {
         unread: member.unread().saturating_sub(read).saturating_add(own),
-        excess: need
+        excess: requirements
             .memory
             .map_or(0, |memory| tokens.saturating_sub(memory)),
     }
@@ -111,14 +131,15 @@
 
 /// Returns the estimated delay from sending a request to its start, from the mean times of past
 /// runs.
-fn start_delay(backlog: Backlog, need: &Need<'_>, times: &RunTimes) -> Duration {
-    let reading = times.prompt_time(need.service, backlog.unread);
+fn start_delay(backlog: Backlog, requirements: &Requirements<'_>, times: &RunTimes) -> Duration {
+    let reading = times.prompt_time(requirements.service, backlog.unread);
     let reading = reading.unwrap_or(Duration::ZERO);
-    let (Some(memory), Some(run)) = (need.memory, times.run_time(need.service)) else {
+    let (Some(memory), Some(run)) = (requirements.memory, times.run_time(requirements.service))
+    else {
         return reading;
     };
     // The whole memory is freed once within the duration of a run.
     let freed = run.mul_f64(backlog.excess as f64 / memory.max(1) as f64);
-    let own_time = times.prompt_time(need.service, need.demand.prompt);
+    let own_time = times.prompt_time(requirements.service, requirements.demand.prompt);
     reading.max(freed + own_time.unwrap_or(Duration::ZERO))
 }
--- a/crates/cw_policy/src/generation/frames.rs
+++ b/crates/cw_policy/src/generation/frames.rs
@@ -191,7 +191,7 @@
         let Some(tracked) = self.attempts.get(&attempt) else {
             return;
         };
-        let limit = tracked.output_timeout(&self.limits, self.plan.patience);
+        let limit = tracked.output_timeout(&self.limits, self.plan.start_timeout);
         if !self.is_call() && !tracked.stalled && quiet >= limit {
             self.on_stalled(now, attempt, quiet, steps);
         }
--- a/crates/cw_policy/src/generation/generation_plan.rs
+++ b/crates/cw_policy/src/generation/generation_plan.rs
@@ -34,7 +34,8 @@
     pub claimed: bool,
     /// The longest time that the request may wait before its first token.
     #[serde_as(as = "DurationText")]
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub start_timeout: Duration,
     /// The maximum number of tokens of the whole output.
     pub max_tokens: Option<TokenCount>,
     /// The output that a reconnecting caller has sent back.
@@ -62,20 +63,20 @@
 
 impl GenerationPlan {
     /// Returns the plan of a new request to an engine.
-    pub fn generate(patience: Duration) -> Self {
+    pub fn generate(start_timeout: Duration) -> Self {
         Self {
             idempotent: true,
-            patience,
+            start_timeout,
             next_attempt: AttemptNo(1),
             ..Self::default()
         }
     }
 
     /// Returns the plan of a new call to a plain service.
-    pub fn call(patience: Duration) -> Self {
+    pub fn call(start_timeout: Duration) -> Self {
         Self {
             kind: WorkKind::Call,
-            ..Self::generate(patience)
+            ..Self::generate(start_timeout)
         }
     }
 
--- a/crates/cw_policy/src/generation/tracked_attempt.rs
+++ b/crates/cw_policy/src/generation/tracked_attempt.rs
@@ -74,11 +74,15 @@
     }
 
     /// Returns the longest time that the engine may run without output.
-    pub(super) fn output_timeout(&self, limits: &GenerationLimits, patience: Duration) -> Duration {
+    pub(super) fn output_timeout(
+        &self,
+        limits: &GenerationLimits,
+        start_timeout: Duration,
+    ) -> Duration {
         match (self.has_output, self.resumed) {
             (true, _) => limits.stall_timeout,
             (false, true) => limits.resume_timeout,
-            (false, false) => patience,
+            (false, false) => start_timeout,
         }
     }
 }
--- a/crates/cw_policy/src/membership/member.rs
+++ b/crates/cw_policy/src/membership/member.rs
@@ -21,7 +21,7 @@
     /// When the report was made, by this process's clock.
     pub(super) made_at: Time,
     /// When the target last became alive.
-    pub(super) returned: Time,
+    pub(super) alive_since: Time,
     /// The relays that report the target's silence, with the incarnation that they refer to and the
     /// time of their statement.
     silences: BTreeMap<HostId, (Incarnation, Time)>,
@@ -46,7 +46,7 @@
         Self {
             report,
             made_at: made,
-            returned: made,
+            alive_since: made,
             silences: BTreeMap::new(),
         }
     }
@@ -66,7 +66,7 @@
     pub(super) fn replace_report(&mut self, report: Report, made: Time, was: Liveness) {
         let up = report.state == TargetState::Up;
         if up && was != Liveness::Alive {
-            self.returned = made;
+            self.alive_since = made;
         }
         self.report = report;
         self.made_at = made;
--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -243,7 +243,7 @@
             incarnation: member.report.incarnation,
             load: member.report.load,
             reported_at: member.made_at,
-            alive_since: member.returned,
+            alive_since: member.alive_since,
             versions: member.report.versions.clone(),
             crashes: member.report.crashes.clone(),
         }
--- a/crates/cw_policy/src/membership/relay.rs
+++ b/crates/cw_policy/src/membership/relay.rs
@@ -56,7 +56,7 @@
     report: Report,
     last_heard: Time,
     /// When another relay last sent a report or load of the target.
-    relayed_by_peer: Time,
+    peer_relayed_at: Time,
     /// The last full report sent, and when it was sent.
     sent_report: Option<(Time, Report)>,
     /// The last load sent, and when it was sent.
@@ -123,7 +123,7 @@
             .or_insert_with(|| DirectTarget {
                 report: report.clone(),
                 last_heard: now,
-                relayed_by_peer: now,
+                peer_relayed_at: now,
                 sent_report: None,
                 sent_load: (now, report.load),
             });
@@ -165,7 +165,7 @@
 
     /// Returns the batches of a round.
     ///
-    /// `is_first` returns whether this is the first relay of a target. The first relay always sends
+    /// `is_primary` returns whether this is the first relay of a target. The first relay always sends
     /// the target's loads; the others do only while no other relay sends them.
     pub fn round(
         &mut self,
@@ -173,13 +173,13 @@
         members: &Members,
         revision: Revision,
         groups: &RelayGroups,
-        is_first: &dyn Fn(&TargetId) -> bool,
+        is_primary: &dyn Fn(&TargetId) -> bool,
     ) -> RelayBatches {
         let running_since = members.running_since();
         self.direct
             .retain(|_, direct| is_retained(now, running_since, direct, members));
         let period = Self::period(groups.size());
-        self.fill_outboxes(now, running_since, period * 3 / 2, is_first);
+        self.fill_outboxes(now, running_since, period * 3 / 2, is_primary);
         self.sequence += 1;
         let mut group = self.group_outbox.take(now, &self.host, revision);
         let mut forwarded = self.forward_outbox.take(now, &self.host, revision);
@@ -216,7 +216,7 @@
         let reported = batch.reports.iter().map(|(_, report)| &report.target);
         for target in reported {
             if let Some(direct) = self.direct.get_mut(target) {
-                direct.relayed_by_peer = now;
+                direct.peer_relayed_at = now;
             }
         }
         if batch.loads.is_empty() {
@@ -225,7 +225,7 @@
         let loads: BTreeSet<_> = batch.loads.iter().map(|update| update.target).collect();
         for (target, direct) in &mut self.direct {
             if loads.contains(&TargetHash::from(target)) {
-                direct.relayed_by_peer = now;
+                direct.peer_relayed_at = now;
             }
         }
     }
@@ -235,7 +235,7 @@
         now: Time,
         running_since: Time,
         load_period: Duration,
-        is_first: &dyn Fn(&TargetId) -> bool,
+        is_primary: &dyn Fn(&TargetId) -> bool,
     ) {
         for silence in self.silent(now, running_since) {
             self.group_outbox.put_silence(silence.clone());
@@ -250,7 +250,7 @@
                 self.forward_outbox
                     .put_report(direct.last_heard, direct.report.clone());
             } else if needs_load_update(now, load_period, direct)
-                && relays_load(now, direct, is_first(target))
+                && relays_load(now, direct, is_primary(target))
             {
                 direct.sent_load = (now, direct.report.load);
                 let update = load_update(now, direct);
@@ -307,8 +307,8 @@
 }
 
 /// Returns whether this relay is responsible for sending the load of a target.
-fn relays_load(now: Time, direct: &DirectTarget, is_first: bool) -> bool {
-    is_first || now.since(direct.relayed_by_peer) >= BACKUP_DELAY
+fn relays_load(now: Time, direct: &DirectTarget, is_primary: bool) -> bool {
+    is_primary || now.since(direct.peer_relayed_at) >= BACKUP_DELAY
 }
 
 /// Returns whether the load has changed enough, or was last sent long enough ago, to be sent again.
--- a/crates/cw_policy/src/planner/lease.rs
+++ b/crates/cw_policy/src/planner/lease.rs
@@ -149,7 +149,7 @@
                 lease,
             } => self.on_granted(now, requested_at, lease),
             LeaseEvent::Claimed { created } => self.on_claimed(now, created),
-            LeaseEvent::HeldElsewhere => self.on_taken(now),
+            LeaseEvent::HeldElsewhere => self.on_held_elsewhere(now),
             LeaseEvent::Renewed { requested_at, ttl } => self.on_renewed(requested_at, ttl),
             LeaseEvent::Expired => self.become_idle(now),
             LeaseEvent::Failed => self.on_failed(now),
@@ -204,7 +204,7 @@
         LeaseStep::Wait
     }
 
-    fn on_taken(&mut self, now: Time) -> LeaseStep {
+    fn on_held_elsewhere(&mut self, now: Time) -> LeaseStep {
         let stage = self.stage;
         self.become_idle(now);
         match stage {
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     fencing: Option<FencingNumber>,
-    deposed: bool,
+    fenced: bool,
     sequence: u64,
     pending: BTreeMap<TargetId, PendingOrder>,
     backoff: BTreeMap<TargetId, Time>,
@@ -132,8 +132,8 @@
     }
 
     /// Returns whether a target refused an order because it has received one of a later holder.
-    pub fn is_deposed(&self) -> bool {
-        self.deposed
+    pub fn is_fenced(&self) -> bool {
+        self.fenced
     }
 
     /// Returns how many orders are in progress.
@@ -194,7 +194,7 @@
         // A later holder is active, even if this process still considers its own lease valid.
         if self.fencing.is_some_and(|own| own < highest) {
             self.on_lease(None);
-            self.deposed = true;
+            self.fenced = true;
         }
     }
 
@@ -290,14 +290,14 @@
             if now < self.next_load_at || self.holder_count(model, name, input.view) >= wanted {
                 continue;
             }
-            let Some(weight) = input.weights.get(&version.weights) else {
+            let Some(weights) = input.weights.get(&version.weights) else {
                 continue;
             };
             let Some(target) = self.choose_target(model, name, input.view) else {
                 continue;
             };
-            self.next_load_at = now + weight.load_time();
-            let timeout = weight.load_time() * LOAD_TIMEOUT_FACTOR + EFFECT_TIMEOUT;
+            self.next_load_at = now + weights.load_time();
+            let timeout = weights.load_time() * LOAD_TIMEOUT_FACTOR + EFFECT_TIMEOUT;
             return vec![(target, load_order(version), timeout)];
         }
         Vec::new()
@@ -362,8 +362,8 @@
                 }
             }
         }
-        let limited = |(id, kind)| (id, kind, EFFECT_TIMEOUT);
-        found.into_iter().map(limited).collect()
+        let with_timeout = |(id, kind)| (id, kind, EFFECT_TIMEOUT);
+        found.into_iter().map(with_timeout).collect()
     }
 
     // ------------------------------------------------------------------------
--- a/crates/cw_policy/src/prefix/block.rs
+++ b/crates/cw_policy/src/prefix/block.rs
@@ -11,7 +11,7 @@
 const FIRST_BLOCK_BYTES: usize = 256;
 
 /// The most bytes of a prompt that are hashed.
-const PROMPT_BYTES_MAX: usize = 1 << 20;
+const MAX_PROMPT_BYTES: usize = 1 << 20;
 
 /// A leading part of a prompt, identified by its hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -56,7 +56,7 @@
                 .flat_map(|message| [message.role.as_str(), message.content.as_str()]);
             let bytes: Vec<u8> = parts
                 .flat_map(|part| part.bytes().chain(std::iter::once(0)))
-                .take(PROMPT_BYTES_MAX)
+                .take(MAX_PROMPT_BYTES)
                 .collect();
             hash_chain(hash, &bytes)
         }
@@ -66,7 +66,7 @@
 /// Hashes `bytes` up to the end of each block; `hash` already covers the scope, that is workspace,
 /// model, version and adapter.
 fn hash_chain(mut hash: Xxh3, bytes: &[u8]) -> Vec<Block> {
-    let bytes = &bytes[..bytes.len().min(PROMPT_BYTES_MAX)];
+    let bytes = &bytes[..bytes.len().min(MAX_PROMPT_BYTES)];
     let mut blocks = Vec::new();
     let mut start = 0;
     while start < bytes.len() {
--- a/crates/cw_policy/src/prefix/cache_index.rs
+++ b/crates/cw_policy/src/prefix/cache_index.rs
@@ -8,10 +8,10 @@
 use super::Block;
 
 /// The most blocks in the index.
-const BLOCKS_MAX: usize = 32_768;
+const MAX_BLOCKS: usize = 32_768;
 
 /// The most targets that are kept for one block.
-const HOLDERS_MAX: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// The weight of the newest answer in the confidence in a target.
 const CONFIDENCE_WEIGHT: f64 = 0.2;
@@ -133,7 +133,7 @@
     }
 
     fn insert(&mut self, hash: u64, number: u32) {
-        if self.young.len() >= BLOCKS_MAX / 2 && !self.young.contains_key(&hash) {
+        if self.young.len() >= MAX_BLOCKS / 2 && !self.young.contains_key(&hash) {
             self.old = std::mem::take(&mut self.young);
         }
         let old = &self.old;
@@ -143,7 +143,7 @@
             .or_insert_with(|| old.get(&hash).cloned().unwrap_or_default());
         holders.retain(|holder| *holder != number);
         holders.insert(0, number);
-        holders.truncate(HOLDERS_MAX);
+        holders.truncate(MAX_HOLDERS);
     }
 
     fn get(&self, block: &Block) -> Option<&[u32]> {
--- a/crates/cw_policy/src/queue/request_queue.rs
+++ b/crates/cw_policy/src/queue/request_queue.rs
@@ -139,7 +139,7 @@
         let pool_queue = self.pool_queues.get_mut(pool)?;
         let request = pool_queue.take_next(self.limits.lower_interval)?;
         pool_queue.drain_rate.record_start();
-        self.forget(&request);
+        self.remove_keys(&request);
         Some(QueueStep::Start(request))
     }
 
@@ -194,13 +194,13 @@
         let victim = flow.last()?;
         let own = self.pool_queues.get(&request.pool);
         let length = own.map_or(0.0, |pool_queue| pool_queue.length_with(request));
-        let gives_way = rank < request.rank
+        let may_evict = rank < request.rank
             || (rank == request.rank
                 && victim.workspace != request.workspace
                 && flow.length() > length);
         let freed = self.bytes - victim.bytes.0;
         let enough = freed.saturating_add(request.bytes.0) <= self.limits.max_bytes.0;
-        (gives_way && enough).then_some(victim.id)
+        (may_evict && enough).then_some(victim.id)
     }
 
     fn refuse(&self, request: QueuedRequest, kind: ErrorKind, rng: &mut impl Rng) -> QueueStep {
@@ -233,11 +233,11 @@
     fn remove(&mut self, id: GenerationId) -> Option<QueuedRequest> {
         let position = self.positions.get(&id)?;
         let request = self.pool_queues.get_mut(&position.pool)?.remove(position)?;
-        self.forget(&request);
+        self.remove_keys(&request);
         Some(request)
     }
 
-    fn forget(&mut self, request: &QueuedRequest) {
+    fn remove_keys(&mut self, request: &QueuedRequest) {
         self.bytes -= request.bytes.0;
         self.positions.remove(&request.id);
         self.deadlines.remove(&(request.deadline, request.id));
--- a/crates/cw_policy/src/queue/target_pool.rs
+++ b/crates/cw_policy/src/queue/target_pool.rs
@@ -95,14 +95,14 @@
         } else {
             None
         };
-        let number = oldest.as_ref().map_or(highest, |position| position.rank);
-        let rank = self.ranks.get_mut(&number)?;
+        let rank = oldest.as_ref().map_or(highest, |position| position.rank);
+        let rank_queue = self.ranks.get_mut(&rank)?;
         let request = match oldest {
-            Some(position) => rank.remove(&position.workspace, position.key),
-            None => rank.take_next(),
+            Some(position) => rank_queue.remove(&position.workspace, position.key),
+            None => rank_queue.take_next(),
         };
-        if rank.is_empty() {
-            self.ranks.remove(&number);
+        if rank_queue.is_empty() {
+            self.ranks.remove(&rank);
         }
         request
     }
--- a/crates/cw_policy/src/quota/peer_demands.rs
+++ b/crates/cw_policy/src/quota/peer_demands.rs
@@ -24,9 +24,9 @@
 impl PeerDemands {
     /// Stores a demand announced at `at`, unless a newer one of its sender is known that is not
     /// stale.
-    pub(super) fn insert(&mut self, at: Time, stale: Duration, demand: Demand) {
+    pub(super) fn insert(&mut self, at: Time, max_age: Duration, demand: Demand) {
         let is_outdated = self.demands.get(&demand.from).is_some_and(|received| {
-            received.demand.sequence >= demand.sequence && at.since(received.at) <= stale
+            received.demand.sequence >= demand.sequence && at.since(received.at) <= max_age
         });
         if !is_outdated {
             self.demands
@@ -45,14 +45,14 @@
     pub(super) fn total(
         &self,
         now: Time,
-        stale: Duration,
+        max_age: Duration,
         workspace: &WorkspaceId,
         floor: f64,
     ) -> (f64, usize) {
         let fresh = self
             .demands
             .values()
-            .filter(|received| now.since(received.at) <= stale);
+            .filter(|received| now.since(received.at) <= max_age);
         fresh.fold((0.0, 0), |(sum, count), received| {
             let entries = received.demand.entries;
             let floors = floor * f64::from(entries);
--- a/crates/cw_policy/src/quota/quota_settings.rs
+++ b/crates/cw_policy/src/quota/quota_settings.rs
@@ -8,7 +8,8 @@
 #[data]
 pub struct QuotaSettings {
     /// The maximum age of a demand that counts, and so the maximum delay of its message.
-    pub stale: Duration,
+    #[serde(rename = "stale")]
+    pub max_age: Duration,
     /// The maximum growth of an entry's announced demand within that time, as a fraction of it.
     pub growth: f64,
     /// The minimum demand of an entry, as a fraction of an equal share.
@@ -20,7 +21,7 @@
 impl Default for QuotaSettings {
     fn default() -> Self {
         Self {
-            stale: Duration::from_secs(2),
+            max_age: Duration::from_secs(2),
             growth: 0.5,
             floor: 0.1,
             burst: Duration::from_secs(1),
--- a/crates/cw_policy/src/quota/quotas.rs
+++ b/crates/cw_policy/src/quota/quotas.rs
@@ -17,10 +17,10 @@
 use super::usage::Usage;
 
 /// The shortest retry delay given to a caller over quota.
-const RETRY_MIN: Duration = Duration::from_secs(1);
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The longest jitter that is added to [`RETRY_MIN`].
-const RETRY_MAX: Duration = Duration::from_secs(30);
+/// The longest jitter that is added to [`MIN_RETRY_DELAY`].
+const MAX_RETRY_JITTER: Duration = Duration::from_secs(30);
 
 /// The decision whether a request is within its workspace's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,14 +38,14 @@
 ///
 /// An entry's share of a quota is its own demand divided by the demand of all entries. Announced
 /// demand falls at once, but grows by at most [`QuotaSettings::growth`] within
-/// [`QuotaSettings::stale`], the maximum age of a demand that counts. While all entries receive
+/// [`QuotaSettings::max_age`], the maximum age of a demand that counts. While all entries receive
 /// each other's demands, the shares therefore add up to at most `1 + growth`. An entry that lacks
 /// the demand of any other takes an equal share: if all do, the shares add up to 1; while only some
 /// do, they add up to at most `2 + growth`.
 ///
 /// An entry that alone has demand for a quota gets at least `1 / (1 + floor)` of it once its
 /// announced demand has grown, which takes `ln(entries / floor) / ln(1 + growth)` times
-/// [`QuotaSettings::stale`].
+/// [`QuotaSettings::max_age`].
 ///
 /// Each entry admits at least one generation at a time, whatever its share, so that small quotas
 /// are usable. Tokens are spent as they are produced, so a bucket may become negative; it must be
@@ -79,11 +79,11 @@
         self.peers.retain(|host| entries.contains(host));
     }
 
-    /// Sets [`QuotaSettings::stale`].
+    /// Sets [`QuotaSettings::max_age`].
     ///
     /// It must cover the delay of a message over all relays when one message is lost.
-    pub fn set_stale(&mut self, stale: Duration) {
-        self.settings.stale = stale;
+    pub fn set_max_age(&mut self, max_age: Duration) {
+        self.settings.max_age = max_age;
     }
 
     /// Admits a request with a prompt of `tokens`, or refuses it.
@@ -102,7 +102,7 @@
         let max_concurrent = (f64::from(quota.concurrent) * share).floor().max(1.0);
         if f64::from(usage.concurrent) >= max_concurrent {
             usage.record_refusal(now);
-            return refuse(RETRY_MIN, rng);
+            return refuse(MIN_RETRY_DELAY, rng);
         }
         let wait = self.wait(now, workspace, share);
         if !wait.is_zero() {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns the demand of this entry, to be sent several times within [`QuotaSettings::stale`].
+    /// Returns the demand of this entry, to be sent several times within [`QuotaSettings::max_age`].
     pub fn demand(&mut self, now: Time) -> Demand {
         let equal = 1.0 / self.entries as f64;
         self.usages.retain(|_, usage| !usage.is_idle(now));
@@ -149,10 +149,10 @@
 
     /// Handles the demand that another entry announced `age` ago.
     pub fn on_demand(&mut self, now: Time, age: Duration, demand: Demand) {
-        if demand.from != self.host && age <= self.settings.stale {
+        if demand.from != self.host && age <= self.settings.max_age {
             let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
             let at = Time(now.0.saturating_sub(micros));
-            self.peers.insert(at, self.settings.stale, demand);
+            self.peers.insert(at, self.settings.max_age, demand);
         }
     }
 
@@ -160,8 +160,8 @@
     pub fn share(&self, now: Time, workspace: &WorkspaceId) -> f64 {
         let equal = 1.0 / self.entries as f64;
         let floor = self.settings.floor * equal;
-        let stale = self.settings.stale;
-        let (others, peers) = self.peers.total(now, stale, workspace, floor);
+        let max_age = self.settings.max_age;
+        let (others, peers) = self.peers.total(now, max_age, workspace, floor);
         if peers + 1 < self.entries {
             return equal;
         }
@@ -204,7 +204,7 @@
 
 /// Refuses a request with a random jitter of up to `wait` on its retry delay.
 fn refuse(wait: Duration, rng: &mut impl Rng) -> QuotaDecision {
-    let wait = wait.clamp(RETRY_MIN, RETRY_MAX);
-    let retry = RETRY_MIN + wait.mul_f64(rng.random::<f64>());
+    let wait = wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_JITTER);
+    let retry = MIN_RETRY_DELAY + wait.mul_f64(rng.random::<f64>());
     QuotaDecision::Refuse { retry }
 }
--- a/crates/cw_policy/src/quota/usage.rs
+++ b/crates/cw_policy/src/quota/usage.rs
@@ -89,7 +89,7 @@
             fraction(self.wanted_tokens.rate(now), self.quota.tokens.0),
         ];
         let wanted = wanted.into_iter().fold(settings.floor * equal, f64::max);
-        let periods = now.since(self.announced_at).as_secs_f64() / settings.stale.as_secs_f64();
+        let periods = now.since(self.announced_at).as_secs_f64() / settings.max_age.as_secs_f64();
         let max = self.announced * (1.0 + settings.growth).powf(periods);
         self.announced = wanted.min(max).min(1.0);
         self.announced_at = now;
--- a/crates/cw_policy/src/routing/cached_shares.rs
+++ b/crates/cw_policy/src/routing/cached_shares.rs
@@ -1,12 +1,12 @@
 //! The shares of one prompt that candidates have cached.
 
 /// The most candidates with a known or assumed share of one prompt.
-const SHARES_MAX: usize = 8;
+const MAX_SHARES: usize = 8;
 
 /// The shares of one prompt that candidates have cached, in an array of fixed size.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CachedShares {
-    items: [Option<(usize, f64)>; SHARES_MAX],
+    items: [Option<(usize, f64)>; MAX_SHARES],
 }
 
 impl CachedShares {
--- a/crates/cw_policy/src/routing/decision.rs
+++ b/crates/cw_policy/src/routing/decision.rs
@@ -36,7 +36,7 @@
     request: &'a RouteRequest,
     dispatches: &'a DispatchLog,
     group: &'a Group,
-    /// The utilisation above which a cached prefix is not worth the wait for it.
+    /// The utilization above which a cached prefix is not worth the wait for it.
     load_bound: f64,
 }
 
@@ -59,7 +59,7 @@
             request,
             dispatches,
             group,
-            load_bound: group.utilisation + self.costs.load_bound,
+            load_bound: group.utilization + self.costs.load_bound,
         };
         let alive = decision.choose_among(&group.alive, policy, rng);
         match alive {
@@ -125,8 +125,8 @@
         let order = AffinityKey::of(self.request).order(members, RENDEZVOUS_CANDIDATES);
         // The prompt of a resumed attempt was dispatched before, so a holder that is known of it
         // needs no assumption beside it.
-        let guess = !self.request.resumed || shares.is_empty();
-        if let Some(first) = order.iter().next().filter(|_| guess) {
+        let assumes_first = !self.request.resumed || shares.is_empty();
+        if let Some(first) = order.iter().next().filter(|_| assumes_first) {
             shares.add(first, ASSUMED_CACHED_SHARE);
         }
         order.iter().for_each(|position| list.push(position));
@@ -139,7 +139,7 @@
         let candidate = &self.index.candidates[position];
         let costs = &self.index.costs;
         let estimate = estimate(self.now, candidate, self.dispatches, costs, self.group);
-        let share = if estimate.utilisation > self.load_bound {
+        let share = if estimate.utilization > self.load_bound {
             0.0
         } else {
             shares.get(position)
--- a/crates/cw_policy/src/routing/dispatch_log.rs
+++ b/crates/cw_policy/src/routing/dispatch_log.rs
@@ -62,7 +62,7 @@
             let Some(target) = view.targets.get(id) else {
                 return false;
             };
-            target_log.forget(target.reported_at);
+            target_log.remove_reported(target.reported_at);
             !target_log.is_empty(now)
         });
     }
--- a/crates/cw_policy/src/routing/estimate.rs
+++ b/crates/cw_policy/src/routing/estimate.rs
@@ -10,16 +10,16 @@
 use super::target_index::Group;
 
 /// The smallest fraction of its limit that a target takes after it became alive again.
-const RAMP_SHARE_MIN: f64 = 0.1;
+const MIN_RAMP_SHARE: f64 = 0.1;
 
 /// The shortest service time that is assumed, in seconds.
-const SERVICE_TIME_MIN_S: f64 = 1e-3;
+const MIN_SERVICE_TIME_S: f64 = 1e-3;
 
 /// The estimated present load of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
     /// The attempts at the target, as a fraction of its limit.
-    pub(super) utilisation: f64,
+    pub(super) utilization: f64,
     /// The expected wait of a new attempt before it starts.
     pub(super) wait: Duration,
     /// The attempts that the target can take beyond those that it has; negative when overloaded.
@@ -45,26 +45,32 @@
     let reported = f64::from(load.running) + f64::from(load.waiting);
     let token_time = costs.prefill.as_secs_f64();
     let backlog = token_time * load.prefill.0 as f64;
-    let delta = dispatches.delta(now, &candidate.id, candidate.reported, backlog, token_time);
+    let delta = dispatches.delta(
+        now,
+        &candidate.id,
+        candidate.reported_at,
+        backlog,
+        token_time,
+    );
     let service_time = dispatches
         .mean_service_time()
         .unwrap_or(costs.service_time)
         .as_secs_f64();
-    let service_time = service_time.max(SERVICE_TIME_MIN_S);
+    let service_time = service_time.max(MIN_SERVICE_TIME_S);
     let limit = f64::from(load.limit.max(1));
     // Other entries see the same report and act on it too, so it is weighted less as it ages.
-    let age = now.since(candidate.reported).as_secs_f64();
+    let age = now.since(candidate.reported_at).as_secs_f64();
     let report_weight = (-costs.report_decay * age / service_time).exp();
-    let mean_load = group.utilisation * limit;
+    let mean_load = group.utilization * limit;
     let expected_load = mean_load + (reported - mean_load) * report_weight;
     let outstanding = (expected_load + costs.dispatch_weight * f64::from(delta.attempts)).max(0.0);
     let limit = limit * ramp_share(now, candidate, group, costs.ramp_up);
     let queued = (outstanding + 1.0 - limit).max(0.0);
-    let utilisation = outstanding / limit;
-    let batch = costs.batch_delay.as_secs_f64() * utilisation.min(1.0);
+    let utilization = outstanding / limit;
+    let batch = costs.batch_delay.as_secs_f64() * utilization.min(1.0);
     let wait = service_time * queued / limit + delta.backlog + batch;
     Estimate {
-        utilisation,
+        utilization,
         wait: Duration::from_secs_f64(wait),
         free_slots: limit - outstanding,
     }
@@ -74,13 +80,13 @@
 ///
 /// Targets that became alive at the same time share the work from the start.
 fn ramp_share(now: Time, candidate: &Candidate, group: &Group, span: Duration) -> f64 {
-    ramp(now, candidate.returned, span) / ramp(now, group.earliest_return, span)
+    ramp(now, candidate.alive_since, span) / ramp(now, group.first_alive, span)
 }
 
-fn ramp(now: Time, returned: Time, span: Duration) -> f64 {
+fn ramp(now: Time, alive_since: Time, span: Duration) -> f64 {
     if span.is_zero() {
         return 1.0;
     }
-    let age = now.since(returned).as_secs_f64();
-    (age / span.as_secs_f64()).clamp(RAMP_SHARE_MIN, 1.0)
+    let age = now.since(alive_since).as_secs_f64();
+    (age / span.as_secs_f64()).clamp(MIN_RAMP_SHARE, 1.0)
 }
--- a/crates/cw_policy/src/routing/routing_costs.rs
+++ b/crates/cw_policy/src/routing/routing_costs.rs
@@ -22,7 +22,7 @@
     /// How many attempts each of this entry's dispatches since a target's report counts for: other
     /// entries see the same report and send alike.
     pub dispatch_weight: f64,
-    /// How far a target's utilisation may exceed the group's mean, as a fraction of its limit, for
+    /// How far a target's utilization may exceed the group's mean, as a fraction of its limit, for
     /// its cache still to count.
     pub load_bound: f64,
 }
--- a/crates/cw_policy/src/routing/shortlist.rs
+++ b/crates/cw_policy/src/routing/shortlist.rs
@@ -1,12 +1,12 @@
 //! A short list of candidates in an array of fixed size.
 
 /// The most candidates that a decision compares.
-const LENGTH_MAX: usize = 24;
+const MAX_LENGTH: usize = 24;
 
 /// A list of a few candidates that needs no heap allocation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Shortlist {
-    items: [(u64, usize); LENGTH_MAX],
+    items: [(u64, usize); MAX_LENGTH],
     length: usize,
 }
 
@@ -14,14 +14,14 @@
     /// Returns an empty list.
     pub(super) fn new() -> Self {
         Self {
-            items: [(0, 0); LENGTH_MAX],
+            items: [(0, 0); MAX_LENGTH],
             length: 0,
         }
     }
 
     /// Inserts `item` if its weight is among the highest `limit`, in falling order of weight.
     pub(super) fn offer(&mut self, weight: u64, item: usize, limit: usize) {
-        let limit = limit.min(LENGTH_MAX);
+        let limit = limit.min(MAX_LENGTH);
         if self.length == limit && weight <= self.items[limit - 1].0 {
             return;
         }
@@ -36,7 +36,7 @@
 
     /// Appends `item` unless the list has it already or is full.
     pub(super) fn push(&mut self, item: usize) {
-        if self.length < LENGTH_MAX && !self.iter().any(|other| other == item) {
+        if self.length < MAX_LENGTH && !self.iter().any(|other| other == item) {
             self.items[self.length] = (0, item);
             self.length += 1;
         }
--- a/crates/cw_policy/src/routing/target_index.rs
+++ b/crates/cw_policy/src/routing/target_index.rs
@@ -28,8 +28,8 @@
     pub(super) zone: ZoneId,
     pub(super) region: RegionId,
     pub(super) load: Load,
-    pub(super) reported: Time,
-    pub(super) returned: Time,
+    pub(super) reported_at: Time,
+    pub(super) alive_since: Time,
 }
 
 /// A candidate as a member of a group: its position among all candidates, and its id's hash.
@@ -47,9 +47,9 @@
     /// The targets whose reports are overdue.
     pub(super) suspect: Vec<Member>,
     /// The summed load of the alive targets as a fraction of their summed limits.
-    pub(super) utilisation: f64,
+    pub(super) utilization: f64,
     /// When the first of the alive targets became alive.
-    pub(super) earliest_return: Time,
+    pub(super) first_alive: Time,
 }
 
 /// The live targets of a view, by what they can run.
@@ -134,8 +134,8 @@
             zone: view.target.zone.clone(),
             region: view.target.region.clone(),
             load: view.load,
-            reported: view.reported_at,
-            returned: view.alive_since,
+            reported_at: view.reported_at,
+            alive_since: view.alive_since,
         });
         if let TargetKind::Service { service } = &view.target.kind {
             let group = self.services.entry(service.clone()).or_default();
@@ -155,11 +155,11 @@
         let candidates = &self.candidates;
         let models = self.models.values_mut().flat_map(BTreeMap::values_mut);
         for group in models.chain(self.services.values_mut()) {
-            let returned = group
+            let times = group
                 .alive
                 .iter()
-                .map(|member| candidates[member.position].returned);
-            group.earliest_return = returned.min().unwrap_or_default();
+                .map(|member| candidates[member.position].alive_since);
+            group.first_alive = times.min().unwrap_or_default();
             let loads = group
                 .alive
                 .iter()
@@ -168,7 +168,7 @@
                 let outstanding = u64::from(load.running) + u64::from(load.waiting);
                 (busy + outstanding, limit + u64::from(load.limit.max(1)))
             });
-            group.utilisation = busy as f64 / limit.max(1) as f64;
+            group.utilization = busy as f64 / limit.max(1) as f64;
         }
     }
 
--- a/crates/cw_policy/src/routing/target_log.rs
+++ b/crates/cw_policy/src/routing/target_log.rs
@@ -5,7 +5,7 @@
 use cw_types::Time;
 
 /// The most changes kept for one target; its report includes older ones by then.
-const CHANGES_MAX: usize = 1024;
+const MAX_CHANGES: usize = 1024;
 
 /// The beginning or the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     }
 
     /// Removes the changes that a report made at `reported` already includes.
-    pub(super) fn forget(&mut self, reported: Time) {
+    pub(super) fn remove_reported(&mut self, reported: Time) {
         while self
             .changes
             .front()
@@ -119,7 +119,7 @@
     }
 
     fn push(&mut self, change: Change) {
-        if self.changes.len() == CHANGES_MAX {
+        if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
--- a/crates/cw_policy/src/slo/slo_recorder.rs
+++ b/crates/cw_policy/src/slo/slo_recorder.rs
@@ -63,24 +63,24 @@
     }
 
     /// Records the time to the first token.
-    pub fn first_token(&mut self, now: Time, class: &Class, took: Duration) {
+    pub fn record_first_token(&mut self, now: Time, class: &Class, took: Duration) {
         let good = took <= self.objectives.first_token;
         self.record_one(now, class, Objective::FirstToken, good);
     }
 
     /// Records how long output was interrupted by the loss of a target.
-    pub fn resume(&mut self, now: Time, class: &Class, took: Duration) {
+    pub fn record_resume(&mut self, now: Time, class: &Class, took: Duration) {
         let good = took <= self.objectives.resume;
         self.record_one(now, class, Objective::Resume, good);
     }
 
     /// Records whether an accepted request got its complete response.
-    pub fn whole(&mut self, now: Time, class: &Class, good: bool) {
+    pub fn record_response(&mut self, now: Time, class: &Class, good: bool) {
         self.record_one(now, class, Objective::Whole, good);
     }
 
     /// Records whether a refused request is proven not to have run.
-    pub fn refusal(&mut self, now: Time, class: &Class, proven: bool) {
+    pub fn record_refusal(&mut self, now: Time, class: &Class, proven: bool) {
         self.record_one(now, class, Objective::Refusal, proven);
     }
 
--- a/crates/cw_policy/tests/admission.rs
+++ b/crates/cw_policy/tests/admission.rs
@@ -98,7 +98,7 @@
 
     let outcome = control.submit(Time(0), ticket(20));
 
-    let AdmissionOutcome::Busy { retry } = outcome else {
+    let AdmissionOutcome::Refuse { retry } = outcome else {
         panic!("expected a refusal, found {outcome:?}");
     };
     assert!(retry > Duration::ZERO);
@@ -119,7 +119,7 @@
     let third = control.submit(Time(0), large(12));
 
     assert_eq!(first, AdmissionOutcome::Wait { displaced: None });
-    assert!(matches!(second, AdmissionOutcome::Busy { .. }));
+    assert!(matches!(second, AdmissionOutcome::Refuse { .. }));
     assert_eq!(third, AdmissionOutcome::Wait { displaced: None });
 }
 
@@ -151,7 +151,7 @@
 
     let outcome = control.submit(now, expired);
 
-    assert!(matches!(outcome, AdmissionOutcome::Busy { .. }));
+    assert!(matches!(outcome, AdmissionOutcome::Refuse { .. }));
 }
 
 #[rstest]
--- a/crates/cw_policy/tests/configuration_fuzz.rs
+++ b/crates/cw_policy/tests/configuration_fuzz.rs
@@ -7,7 +7,6 @@
 use cw_policy::configuration::Acceptance;
 use cw_policy::configuration::ActiveConfig;
 use cw_policy::configuration::Edit;
-use cw_policy::configuration::Fault;
 use cw_policy::configuration::FlowEnd;
 use cw_policy::configuration::FlowEvent;
 use cw_policy::configuration::FlowStep;
@@ -16,6 +15,7 @@
 use cw_policy::configuration::RejectDecision;
 use cw_policy::configuration::SchemaSupport;
 use cw_policy::configuration::Source;
+use cw_policy::configuration::StoreFault;
 use cw_policy::configuration::reject;
 use cw_types::Actor;
 use cw_types::ChangeId;
@@ -288,7 +288,7 @@
 
     fn read(&mut self, index: usize, outcome: CallOutcome) -> FlowEvent {
         if !matches!(outcome, CallOutcome::Answered) {
-            return FlowEvent::Failed(Fault::Unavailable);
+            return FlowEvent::Failed(StoreFault::Unavailable);
         }
         let held = self.highest();
         let call = &mut self.flows[index];
@@ -308,12 +308,12 @@
             CallOutcome::Answered => {
                 FlowEvent::Written(self.store.write_proposal(expected, marked))
             }
-            CallOutcome::Refused => FlowEvent::Failed(Fault::Unavailable),
+            CallOutcome::Refused => FlowEvent::Failed(StoreFault::Unavailable),
             CallOutcome::Lost => {
                 self.store.write_proposal(expected, marked);
-                FlowEvent::Failed(Fault::Lost)
+                FlowEvent::Failed(StoreFault::Lost)
             }
-            CallOutcome::Delayed => FlowEvent::Failed(Fault::Lost),
+            CallOutcome::Delayed => FlowEvent::Failed(StoreFault::Lost),
         }
     }
 
@@ -321,15 +321,15 @@
         let expected = self.flows[index].read.1;
         match outcome {
             CallOutcome::Answered => FlowEvent::Written(self.commit(expected, next)),
-            CallOutcome::Refused => FlowEvent::Failed(Fault::Unavailable),
+            CallOutcome::Refused => FlowEvent::Failed(StoreFault::Unavailable),
             CallOutcome::Lost => {
                 self.commit(expected, next);
-                FlowEvent::Failed(Fault::Lost)
+                FlowEvent::Failed(StoreFault::Lost)
             }
             CallOutcome::Delayed => {
                 let snapshot = next.clone();
                 self.delayed.push(DelayedWrite { expected, snapshot });
-                FlowEvent::Failed(Fault::Lost)
+                FlowEvent::Failed(StoreFault::Lost)
             }
         }
     }
--- a/crates/cw_policy/tests/forward/config.rs
+++ b/crates/cw_policy/tests/forward/config.rs
@@ -24,7 +24,7 @@
         streaming: false,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(150),
-        pause: None,
+        max_pause: None,
         attempts: 1,
         priority: 2,
         open: route == "open",
@@ -38,8 +38,8 @@
         route("open", "/open/"),
     ];
     let limits = CallerLimits {
-        body: 1 << 20,
-        idle: Duration::from_secs(15),
+        max_body: 1 << 20,
+        idle_timeout: Duration::from_secs(15),
     };
     let holder = KeyHolder {
         workspace: name("w1"),
--- a/crates/cw_policy/tests/forward/directory_log.rs
+++ b/crates/cw_policy/tests/forward/directory_log.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use cw_policy::forward::DirectoryLog;
+use cw_policy::forward::DirectoryUpdateStep;
 use cw_policy::forward::Fleet;
-use cw_policy::forward::NewsStep;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -29,15 +29,15 @@
     watcher.record_change(at(0), "a", value("1"), 11);
     watcher.record_change(at(1), "a", None, 14);
 
-    let step = other.receive(&watcher.news(at(2), &answering_fleet(), 1));
-    let again = other.receive(&watcher.news(at(3), &answering_fleet(), 1));
+    let step = other.receive(&watcher.update(at(2), &answering_fleet(), 1));
+    let again = other.receive(&watcher.update(at(3), &answering_fleet(), 1));
 
-    let NewsStep::Apply(changes) = step else {
+    let DirectoryUpdateStep::Apply(changes) = step else {
         panic!("{step:?}");
     };
     let revisions: Vec<i64> = changes.iter().map(|change| change.revision).collect();
     assert_eq!(revisions, vec![11, 14]);
-    assert_eq!(again, NewsStep::Nothing);
+    assert_eq!(again, DirectoryUpdateStep::Nothing);
 }
 
 #[test]
@@ -49,9 +49,9 @@
     // The first change is too old to be in the next message that arrives.
     watcher.record_change(at(5000), "b", value("1"), 15);
 
-    let step = other.receive(&watcher.news(at(5000), &answering_fleet(), 1));
+    let step = other.receive(&watcher.update(at(5000), &answering_fleet(), 1));
 
-    assert_eq!(step, NewsStep::Reread);
+    assert_eq!(step, DirectoryUpdateStep::Reread);
     assert!(other.is_behind());
     other.record_read(15);
     assert!(!other.is_behind());
@@ -66,8 +66,8 @@
     watcher.record_read(20);
 
     assert_eq!(
-        other.receive(&watcher.news(at(0), &answering_fleet(), 1)),
-        NewsStep::Reread
+        other.receive(&watcher.update(at(0), &answering_fleet(), 1)),
+        DirectoryUpdateStep::Reread
     );
 }
 
@@ -80,9 +80,9 @@
         watcher.record_change(at(0), key, None, 11);
     }
 
-    let step = other.receive(&watcher.news(at(1), &answering_fleet(), 1));
+    let step = other.receive(&watcher.update(at(1), &answering_fleet(), 1));
 
-    let NewsStep::Apply(changes) = step else {
+    let DirectoryUpdateStep::Apply(changes) = step else {
         panic!("{step:?}");
     };
     assert_eq!(changes.len(), 3);
@@ -114,13 +114,13 @@
             if rng.random_bool(0.6) {
                 continue;
             }
-            match other.receive(&watcher.news(now, &answering_fleet(), 1)) {
-                NewsStep::Nothing => {}
-                NewsStep::Reread => {
+            match other.receive(&watcher.update(now, &answering_fleet(), 1)) {
+                DirectoryUpdateStep::Nothing => {}
+                DirectoryUpdateStep::Reread => {
                     actual = expected.clone();
                     other.record_read(revision);
                 }
-                NewsStep::Apply(changes) => {
+                DirectoryUpdateStep::Apply(changes) => {
                     for change in changes {
                         match change.value {
                             Some(new) => actual.insert(change.key, new),
@@ -141,12 +141,12 @@
     let mut log = DirectoryLog::default();
     let mut fleet = fleet(1, 1);
 
-    let trusted = log.news(at(10_000), &fleet, 1);
-    fleet.directory_failed();
-    let failed = log.news(at(10_000), &fleet, 1);
-    fleet.directory_answered(at(11_000));
-    let back = log.news(at(11_100), &fleet, 1);
-    let later = log.news(at(13_100), &fleet, 1);
+    let trusted = log.update(at(10_000), &fleet, 1);
+    fleet.record_directory_failure();
+    let failed = log.update(at(10_000), &fleet, 1);
+    fleet.record_directory_answer(at(11_000));
+    let back = log.update(at(11_100), &fleet, 1);
+    let later = log.update(at(13_100), &fleet, 1);
 
     assert!(trusted.up && trusted.trusted);
     assert!(!failed.up && !failed.trusted);
--- a/crates/cw_policy/tests/forward/exchange.rs
+++ b/crates/cw_policy/tests/forward/exchange.rs
@@ -22,7 +22,7 @@
 /// Creates a request that was sent to the first engine at the origin, with a copy at another.
 fn sent(repeat: Repeat) -> Exchange {
     let mut exchange = Exchange::new(plan(repeat));
-    exchange.send(at(0), placement(engine(0, 0), Some(engine(1, 0))));
+    exchange.record_send(at(0), placement(engine(0, 0), Some(engine(1, 0))));
     exchange
 }
 
@@ -88,7 +88,7 @@
 fn a_refusal_after_a_run_does_not_say_that_nothing_ran() {
     let mut exchange = sent(Repeat::Whole);
     exchange.on_event(at(10), ExchangeEvent::Lost(Fault::Broken), allowed);
-    exchange.send(at(11), placement(engine(0, 1), None));
+    exchange.record_send(at(11), placement(engine(0, 1), None));
 
     let step = exchange.on_event(at(12), ExchangeEvent::NotRun(Fault::Full), denied);
 
@@ -128,7 +128,7 @@
 #[test]
 fn a_lost_stream_resumes_at_the_keeper_of_its_copy() {
     let mut exchange = sent(Repeat::Resume);
-    exchange.begin();
+    exchange.record_start();
 
     let step = exchange.on_event(at(900), ExchangeEvent::Lost(Fault::Broken), allowed);
 
@@ -156,7 +156,7 @@
 #[test]
 fn a_stream_resumes_from_the_newest_copy() {
     let mut exchange = sent(Repeat::Resume);
-    exchange.begin();
+    exchange.record_start();
     let copy = RunCopy {
         keeper: engine(2, 0),
         since: at(2000),
@@ -175,9 +175,9 @@
 #[test]
 fn a_keeper_without_the_copy_may_start_the_run() {
     let mut exchange = sent(Repeat::Resume);
-    exchange.begin();
+    exchange.record_start();
     exchange.on_event(at(900), ExchangeEvent::Lost(Fault::Broken), allowed);
-    exchange.send(at(901), placement(engine(1, 0), None));
+    exchange.record_send(at(901), placement(engine(1, 0), None));
 
     let step = exchange.on_event(at(905), ExchangeEvent::NoCopy, allowed);
 
@@ -188,7 +188,7 @@
 #[test]
 fn a_stream_is_aborted_only_when_it_cannot_resume() {
     let mut exchange = sent(Repeat::Resume);
-    exchange.begin();
+    exchange.record_start();
 
     let step = exchange.on_event(at(900), ExchangeEvent::Lost(Fault::Broken), denied);
 
@@ -200,7 +200,7 @@
     let mut exchange = Exchange::new(plan(Repeat::Resume));
     let mut sends = 0;
     loop {
-        exchange.send(at(sends), placement(engine(0, sends as usize), None));
+        exchange.record_send(at(sends), placement(engine(0, sends as usize), None));
         sends += 1;
         let event = ExchangeEvent::Lost(Fault::Broken);
         let ExchangeStep::Send(_) = exchange.on_event(at(sends), event, allowed) else {
@@ -216,11 +216,11 @@
 fn moving_off_a_leaving_target_does_not_count_as_an_attempt() {
     let mut exchange = Exchange::new(plan(Repeat::Resume));
     for number in 0..8 {
-        exchange.send(
+        exchange.record_send(
             at(number),
             placement(engine(0, number as usize), Some(engine(1, 0))),
         );
-        exchange.begin();
+        exchange.record_start();
 
         let step = exchange.on_event(at(number), ExchangeEvent::Leaving, allowed);
 
@@ -234,10 +234,10 @@
         attempts: 2,
         ..plan(Repeat::Whole)
     });
-    exchange.send(at(0), placement(engine(0, 0), None));
+    exchange.record_send(at(0), placement(engine(0, 0), None));
 
     let first = exchange.on_event(at(10), ExchangeEvent::Failed, allowed);
-    exchange.send(at(10), placement(engine(0, 1), None));
+    exchange.record_send(at(10), placement(engine(0, 1), None));
     let second = exchange.on_event(at(20), ExchangeEvent::Failed, allowed);
 
     assert_eq!(first, ExchangeStep::Send(Resume::default()));
@@ -283,7 +283,7 @@
 #[test]
 fn a_silent_stream_with_a_copy_is_given_up_sooner() {
     let mut exchange = sent(Repeat::Resume);
-    exchange.begin();
+    exchange.record_start();
     let with_copy = exchange.event_deadline(at(1000)).unwrap();
 
     exchange.set_copy(None);
@@ -297,11 +297,11 @@
 #[test]
 fn the_maximum_silence_grows_after_a_move() {
     let mut exchange = sent(Repeat::Resume);
-    exchange.begin();
+    exchange.record_start();
     let first = exchange.event_deadline(at(0)).unwrap();
     exchange.on_event(at(400), ExchangeEvent::Lost(Fault::Silent), allowed);
-    exchange.send(at(400), placement(engine(1, 0), Some(engine(2, 0))));
-    exchange.begin();
+    exchange.record_send(at(400), placement(engine(1, 0), Some(engine(2, 0))));
+    exchange.record_start();
 
     let second = exchange.event_deadline(at(0)).unwrap();
 
@@ -314,7 +314,7 @@
         attempts: 1,
         ..plan(Repeat::Whole)
     });
-    exchange.send(at(0), placement(engine(0, 0), None));
+    exchange.record_send(at(0), placement(engine(0, 0), None));
 
     assert_eq!(exchange.start_deadline(at(0), false, None), None);
 }
--- a/crates/cw_policy/tests/forward/fixtures.rs
+++ b/crates/cw_policy/tests/forward/fixtures.rs
@@ -9,9 +9,9 @@
 use cw_policy::forward::Fleet;
 use cw_policy::forward::FleetLimits;
 use cw_policy::forward::Listing;
-use cw_policy::forward::Need;
 use cw_policy::forward::Placement;
 use cw_policy::forward::Repeat;
+use cw_policy::forward::Requirements;
 use cw_types::ServiceName;
 use cw_types::TargetId;
 use cw_types::Time;
@@ -57,13 +57,13 @@
     let mut fleet = Fleet::new(FleetLimits::default());
     for zone in 0..zones {
         for number in 0..engines {
-            fleet.listed(at(0), listing(zone, number));
+            fleet.record_listing(at(0), listing(zone, number));
         }
     }
     fleet
 }
 
-/// A request for placement, which owns the values that [`Need`] borrows.
+/// A request for placement, which owns the values that [`Requirements`] borrows.
 pub(crate) struct TestRequest {
     pub(crate) service: ServiceName,
     pub(crate) zone: ZoneId,
@@ -83,16 +83,16 @@
 }
 
 impl TestRequest {
-    pub(crate) fn need(&self) -> Need<'_> {
-        Need {
+    pub(crate) fn requirements(&self) -> Requirements<'_> {
+        Requirements {
             service: &self.service,
             memory: Some(MEMORY),
             demand: self.demand,
             zone: &self.zone,
             excluded: &self.excluded,
-            copy: true,
-            read_at: None,
-            peers: true,
+            wants_copy: true,
+            reader: None,
+            peers_known: true,
         }
     }
 }
@@ -105,10 +105,10 @@
         arrived: at(0),
         deadline: at(25_000),
         objective: Duration::from_millis(4500),
-        pause: Some(Duration::from_millis(700)),
+        max_pause: Some(Duration::from_millis(700)),
     }
 }
 
-pub(crate) fn placement(target: TargetId, copy: Option<TargetId>) -> Placement {
-    Placement { target, copy }
+pub(crate) fn placement(target: TargetId, keeper: Option<TargetId>) -> Placement {
+    Placement { target, keeper }
 }
--- a/crates/cw_policy/tests/forward/fleet.rs
+++ b/crates/cw_policy/tests/forward/fleet.rs
@@ -16,7 +16,7 @@
 fn an_unlisted_target_is_dropped() {
     let mut fleet = fleet(1, 2);
 
-    let changed = fleet.removed(at(10_000), &engine(0, 0));
+    let changed = fleet.record_removal(at(10_000), &engine(0, 0));
 
     assert!(changed);
     assert_eq!(
@@ -29,10 +29,10 @@
 #[test]
 fn a_target_unlisted_during_an_outage_of_the_directory_stays_in_use() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_failed();
-    fleet.directory_answered(at(10_000));
+    fleet.record_directory_failure();
+    fleet.record_directory_answer(at(10_000));
 
-    fleet.removed(at(10_010), &engine(0, 0));
+    fleet.record_removal(at(10_010), &engine(0, 0));
 
     assert!(fleet.is_usable(at(10_020), &engine(0, 0)));
     assert!(fleet.expire(at(11_000)).is_empty());
@@ -41,9 +41,9 @@
 #[test]
 fn a_target_that_is_not_listed_again_is_dropped() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_failed();
-    fleet.directory_answered(at(10_000));
-    fleet.removed(at(10_010), &engine(0, 0));
+    fleet.record_directory_failure();
+    fleet.record_directory_answer(at(10_000));
+    fleet.record_removal(at(10_010), &engine(0, 0));
 
     let gone = fleet.expire(at(12_100));
 
@@ -53,11 +53,11 @@
 #[test]
 fn a_target_that_is_listed_again_stays() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_failed();
-    fleet.directory_answered(at(10_000));
-    fleet.removed(at(10_010), &engine(0, 0));
+    fleet.record_directory_failure();
+    fleet.record_directory_answer(at(10_000));
+    fleet.record_removal(at(10_010), &engine(0, 0));
 
-    fleet.listed(at(11_000), listing(0, 0));
+    fleet.record_listing(at(11_000), listing(0, 0));
 
     assert!(fleet.expire(at(12_100)).is_empty());
     assert!(fleet.is_usable(at(12_100), &engine(0, 0)));
@@ -66,8 +66,8 @@
 #[test]
 fn nothing_is_dropped_during_an_outage_of_the_directory() {
     let mut fleet = fleet(1, 2);
-    fleet.directory_failed();
-    fleet.removed(at(10_010), &engine(0, 0));
+    fleet.record_directory_failure();
+    fleet.record_removal(at(10_010), &engine(0, 0));
 
     assert!(fleet.expire(at(60_000)).is_empty());
 }
@@ -75,10 +75,10 @@
 #[test]
 fn a_leaving_target_is_dropped_as_soon_as_it_is_unlisted() {
     let mut fleet = fleet(1, 2);
-    fleet.listed(at(1), leaving());
-    fleet.directory_failed();
+    fleet.record_listing(at(1), leaving());
+    fleet.record_directory_failure();
 
-    fleet.removed(at(10), &engine(0, 0));
+    fleet.record_removal(at(10), &engine(0, 0));
 
     assert_eq!(fleet.usability(at(10), &engine(0, 0)), Usability::Unlisted);
 }
@@ -93,9 +93,9 @@
 #[test]
 fn an_outdated_record_does_not_make_a_leaving_target_usable() {
     let mut fleet = fleet(1, 2);
-    fleet.listed(at(1), leaving());
+    fleet.record_listing(at(1), leaving());
 
-    fleet.listed(at(2), listing(0, 0));
+    fleet.record_listing(at(2), listing(0, 0));
 
     assert_eq!(fleet.usability(at(3), &engine(0, 0)), Usability::Leaving);
 }
@@ -103,9 +103,9 @@
 #[test]
 fn a_restart_under_the_same_id_resets_the_state() {
     let mut fleet = fleet(1, 2);
-    fleet.listed(at(1), leaving());
+    fleet.record_listing(at(1), leaving());
 
-    fleet.listed(
+    fleet.record_listing(
         at(2),
         Listing {
             started: Some(2),
@@ -120,7 +120,7 @@
 fn a_target_that_another_one_replaced_is_not_used_again() {
     let mut fleet = fleet(1, 2);
 
-    fleet.failed(at(10), &engine(0, 0), Fault::Replaced);
+    fleet.record_failure(at(10), &engine(0, 0), Fault::Replaced);
 
     assert_eq!(
         fleet.usability(at(60_000), &engine(0, 0)),
@@ -137,10 +137,10 @@
             .find(|wait| fleet.is_usable(at(from + wait), &engine(0, 0)))
             .expect("the target becomes usable again")
     };
-    fleet.failed(at(0), &engine(0, 0), Fault::Unreachable);
+    fleet.record_failure(at(0), &engine(0, 0), Fault::Unreachable);
     let first = backoff(&fleet, 0);
 
-    fleet.failed(at(1000), &engine(0, 0), Fault::Unreachable);
+    fleet.record_failure(at(1000), &engine(0, 0), Fault::Unreachable);
     let second = backoff(&fleet, 1000);
 
     assert!(first > 0 && second > first, "{first} ms, then {second} ms");
@@ -165,12 +165,12 @@
 fn targets_of_a_lost_zone_are_suspect_until_they_respond() {
     let mut fleet = fleet(2, 6);
     for number in 0..3 {
-        fleet.failed(at(10_000), &engine(0, number), Fault::Silent);
+        fleet.record_failure(at(10_000), &engine(0, number), Fault::Silent);
     }
 
     assert!(fleet.is_suspect(at(10_100), &engine(0, 5)));
     assert!(!fleet.is_suspect(at(10_100), &engine(1, 5)));
-    fleet.responded(at(10_200), &engine(0, 5));
+    fleet.record_response(at(10_200), &engine(0, 5));
     assert!(!fleet.is_suspect(at(10_300), &engine(0, 5)));
 }
 
@@ -178,7 +178,7 @@
 fn targets_of_a_lost_zone_are_trusted_again_after_the_directory_would_have_dropped_them() {
     let mut fleet = fleet(2, 6);
     for number in 0..3 {
-        fleet.failed(at(10_000), &engine(0, number), Fault::Silent);
+        fleet.record_failure(at(10_000), &engine(0, number), Fault::Silent);
     }
 
     let later = at(10_000) + Duration::from_secs(5);
--- a/crates/cw_policy/tests/forward/peers.rs
+++ b/crates/cw_policy/tests/forward/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use cw_policy::forward::EntryList;
 use cw_policy::forward::Fleet;
-use cw_policy::forward::Roster;
 use cw_types::HostId;
 use cw_types::Incarnation;
 use cw_wire::DirectoryUpdate;
@@ -59,7 +59,7 @@
     (0..100)
         .filter(|_| {
             fleet
-                .place(at(now), &request.need(), &mut rng)
+                .place(at(now), &request.requirements(), &mut rng)
                 .unwrap()
                 .target
                 == engine(0, 0)
@@ -195,8 +195,8 @@
     fleet.receive_peer(at(0), &message("a", 1));
     fleet.receive_peer(at(0), &message("b", 1));
     let mut rejected = message("a", 2);
-    if let Some(news) = &mut rejected.directory {
-        news.up = false;
+    if let Some(update) = &mut rejected.directory {
+        update.up = false;
     }
 
     fleet.receive_peer(at(10), &rejected);
@@ -222,12 +222,12 @@
 
 #[test]
 fn registered_entries_are_listed() {
-    let mut roster = Roster::default();
+    let mut entry_list = EntryList::default();
 
-    roster.set_registered(BTreeMap::from([(name("a"), address(1))]));
+    entry_list.set_registered(BTreeMap::from([(name("a"), address(1))]));
 
     assert_eq!(
-        roster.others(at(0)),
+        entry_list.others(at(0)),
         BTreeMap::from([(name("a"), address(1))])
     );
 }
@@ -235,12 +235,16 @@
 /// The store rejects the calls of one machine until after its record has expired.
 #[test]
 fn an_entry_with_an_expired_record_is_listed_while_it_sends_messages() {
-    let mut roster = Roster::default();
-    roster.set_registered(BTreeMap::from([(name("a"), address(1))]));
-    roster.record_message(at(10_000), &name("a"), address(1));
+    let mut entry_list = EntryList::default();
+    entry_list.set_registered(BTreeMap::from([(name("a"), address(1))]));
+    entry_list.record_message(at(10_000), &name("a"), address(1));
 
-    roster.set_registered(BTreeMap::new());
+    entry_list.set_registered(BTreeMap::new());
 
-    assert!(roster.others(at(12_000)).contains_key(&name::<HostId>("a")));
-    assert!(roster.others(at(20_000)).is_empty());
+    assert!(
+        entry_list
+            .others(at(12_000))
+            .contains_key(&name::<HostId>("a"))
+    );
+    assert!(entry_list.others(at(20_000)).is_empty());
 }
--- a/crates/cw_policy/tests/forward/placement.rs
+++ b/crates/cw_policy/tests/forward/placement.rs
@@ -5,7 +5,7 @@
 use cw_policy::forward::Demand;
 use cw_policy::forward::Fault;
 use cw_policy::forward::Fleet;
-use cw_policy::forward::Need;
+use cw_policy::forward::Requirements;
 use cw_types::HostId;
 use cw_types::TargetId;
 use cw_wire::TargetHash;
@@ -32,8 +32,10 @@
     let mut counts: BTreeMap<TargetId, u32> = BTreeMap::new();
 
     for _ in 0..36 {
-        let placed = fleet.place(at(1000), &request.need(), &mut rng).unwrap();
-        fleet.sent(at(1000), &placed.target, DEMAND);
+        let placed = fleet
+            .place(at(1000), &request.requirements(), &mut rng)
+            .unwrap();
+        fleet.record_send(at(1000), &placed.target, DEMAND);
         *counts.entry(placed.target).or_default() += 1;
     }
 
@@ -54,7 +56,9 @@
             let mut fleet = fleet(3, 12);
             let others = hosts.iter().filter(|host| *host != own).cloned();
             fleet.set_entries(own, others);
-            let placed = fleet.place(at(1000), &request.need(), &mut rng).unwrap();
+            let placed = fleet
+                .place(at(1000), &request.requirements(), &mut rng)
+                .unwrap();
             *chosen.entry(placed.target).or_default() += 1;
         }
         collisions += chosen.values().filter(|count| **count > 1).count();
@@ -70,18 +74,20 @@
     let mut rng = SmallRng::seed_from_u64(3);
     let request = TestRequest::default();
     for number in 0..4 {
-        fleet.failed(at(10_000), &engine(1, number), Fault::Broken);
+        fleet.record_failure(at(10_000), &engine(1, number), Fault::Broken);
     }
 
     for _ in 0..100 {
-        let placed = fleet.place(at(10_010), &request.need(), &mut rng).unwrap();
+        let placed = fleet
+            .place(at(10_010), &request.requirements(), &mut rng)
+            .unwrap();
 
         assert_ne!(
             zone_of(&placed.target),
             "e1",
             "its engines are still listed"
         );
-        let keeper = placed.copy.expect("two zones are left");
+        let keeper = placed.keeper.expect("two zones are left");
         assert_ne!(zone_of(&keeper), "e1");
     }
 }
@@ -93,8 +99,10 @@
     let request = TestRequest::default();
 
     for _ in 0..100 {
-        let placed = fleet.place(at(0), &request.need(), &mut rng).unwrap();
-        let keeper = placed.copy.expect("there is memory");
+        let placed = fleet
+            .place(at(0), &request.requirements(), &mut rng)
+            .unwrap();
+        let keeper = placed.keeper.expect("there is memory");
 
         assert_ne!(zone_of(&keeper), zone_of(&placed.target));
     }
@@ -109,12 +117,14 @@
         prompt: 80_000,
         output: 0,
     };
-    fleet.sent(at(1000), &engine(1, 0), large);
+    fleet.record_send(at(1000), &engine(1, 0), large);
 
-    let placed = fleet.place(at(0), &request.need(), &mut rng).unwrap();
+    let placed = fleet
+        .place(at(0), &request.requirements(), &mut rng)
+        .unwrap();
 
     assert_eq!(placed.target, engine(0, 0));
-    assert_eq!(placed.copy, None);
+    assert_eq!(placed.keeper, None);
 }
 
 /// All entries crash, and callers reconnect with the id of their last event.
@@ -124,15 +134,15 @@
     let mut rng = SmallRng::seed_from_u64(6);
     let request = TestRequest::default();
     let reader = engine(2, 7);
-    fleet.sent(at(1000), &reader, DEMAND);
-    fleet.began(at(900), &reader, DEMAND);
-    let need = Need {
-        read_at: Some(TargetHash::from(&reader)),
-        ..request.need()
+    fleet.record_send(at(1000), &reader, DEMAND);
+    fleet.record_start(at(900), &reader, DEMAND);
+    let requirements = Requirements {
+        reader: Some(TargetHash::from(&reader)),
+        ..request.requirements()
     };
 
     for _ in 0..100 {
-        let placed = fleet.place(at(1000), &need, &mut rng).unwrap();
+        let placed = fleet.place(at(1000), &requirements, &mut rng).unwrap();
 
         assert_eq!(placed.target, reader);
     }
@@ -146,11 +156,17 @@
     let request = TestRequest::default();
     let share = |fleet: &Fleet, now: u64, rng: &mut SmallRng| {
         (0..400)
-            .filter(|_| fleet.place(at(now), &request.need(), rng).unwrap().target == engine(0, 0))
+            .filter(|_| {
+                fleet
+                    .place(at(now), &request.requirements(), rng)
+                    .unwrap()
+                    .target
+                    == engine(0, 0)
+            })
             .count()
     };
     for _ in 0..4 {
-        fleet.failed(at(1000), &engine(0, 0), Fault::Failed);
+        fleet.record_failure(at(1000), &engine(0, 0), Fault::Failed);
     }
 
     let soon = share(&fleet, 1100, &mut rng);
@@ -166,10 +182,14 @@
     let mut rng = SmallRng::seed_from_u64(8);
     let request = TestRequest::default();
     for number in 0..2 {
-        fleet.failed(at(0), &engine(0, number), Fault::Unreachable);
+        fleet.record_failure(at(0), &engine(0, number), Fault::Unreachable);
     }
 
-    assert!(fleet.place(at(10), &request.need(), &mut rng).is_some());
+    assert!(
+        fleet
+            .place(at(10), &request.requirements(), &mut rng)
+            .is_some()
+    );
 }
 
 #[test]
@@ -181,7 +201,7 @@
         ..TestRequest::default()
     };
 
-    assert_eq!(fleet.place(at(10), &request.need(), &mut rng), None);
+    assert_eq!(fleet.place(at(10), &request.requirements(), &mut rng), None);
 }
 
 /// The connections of an entry to engines and callers are reset while the engines stay up. The
@@ -192,14 +212,14 @@
     let mut rng = SmallRng::seed_from_u64(10);
     let request = TestRequest::default();
     for number in 0..6 {
-        fleet.failed(at(1000), &engine(2, number), Fault::Broken);
+        fleet.record_failure(at(1000), &engine(2, number), Fault::Broken);
     }
-    let need = Need {
-        read_at: Some(TargetHash::from(&engine(2, 3))),
-        ..request.need()
+    let requirements = Requirements {
+        reader: Some(TargetHash::from(&engine(2, 3))),
+        ..request.requirements()
     };
 
-    let placed = fleet.place(at(1010), &need, &mut rng).unwrap();
+    let placed = fleet.place(at(1010), &requirements, &mut rng).unwrap();
 
     assert_eq!(placed.target, engine(2, 3));
 }
--- a/crates/cw_policy/tests/forward/start_estimate.rs
+++ b/crates/cw_policy/tests/forward/start_estimate.rs
@@ -83,8 +83,8 @@
     fn read(&mut self, now: Time) {
         for (id, queue) in &mut self.queues {
             while let Some(done) = queue.pop_front_if(|prompt| prompt.read_at <= now) {
-                self.fleet.began(done.read_at, id, DEMAND);
-                self.fleet.ended(done.read_at, id, DEMAND, true);
+                self.fleet.record_start(done.read_at, id, DEMAND);
+                self.fleet.record_end(done.read_at, id, DEMAND, true);
                 let time = done.read_at.since(done.arrived);
                 let ahead = Some(done.ahead);
                 self.times
@@ -98,11 +98,15 @@
     fn request(&mut self, now: Time) {
         self.read(now);
         let request = TestRequest::default();
-        let need = request.need();
-        let placed = self.fleet.place(now, &need, &mut self.rng).unwrap();
-        let estimate =
-            self.fleet
-                .estimate_start(now, &need, &self.times, &mut self.standing, OBJECTIVE);
+        let requirements = request.requirements();
+        let placed = self.fleet.place(now, &requirements, &mut self.rng).unwrap();
+        let estimate = self.fleet.estimate_start(
+            now,
+            &requirements,
+            &self.times,
+            &mut self.standing,
+            OBJECTIVE,
+        );
         let target = match estimate {
             StartEstimate::Late { .. } if self.refuses_late => {
                 self.outcome.refused += 1;
@@ -110,8 +114,11 @@
             }
             StartEstimate::InTime | StartEstimate::Late { .. } => placed.target,
         };
-        let ahead = self.fleet.backlog(now, &target, &need, &self.times).unread;
-        self.fleet.sent(now, &target, DEMAND);
+        let ahead = self
+            .fleet
+            .backlog(now, &target, &requirements, &self.times)
+            .unread;
+        self.fleet.record_send(now, &target, DEMAND);
         let queue = self.queues.entry(target).or_default();
         let free = queue.back().map_or(now, |last| last.read_at.max(now));
         queue.push_back(QueuedPrompt {
@@ -205,7 +212,13 @@
     for second in 0..60 {
         let now = at(second * 1000);
         let mut standing = StandingQueues::default();
-        let estimate = fleet.estimate_start(now, &request.need(), &times, &mut standing, OBJECTIVE);
+        let estimate = fleet.estimate_start(
+            now,
+            &request.requirements(),
+            &times,
+            &mut standing,
+            OBJECTIVE,
+        );
 
         assert_eq!(estimate, StartEstimate::InTime);
     }
@@ -227,7 +240,7 @@
     let mut standing = StandingQueues::default();
     fleet.estimate_start(
         at(0),
-        &TestRequest::default().need(),
+        &TestRequest::default().requirements(),
         times,
         &mut standing,
         objective,
@@ -238,7 +251,7 @@
 fn a_request_is_accepted_as_long_as_one_target_is_free() {
     let (mut fleet, times) = measured_fleet(2);
     for _ in 0..5 {
-        fleet.sent(at(0), &engine(0, 0), DEMAND);
+        fleet.record_send(at(0), &engine(0, 0), DEMAND);
     }
 
     let estimate = estimate(&fleet, &times, OBJECTIVE);
@@ -250,7 +263,7 @@
 #[test]
 fn nothing_is_refused_without_a_latency_objective() {
     let (mut fleet, times) = measured_fleet(1);
-    fleet.sent(at(0), &engine(0, 0), DEMAND);
+    fleet.record_send(at(0), &engine(0, 0), DEMAND);
 
     let estimate = estimate(&fleet, &times, Duration::ZERO);
 
@@ -264,8 +277,8 @@
     let (mut fleet, mut times) = measured_fleet(1);
     times.record_run(&name("engines"), Duration::from_secs(10));
     for _ in 0..18 {
-        fleet.sent(at(0), &engine(0, 0), DEMAND);
-        fleet.began(at(0), &engine(0, 0), DEMAND);
+        fleet.record_send(at(0), &engine(0, 0), DEMAND);
+        fleet.record_start(at(0), &engine(0, 0), DEMAND);
     }
 
     let estimate = estimate(&fleet, &times, OBJECTIVE);
--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -411,7 +411,7 @@
         .planner
         .on_outcome(at(1), &first.target, sequence, fenced);
 
-    assert!(deployment.planner.is_deposed());
+    assert!(deployment.planner.is_fenced());
     assert_eq!(deployment.plan(at(30)), []);
 }
 
--- a/crates/cw_policy/tests/quota.rs
+++ b/crates/cw_policy/tests/quota.rs
@@ -165,7 +165,7 @@
         loads in prop::collection::vec(prop::collection::vec(0..400_u32, 8), 6),
     ) {
         let settings = QuotaSettings::default();
-        let mut fixture = Fixture::new(count, seed, settings.stale - PERIOD);
+        let mut fixture = Fixture::new(count, seed, settings.max_age - PERIOD);
         let mut admitted = 0;
         let mut periods = 0;
         for load in &loads {
@@ -215,7 +215,7 @@
     let mut load = vec![0; count];
     load[3] = 1000;
     let growth = (count as f64 / settings.floor).ln() / (1.0 + settings.growth).ln();
-    let span = settings.stale.mul_f64(growth) + settings.stale;
+    let span = settings.max_age.mul_f64(growth) + settings.max_age;
     let periods = span.as_secs_f64() / PERIOD.as_secs_f64();
     for _ in 0..periods.ceil() as u32 {
         fixture.run_period(&load);
--- a/crates/cw_policy/tests/slo.rs
+++ b/crates/cw_policy/tests/slo.rs
@@ -43,7 +43,7 @@
 fn event_leaves_each_window_when_it_is_too_old() {
     let start = Time(0);
     let mut recorder = SloRecorder::new(start, Objectives::default());
-    recorder.first_token(start, &class("chat"), Duration::from_secs(9));
+    recorder.record_first_token(start, &class("chat"), Duration::from_secs(9));
 
     let after_4m = start + MINUTE * 4;
     let after_6m = start + MINUTE * 6;
@@ -73,7 +73,7 @@
 fn event_at_the_limit_is_good(#[case] took: Duration, #[case] good: u64) {
     let mut recorder = SloRecorder::new(Time(0), Objectives::default());
 
-    recorder.first_token(Time(0), &class("chat"), took);
+    recorder.record_first_token(Time(0), &class("chat"), took);
 
     assert_eq!(total(&mut recorder, Time(0), Window::Hour).good, good);
 }
@@ -83,7 +83,7 @@
     let mut recorder = SloRecorder::new(Time(0), Objectives::default());
 
     for number in 0..1000 {
-        recorder.whole(Time(0), &class(&format!("route-{number}")), true);
+        recorder.record_response(Time(0), &class(&format!("route-{number}")), true);
     }
 
     assert!(recorder.counts(Time(0), Window::Hour).count() <= 64 * 5);
--- a/crates/cyclamenwharf/src/control/admin/desk.rs
+++ b/crates/cyclamenwharf/src/control/admin/desk.rs
@@ -11,12 +11,12 @@
 use cw_policy::configuration::Alarm;
 use cw_policy::configuration::Breakage;
 use cw_policy::configuration::Edit;
-use cw_policy::configuration::Fault;
 use cw_policy::configuration::FlowEnd;
 use cw_policy::configuration::FlowEvent;
 use cw_policy::configuration::FlowStep;
 use cw_policy::configuration::Proposal;
 use cw_policy::configuration::RejectDecision;
+use cw_policy::configuration::StoreFault;
 use cw_policy::configuration::accept;
 use cw_policy::configuration::in_use;
 use cw_policy::configuration::reject;
@@ -247,7 +247,7 @@
         &self,
         id: &ChangeId,
     ) -> Result<(FlowEvent, (Option<ModRevision>, Option<ModRevision>)), ErrorMessage> {
-        let failed = (FlowEvent::Failed(Fault::Unavailable), (None, None));
+        let failed = (FlowEvent::Failed(StoreFault::Unavailable), (None, None));
         let proposal = match self.read_key::<Proposal>(&key_of(id)).await {
             Err(error) if error.kind == AdminErrorKind::Unavailable => return Ok(failed),
             other => other?,
@@ -349,8 +349,8 @@
     match swap {
         Ok(Swap::Done(_)) => Ok(FlowEvent::Written(true)),
         Ok(Swap::Conflict(_)) => Ok(FlowEvent::Written(false)),
-        Err(StoreError::Unavailable { .. }) => Ok(FlowEvent::Failed(Fault::Unavailable)),
-        Err(StoreError::Lost { .. }) => Ok(FlowEvent::Failed(Fault::Lost)),
+        Err(StoreError::Unavailable { .. }) => Ok(FlowEvent::Failed(StoreFault::Unavailable)),
+        Err(StoreError::Lost { .. }) => Ok(FlowEvent::Failed(StoreFault::Lost)),
         Err(error) => Err(error.into()),
     }
 }
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -122,7 +122,7 @@
         let now = self.clock.now();
         let view = self.view.load_full();
         let candidate = is_candidate(&self.host, &view.entries);
-        let step = match work.planner.is_deposed() {
+        let step = match work.planner.is_fenced() {
             true => work.lease.on_event(now, LeaseEvent::Expired),
             false => work.lease.on_event(now, LeaseEvent::Tick { candidate }),
         };
--- a/crates/cyclamenwharf/src/entry/driver/targets.rs
+++ b/crates/cyclamenwharf/src/entry/driver/targets.rs
@@ -82,7 +82,7 @@
             weight: self.job.weight,
             rank: self.job.rank,
             arrived: self.started,
-            deadline: self.started + self.job.plan.patience,
+            deadline: self.started + self.job.plan.start_timeout,
             bytes: self.job.body_size,
         };
         let again = std::mem::replace(&mut self.was_queued, true);
--- a/crates/cyclamenwharf/src/entry/job.rs
+++ b/crates/cyclamenwharf/src/entry/job.rs
@@ -154,8 +154,8 @@
             idempotent: self.plan.idempotent,
             resumed,
             patience: match resumed {
-                true => self.plan.patience.min(RESUME_PATIENCE),
-                false => self.plan.patience,
+                true => self.plan.start_timeout.min(RESUME_PATIENCE),
+                false => self.plan.start_timeout,
             },
             fingerprint: self.fingerprint,
             from,
--- a/crates/cyclamenwharf/src/entry/shared_quotas.rs
+++ b/crates/cyclamenwharf/src/entry/shared_quotas.rs
@@ -88,7 +88,7 @@
         let mut quotas = self.lock();
         quotas.set_entries(&hosts);
         let period = Relay::period(hosts.len());
-        quotas.set_stale(period * RELAYS + STALE_MARGIN);
+        quotas.set_max_age(period * RELAYS + STALE_MARGIN);
         for (at, demand) in received {
             quotas.on_demand(now, now.since(at), demand);
         }
--- a/crates/cyclamenwharf/src/forward/caller_api.rs
+++ b/crates/cyclamenwharf/src/forward/caller_api.rs
@@ -89,7 +89,9 @@
         let route = &admitted.route;
         let timeout = head.patience.unwrap_or(DEFAULT_TIMEOUT);
         let timeout = timeout.min(route.timeout);
-        let body = self.read_body(body, config.limits().body, timeout).await;
+        let body = self
+            .read_body(body, config.limits().max_body, timeout)
+            .await;
         let body = body.map_err(refuse)?;
         let plan = ExchangePlan {
             repeat: route.repeat,
@@ -98,13 +100,13 @@
             arrived,
             deadline: arrived + timeout,
             objective: route.objective,
-            pause: route.pause,
+            max_pause: route.max_pause,
         };
         let service_config = config.service(&service);
         let accepted = AcceptedRequest {
             memory: service_config.and_then(|service| service.memory),
             copies: service_config.is_some_and(|service| service.copies),
-            copy_lifetime: service_config.map_or(Duration::ZERO, |service| service.copy_life),
+            copy_lifetime: service_config.map_or(Duration::ZERO, |service| service.copy_lifetime),
             events: EventStream::after(head.after),
             parts,
             body,
--- a/crates/cyclamenwharf/src/forward/copy_renewal.rs
+++ b/crates/cyclamenwharf/src/forward/copy_renewal.rs
@@ -105,8 +105,10 @@
         }
         self.exchange.set_copy(None);
         let target = self.exchange.placed()?.target.clone();
-        let need = self.need(now, state);
-        state.fleet.keeper(now, &need, &target, &mut state.rng)
+        let requirements = self.requirements(now, state);
+        state
+            .fleet
+            .select_keeper(now, &requirements, &target, &mut state.rng)
     }
 
     /// Tells the target to drop the copy that was made on request, which is no longer needed.
--- a/crates/cyclamenwharf/src/forward/directory_sync.rs
+++ b/crates/cyclamenwharf/src/forward/directory_sync.rs
@@ -148,7 +148,7 @@
     fn record_success(&self) {
         self.shared.metrics.record_store_message("answered");
         let now = self.shared.now();
-        if self.topic == Topic::Targets && self.shared.state().fleet.directory_answered(now) {
+        if self.topic == Topic::Targets && self.shared.state().fleet.record_directory_answer(now) {
             info!("the key-value service answers again");
         }
     }
@@ -162,7 +162,7 @@
             );
             return;
         }
-        if self.topic == Topic::Targets && self.shared.state().fleet.directory_failed() {
+        if self.topic == Topic::Targets && self.shared.state().fleet.record_directory_failure() {
             warn!("the key-value service does not answer: {error}");
         }
     }
@@ -316,7 +316,7 @@
         if state.fleet.is_empty() {
             // The service has not answered yet, so the changes that other entries send apply from
             // now on.
-            state.fleet.directory_failed();
+            state.fleet.record_directory_failure();
         }
         for (id, value) in &snapshot.targets {
             apply_listing(&self.shared, now, &mut state, id, value, snapshot.newest);
@@ -370,7 +370,7 @@
     match &change.value {
         Some(value) => apply_listing(shared, now, state, &id, value, change.revision),
         None => {
-            if state.fleet.unlisted(now, &id, trusted) {
+            if state.fleet.apply_removal(now, &id, trusted) {
                 info!(
                     target_id = id.as_str(),
                     revision = change.revision,
@@ -393,7 +393,7 @@
 ) {
     match shared.dialect.read_listing(id.as_str(), value) {
         Ok(listing) => {
-            if state.fleet.listed(now, listing.clone()) {
+            if state.fleet.record_listing(now, listing.clone()) {
                 // An outdated record, which does not revert that a target is leaving, is not passed
                 // on either.
                 if state.fleet.listing(id) == Some(&listing) {
@@ -413,7 +413,7 @@
         }
         Err(error) => {
             warn!(target_id = id.as_str(); "failed to parse the record of a target: {error}");
-            state.fleet.removed(now, id);
+            state.fleet.record_removal(now, id);
         }
     }
 }
--- a/crates/cyclamenwharf/src/forward/exchange_driver.rs
+++ b/crates/cyclamenwharf/src/forward/exchange_driver.rs
@@ -136,7 +136,7 @@
             _ => None,
         };
         if let (Some(placed), Some(fault)) = (&placed, fault) {
-            state.fleet.failed(now, &placed.target, fault);
+            state.fleet.record_failure(now, &placed.target, fault);
             self.shared
                 .metrics
                 .record_send(&self.request.service, fault_name(fault));
--- a/crates/cyclamenwharf/src/forward/guards.rs
+++ b/crates/cyclamenwharf/src/forward/guards.rs
@@ -18,7 +18,7 @@
 impl RequestGuard {
     pub(super) fn acquire(shared: &Arc<Shared>, target: &TargetId, demand: Demand) -> Self {
         let now = shared.now();
-        shared.state().fleet.sent(now, target, demand);
+        shared.state().fleet.record_send(now, target, demand);
         if demand.prompt > 0 {
             shared.peer_update.notify_one();
         }
@@ -36,7 +36,7 @@
             self.began = true;
             let now = self.shared.now();
             let mut state = self.shared.state();
-            state.fleet.began(now, &self.target, self.demand);
+            state.fleet.record_start(now, &self.target, self.demand);
         }
     }
 }
@@ -46,7 +46,7 @@
         let now = self.shared.now();
         let mut state = self.shared.state();
         let fleet = &mut state.fleet;
-        fleet.ended(now, &self.target, self.demand, self.began);
+        fleet.record_end(now, &self.target, self.demand, self.began);
     }
 }
 
--- a/crates/cyclamenwharf/src/forward/peer_exchange.rs
+++ b/crates/cyclamenwharf/src/forward/peer_exchange.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_policy::forward::NewsStep;
+use cw_policy::forward::DirectoryUpdateStep;
 use cw_types::Incarnation;
 use cw_types::Time;
 use cw_wire::DirectoryUpdate;
@@ -82,7 +82,7 @@
         let state = &mut *state;
         let config = state.config_version();
         let directory = match state.fleet.is_watcher(now) {
-            true => Some(state.directory_log.news(now, &state.fleet, config)),
+            true => Some(state.directory_log.update(now, &state.fleet, config)),
             false => None,
         };
         let mut shares = state.fleet.shares();
@@ -137,12 +137,12 @@
             return;
         }
         if !is_watcher {
-            state.fleet.directory_answered(now);
+            state.fleet.record_directory_answer(now);
         }
         match state.directory_log.receive(update) {
-            NewsStep::Nothing => {}
-            NewsStep::Reread => self.shared.directory_behind.notify_waiters(),
-            NewsStep::Apply(changes) => {
+            DirectoryUpdateStep::Nothing => {}
+            DirectoryUpdateStep::Reread => self.shared.directory_behind.notify_waiters(),
+            DirectoryUpdateStep::Apply(changes) => {
                 for change in &changes {
                     apply_directory_change(&self.shared, now, state, change, update.trusted);
                 }
@@ -156,8 +156,8 @@
     fn receive(&self, message: &OutstandingWork, from: SocketAddr) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.roster.record_message(now, &message.host, from);
-        let before = state.fleet.peers();
+        state.entry_list.record_message(now, &message.host, from);
+        let before = state.fleet.peer_count();
         if state.fleet.receive_peer(now, message) {
             if let Some(update) = &message.directory {
                 self.receive_directory(now, &mut state, update);
@@ -166,7 +166,7 @@
                 state.peer_prompts.record(now, *prompt);
             }
         }
-        if state.fleet.peers() > before {
+        if state.fleet.peer_count() > before {
             self.shared.update_entries(now, &mut state);
             info!(entry = message.host.as_str(); "received the first message from another entry");
         }
--- a/crates/cyclamenwharf/src/forward/placement_choice.rs
+++ b/crates/cyclamenwharf/src/forward/placement_choice.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cw_policy::forward::Need;
 use cw_policy::forward::Placement;
+use cw_policy::forward::Requirements;
 use cw_policy::forward::Resume;
 use cw_policy::forward::RunCopy;
 use cw_policy::forward::StartEstimate;
@@ -34,7 +34,7 @@
         let shared = Arc::clone(&self.shared);
         let mut state = shared.state();
         let state = &mut *state;
-        let need = self.need(now, state);
+        let requirements = self.requirements(now, state);
         if let Some(copy) = &resume.copy
             && !state.fleet.may_have_copy(now, copy)
         {
@@ -50,14 +50,16 @@
             .as_ref()
             .filter(|copy| state.fleet.may_have_copy(now, copy));
         if let Some(RunCopy { keeper: target, .. }) = usable_copy {
-            let copy = state.fleet.keeper(now, &need, target, &mut state.rng);
+            let keeper = state
+                .fleet
+                .select_keeper(now, &requirements, target, &mut state.rng);
             let target = target.clone();
-            return PlacementChoice::Send(Placement { target, copy }, true);
+            return PlacementChoice::Send(Placement { target, keeper }, true);
         }
-        let Some(placement) = state.fleet.place(now, &need, &mut state.rng) else {
+        let Some(placement) = state.fleet.place(now, &requirements, &mut state.rng) else {
             return PlacementChoice::NoTarget;
         };
-        self.admit(now, &need, placement, state)
+        self.admit(now, &requirements, placement, state)
     }
 
     /// Returns the decision for a request at the selected `placement`, which may be too busy to
@@ -66,13 +68,13 @@
     fn admit(
         &self,
         now: Time,
-        need: &Need<'_>,
+        requirements: &Requirements<'_>,
         placement: Placement,
         state: &mut ForwardState,
     ) -> PlacementChoice {
         let plan = self.exchange.plan();
         let is_accepted = self.exchange.sends() > 0 || self.request.events.last().is_some();
-        if need.demand.prompt == 0 || is_accepted {
+        if requirements.demand.prompt == 0 || is_accepted {
             return PlacementChoice::Send(placement, false);
         }
         let ForwardState {
@@ -81,17 +83,23 @@
             standing_queues,
             ..
         } = state;
-        match fleet.estimate_start(now, need, run_times, standing_queues, plan.objective) {
+        match fleet.estimate_start(
+            now,
+            requirements,
+            run_times,
+            standing_queues,
+            plan.objective,
+        ) {
             StartEstimate::InTime => PlacementChoice::Send(placement, false),
             StartEstimate::Late { after, limit } => {
                 info!(
                     request = self.request.head.id.as_str(),
                     route = self.request.admitted.route.name.as_str(),
-                    prompt = need.demand.prompt,
+                    prompt = requirements.demand.prompt,
                     after_ms = millis(after),
                     limit_ms = millis(limit),
-                    there:? = fleet.backlog(now, &placement.target, need, run_times),
-                    peers = fleet.peers();
+                    there:? = fleet.backlog(now, &placement.target, requirements, run_times),
+                    peers = fleet.peer_count();
                     "no target can start a request in time"
                 );
                 PlacementChoice::Crowded(after.saturating_sub(limit))
@@ -100,21 +108,21 @@
     }
 
     /// Returns the requirements of the request on its target.
-    pub(super) fn need(&self, now: Time, state: &ForwardState) -> Need<'_> {
-        Need {
+    pub(super) fn requirements(&self, now: Time, state: &ForwardState) -> Requirements<'_> {
+        Requirements {
             service: &self.request.service,
             memory: self.request.memory,
             demand: self.request.head.demand,
             zone: &self.shared.settings.zone,
             excluded: self.exchange.excluded(),
-            copy: self.request.copies && self.exchange.wants_copy(),
-            read_at: self.read_at(now, state),
-            peers: state.fleet.peers() > 0,
+            wants_copy: self.request.copies && self.exchange.wants_copy(),
+            reader: self.prompt_reader(now, state),
+            peers_known: state.fleet.peer_count() > 0,
         }
     }
 
     /// Returns the target that has already read the prompt.
-    fn read_at(&self, now: Time, state: &ForwardState) -> Option<TargetHash> {
+    fn prompt_reader(&self, now: Time, state: &ForwardState) -> Option<TargetHash> {
         let prompt = self.prompt_hash?;
         let own = state.own_prompts.find(now, prompt);
         own.or_else(|| state.peer_prompts.find(now, prompt))
@@ -125,24 +133,24 @@
         let shared = Arc::clone(&self.shared);
         let state = shared.state();
         let load = state.fleet.load(now, &placement.target);
-        let need = self.need(now, &state);
-        let reader = need.read_at;
+        let requirements = self.requirements(now, &state);
+        let reader = requirements.reader;
         let is_reader = reader == Some(TargetHash::from(&placement.target));
-        let found = (state.fleet).backlog(now, &placement.target, &need, &state.run_times);
+        let found = (state.fleet).backlog(now, &placement.target, &requirements, &state.run_times);
         self.backlog = found;
         info!(
             request = self.request.head.id.as_str(),
             route = self.request.admitted.route.name.as_str(),
             version = self.shared.metrics.version.get(),
             target_id = placement.target.as_str(),
-            copy_at = placement.copy.as_ref().map_or("none", TargetId::as_str),
+            copy_at = placement.keeper.as_ref().map_or("none", TargetId::as_str),
             resumed = u64::from(resumed),
             read_before = u64::from(reader.is_some()),
             read_there = u64::from(is_reader),
             after = self.request.events.last().unwrap_or_default(),
             load:? = load,
             found:? = self.backlog,
-            peers = state.fleet.peers();
+            peers = state.fleet.peer_count();
             "sending a request"
         );
     }
--- a/crates/cyclamenwharf/src/forward/sending.rs
+++ b/crates/cyclamenwharf/src/forward/sending.rs
@@ -97,7 +97,7 @@
                 .own_prompts
                 .record(now, CachedPrompt { prompt, target });
         }
-        self.exchange.send(now, placement.clone());
+        self.exchange.record_send(now, placement.clone());
         self.sent_at = now;
         let prompt_time = {
             let state = self.shared.state();
@@ -139,7 +139,7 @@
         // The guard is acquired before the first await, so that the next selection counts this
         // request.
         let guard = RequestGuard::acquire(&self.shared, id, demand);
-        let keeper = destination.placement.copy.as_ref();
+        let keeper = destination.placement.keeper.as_ref();
         let copy_guard = keeper.map(|keeper| CopyGuard::acquire(&self.shared, keeper, demand));
         let pooled = self.shared.pool.take(now, id, destination.address).await;
         let PooledConnection {
@@ -226,7 +226,7 @@
             let mut state = self.shared.state();
             state
                 .fleet
-                .reported(now, &destination.placement.target, load);
+                .record_load(now, &destination.placement.target, load);
         }
         let head = BufferedResponse {
             status: parts.status,
@@ -258,7 +258,7 @@
         let accepted = &self.request;
         let copy = destination
             .placement
-            .copy
+            .keeper
             .as_ref()
             .and_then(|id| self.address(id));
         let send = SendHead {
@@ -377,7 +377,7 @@
             match self.request.events.push(&data) {
                 Ok(first) if first.is_empty() => {}
                 Ok(first) => {
-                    self.exchange.begin();
+                    self.exchange.record_start();
                     active.guard.mark_begun();
                     self.record_prompt_time(resumed);
                     return SendOutcome::Stream(Box::new(TargetStream {
@@ -456,7 +456,7 @@
             match TargetConnection::connect(address).await {
                 Ok(connection) => {
                     let now = self.shared.now();
-                    self.shared.state().fleet.responded(now, id);
+                    self.shared.state().fleet.record_response(now, id);
                     self.shared.pool.put(now, id, connection, None);
                     tokio::time::sleep(PROBE_PERIOD).await;
                 }
--- a/crates/cyclamenwharf/src/forward/shared.rs
+++ b/crates/cyclamenwharf/src/forward/shared.rs
@@ -11,12 +11,12 @@
 use cw_policy::budget::ServiceBudgets;
 use cw_policy::budget::SharedBudget;
 use cw_policy::forward::DirectoryLog;
+use cw_policy::forward::EntryList;
 use cw_policy::forward::Fleet;
 use cw_policy::forward::FleetLimits;
 use cw_policy::forward::ForwardConfig;
 use cw_policy::forward::PromptLocationLimits;
 use cw_policy::forward::PromptLocations;
-use cw_policy::forward::Roster;
 use cw_policy::forward::RunTimes;
 use cw_policy::forward::StandingQueues;
 use cw_store::Dialect;
@@ -66,7 +66,7 @@
     /// The budgets for repeated sends.
     pub(super) budgets: ServiceBudgets,
     /// The other entries.
-    pub(super) roster: Roster,
+    pub(super) entry_list: EntryList,
     /// The random number generator for decisions.
     pub(super) rng: SmallRng,
 }
@@ -109,7 +109,7 @@
             config_bytes: None,
             listings: BTreeMap::new(),
             fleet: Fleet::new(FleetLimits {
-                lapse: settings.lapse,
+                record_ttl: settings.lapse,
                 ..FleetLimits::default()
             }),
             directory_log: DirectoryLog::default(),
@@ -119,7 +119,7 @@
             run_times: RunTimes::default(),
             standing_queues: StandingQueues::default(),
             budgets: ServiceBudgets::new(budget, ENTRIES_ASSUMED),
-            roster: Roster::default(),
+            entry_list: EntryList::default(),
             rng: SmallRng::seed_from_u64(rand::random()),
         };
         Self {
@@ -147,9 +147,9 @@
     pub(super) fn set_registered(&self, registered: BTreeMap<HostId, SocketAddr>) {
         let now = self.now();
         let mut state = self.state();
-        let before = state.roster.others(now);
-        state.roster.set_registered(registered);
-        let others = state.roster.others(now);
+        let before = state.entry_list.others(now);
+        state.entry_list.set_registered(registered);
+        let others = state.entry_list.others(now);
         if before != others {
             info!(others = others.len(); "the list of other entries has changed");
         }
@@ -158,7 +158,7 @@
 
     /// Divides the shared budgets and the preferred targets among the current entries.
     pub(super) fn update_entries(&self, now: Time, state: &mut ForwardState) {
-        let others = state.roster.others(now);
+        let others = state.entry_list.others(now);
         let count = u32::try_from(others.len() + 1).unwrap_or(u32::MAX);
         state.budgets.set_entries(count);
         self.metrics.entries.set(i64::from(count));
@@ -169,7 +169,7 @@
     /// Returns the other entries and their addresses for messages.
     pub(super) fn other_entries(&self) -> BTreeMap<HostId, SocketAddr> {
         let now = self.now();
-        self.state().roster.others(now)
+        self.state().entry_list.others(now)
     }
 
     pub(super) fn config(&self) -> Option<Arc<ForwardConfig>> {
--- a/crates/cyclamenwharf/src/forward/streaming.rs
+++ b/crates/cyclamenwharf/src/forward/streaming.rs
@@ -264,7 +264,7 @@
         };
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.responded(last_received, &placed.target);
+        state.fleet.record_response(last_received, &placed.target);
         let copy = self.exchange.copy();
         self.has_run_long_enough(now)
             && state.fleet.is_leaving(&placed.target)
--- a/crates/cyclamenwharf/src/slo_metrics.rs
+++ b/crates/cyclamenwharf/src/slo_metrics.rs
@@ -60,7 +60,9 @@
 
     /// Records the time to the first token.
     pub fn record_first_token(&self, class: &Class, duration: Duration) {
-        self.with_recorder(|recorder, clock| recorder.first_token(clock.now(), class, duration));
+        self.with_recorder(|recorder, clock| {
+            recorder.record_first_token(clock.now(), class, duration)
+        });
     }
 
     /// Records gaps between tokens, counted by the stream that observed them.
@@ -72,17 +74,17 @@
 
     /// Records how long the output was interrupted after a failure.
     pub fn record_resume(&self, class: &Class, duration: Duration) {
-        self.with_recorder(|recorder, clock| recorder.resume(clock.now(), class, duration));
+        self.with_recorder(|recorder, clock| recorder.record_resume(clock.now(), class, duration));
     }
 
     /// Records whether an accepted request was answered completely.
     pub fn record_completion(&self, class: &Class, good: bool) {
-        self.with_recorder(|recorder, clock| recorder.whole(clock.now(), class, good));
+        self.with_recorder(|recorder, clock| recorder.record_response(clock.now(), class, good));
     }
 
     /// Records a refusal, and whether it is certain that the work has not run.
     pub fn record_refusal(&self, class: &Class, proven: bool) {
-        self.with_recorder(|recorder, clock| recorder.refusal(clock.now(), class, proven));
+        self.with_recorder(|recorder, clock| recorder.record_refusal(clock.now(), class, proven));
     }
 
     /// Returns the service-level objectives.
