--- a/crates/cw_policy/src/admission/adaptive_limit.rs
+++ b/crates/cw_policy/src/admission/adaptive_limit.rs
@@ -21,6 +21,7 @@
     ceiling: u32,
     reserved_slots: u32,
     limit: u32,
+    /// The smoothed time between tokens, zero before the first sample.
     step: Duration,
 }
 
--- a/crates/cw_policy/src/admission/admission_control.rs
+++ b/crates/cw_policy/src/admission/admission_control.rs
@@ -196,7 +196,7 @@
         (self.release_interval * ahead).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
-    // ---- Capacity
+    // ---- Capacity ----
 
     fn free_slots(&self) -> u32 {
         let running = self.running.len() as u32;
--- a/crates/cw_policy/src/attempt/attempt_state.rs
+++ b/crates/cw_policy/src/attempt/attempt_state.rs
@@ -47,7 +47,7 @@
 /// The state of one attempt.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptState {
-    /// The workspace; none for an attempt that ended before its dispatch was accepted.
+    /// The workspace; `None` for an attempt that ended before its dispatch was accepted.
     pub(super) workspace: Option<WorkspaceId>,
     /// Whether it may run more than once.
     pub(super) idempotent: bool,
@@ -55,11 +55,9 @@
     pub(super) fingerprint: Fingerprint,
     /// The model version that it is pinned to.
     pub(super) pin: Option<(ModelName, VersionName)>,
-    /// Its stage.
     pub(super) stage: Stage,
-    /// The number of prompt tokens found in the cache, once the target has accepted it.
+    /// The number of prompt tokens found in the cache, once the target has accepted the attempt.
     pub(super) accepted: Option<TokenCount>,
-    /// Its buffered output.
     pub(super) output: Output,
     /// The index below which some reader has received the output.
     pub(super) sent_until: u64,
--- a/crates/cw_policy/src/attempt/crash_log.rs
+++ b/crates/cw_policy/src/attempt/crash_log.rs
@@ -33,7 +33,8 @@
         self.running.insert(id, fingerprint);
     }
 
-    /// Handles an end that the engine did not cause by crashing; the attempt is no suspect.
+    /// Handles an end without a crash of the engine, so that the attempt is not a suspect of a later
+    /// crash.
     pub fn on_end(&mut self, id: AttemptId) {
         self.running.remove(&id);
     }
--- a/crates/cw_policy/src/attempt/output.rs
+++ b/crates/cw_policy/src/attempt/output.rs
@@ -58,8 +58,11 @@
 pub struct Output {
     head: Option<(u16, BTreeMap<String, String>)>,
     parts: VecDeque<(u64, Part)>,
+    /// The lowest index in the buffer.
     base: u64,
+    /// The index after the last one produced.
     next: u64,
+    /// The memory that the buffer takes, in bytes.
     bytes: usize,
 }
 
--- a/crates/cw_policy/src/attempt/table/mod.rs
+++ b/crates/cw_policy/src/attempt/table/mod.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    // ---- Accessors
+    // ---- Accessors ----
 
     /// Returns the incarnation of the agent.
     pub fn incarnation(&self) -> Incarnation {
@@ -127,7 +127,7 @@
         self.live.is_empty() && self.readers == 0 && !self.retained.iter().any(undelivered)
     }
 
-    // ---- Reading
+    // ---- Reading ----
 
     /// Returns the next action of a reader's stream.
     pub fn read(&mut self, now: Time, reader: &mut Reader) -> (ReadStep, Vec<AttemptStep>) {
@@ -207,7 +207,7 @@
         }
     }
 
-    // ---- Output buffer
+    // ---- Output buffer ----
 
     /// Discards delivered output of an attempt whose buffer exceeds its share, and resumes reading
     /// from the target once there is room.
@@ -235,7 +235,7 @@
         }
     }
 
-    // ---- Ends
+    // ---- Ends ----
 
     /// Ends an attempt unless it has already ended, and starts attempts that wait for its slot.
     fn end(&mut self, now: Time, id: AttemptId, end: AttemptEnd, steps: &mut Vec<AttemptStep>) {
@@ -275,7 +275,7 @@
         }
     }
 
-    // ---- Stamps
+    // ---- Stamps ----
 
     /// Returns whether an attempt with this stamp that is not in the table was never seen.
     ///
--- a/crates/cw_policy/src/attempt/table/peer_events.rs
+++ b/crates/cw_policy/src/attempt/table/peer_events.rs
@@ -1,4 +1,4 @@
-//! Requests of entries.
+//! The handling of requests from entries.
 
 use cw_types::AttemptId;
 use cw_types::AttemptNo;
@@ -175,7 +175,7 @@
             .map(|(id, _)| *id)
     }
 
-    // ---- Refusals
+    // ---- Refusals ----
 
     fn refuse(&self, now: Time, reason: NotRunReason) -> AttemptAnswer {
         AttemptAnswer::Frame(Box::new(self.not_run(now, reason)))
--- a/crates/cw_policy/src/attempt/table/target_events.rs
+++ b/crates/cw_policy/src/attempt/table/target_events.rs
@@ -1,4 +1,4 @@
-//! Events at the target.
+//! The handling of events at the target.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/crates/cw_policy/src/attempt/table/time_events.rs
+++ b/crates/cw_policy/src/attempt/table/time_events.rs
@@ -1,4 +1,4 @@
-//! Expiry of attempts and of their output.
+//! The expiry of attempts and of their output.
 
 use cw_types::AttemptId;
 use cw_types::Time;
--- a/crates/cw_policy/src/forward/directory_log.rs
+++ b/crates/cw_policy/src/forward/directory_log.rs
@@ -14,21 +14,21 @@
 
 use super::Fleet;
 
-/// How long a change is included in messages, which covers several messages in a row.
+/// How long a change is included in messages. The time covers several messages in a row.
 const RESEND_TIME: Duration = Duration::from_millis(900);
 
 /// The maximum number of changes in one message. An entry that misses older ones reads the
 /// directory.
 const MAX_CHANGES: usize = 128;
 
-/// What an entry does after a [`DirectoryUpdate`] message.
+/// The step that follows a [`DirectoryUpdate`] message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryUpdateStep {
-    /// The message contains no new change.
+    /// Do nothing, because the message contains no new change.
     Nothing,
-    /// The new changes, which directly follow the last known revision.
+    /// Apply these new changes, which directly follow the last known revision.
     Apply(Vec<DirectoryChange>),
-    /// Changes are missing, so the directory must be read as a whole.
+    /// Read the whole directory, because changes are missing.
     Reread,
 }
 
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns the message for the other entries, after dropping changes that have been
-    /// sent for long enough.
+    /// Drops the changes that have been sent for long enough, and returns the message for the other
+    /// entries.
     pub fn update(&mut self, now: Time, fleet: &Fleet, config: u64) -> DirectoryUpdate {
         while let Some((at, _)) = self.recent.front()
             && now.since(*at) > RESEND_TIME
--- a/crates/cw_policy/src/forward/entry_list.rs
+++ b/crates/cw_policy/src/forward/entry_list.rs
@@ -14,8 +14,8 @@
 /// The other entries: those registered in the key-value service, and those that sent a message
 /// recently.
 ///
-/// The record of an entry expires when the service rejects the entry's calls for long. The entry
-/// depends on the others most in that time, so its messages keep it listed.
+/// The record of an entry expires when the key-value service rejects the entry's calls for long.
+/// During that time the entry depends on the others most, so its messages keep it listed.
 #[derive(Clone, Debug, Default)]
 pub struct EntryList {
     registered: BTreeMap<HostId, SocketAddr>,
--- a/crates/cw_policy/src/forward/event_stream.rs
+++ b/crates/cw_policy/src/forward/event_stream.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use snafu::Snafu;
 
-/// The maximum size of one event. A target that exceeds it is not sending events.
+/// The maximum size of one event. A target that exceeds it does not send server-sent events.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Why a stream cannot be passed on any further.
@@ -33,6 +33,7 @@
     last: Option<u64>,
     /// The bytes of an incomplete event.
     partial: BytesMut,
+    /// The number of duplicate events that were dropped.
     repeated: u64,
 }
 
--- a/crates/cw_policy/src/forward/exchange.rs
+++ b/crates/cw_policy/src/forward/exchange.rs
@@ -12,8 +12,8 @@
 use super::Repeat;
 use super::RunCopy;
 
-/// The maximum number of sends that did not run, which allows one refusal from each of a few
-/// targets.
+/// The maximum number of sends of a request that did not run. It allows one refusal from each of a
+/// few targets.
 const MAX_REFUSALS: u32 = 6;
 
 /// The delay before a request that found every target full is placed again. It is half the duration
@@ -115,7 +115,7 @@
     plan: ExchangePlan,
     /// The targets that the request is not sent to again.
     excluded: BTreeSet<TargetId>,
-    /// The current target, and the keeper that was selected with it.
+    /// The current target, and the keeper of the copy that was selected with it.
     placed: Option<Placement>,
     /// The current copy of the run.
     copy: Option<RunCopy>,
@@ -157,12 +157,12 @@
         &self.excluded
     }
 
-    /// Returns the current target and keeper.
+    /// Returns the current target, and the keeper of the copy that was selected with it.
     pub fn placed(&self) -> Option<&Placement> {
         self.placed.as_ref()
     }
 
-    /// Returns how often the request was sent.
+    /// Returns how often the request was sent, whether it ran or not.
     pub fn sends(&self) -> u32 {
         self.runs + self.refused
     }
--- a/crates/cw_policy/src/forward/fleet.rs
+++ b/crates/cw_policy/src/forward/fleet.rs
@@ -176,7 +176,7 @@
         was_down
     }
 
-    /// Returns whether a target without a record in the directory is gone: the directory has
+    /// Returns whether a target without a record in the directory counts as gone: the directory has
     /// answered for longer than targets need to register again.
     pub fn is_trusted(&self, now: Time) -> bool {
         match self.directory {
--- a/crates/cw_policy/src/forward/member.rs
+++ b/crates/cw_policy/src/forward/member.rs
@@ -82,7 +82,7 @@
     pub waiting: u32,
 }
 
-/// The state of one target.
+/// The state of one target as seen by this entry.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) listing: Listing,
@@ -103,6 +103,7 @@
     pub(super) backoff_until: Time,
     /// The number of consecutive losses.
     losses: u32,
+    /// The penalty as of `penalized_at`.
     penalty: f64,
     penalized_at: Time,
     /// The number of other entries' requests in the last report of the target.
--- a/crates/cw_policy/src/forward/mod.rs
+++ b/crates/cw_policy/src/forward/mod.rs
@@ -11,7 +11,7 @@
 //! - [`EntryList`]: the list of the other entries.
 //! - [`RunCopy`]: a copy of a run's cache memory at another engine.
 //! - [`PromptLocations`]: the target that has read each prompt.
-//! - [`RunTimes`]: the mean times in which targets read prompts and generate answers.
+//! - [`RunTimes`]: the mean times that targets take to read prompts and to generate answers.
 //! - [`StartEstimate`]: whether a request can start in time, also in view of a standing queue
 //!   ([`StandingQueues`]).
 //! - [`DirectoryLog`]: the directory changes that the watching entries send to all others.
--- a/crates/cw_policy/src/forward/placement.rs
+++ b/crates/cw_policy/src/forward/placement.rs
@@ -65,10 +65,10 @@
     pub excluded: &'a BTreeSet<TargetId>,
     /// Whether another engine should keep a copy of the run.
     pub wants_copy: bool,
-    /// The target that has already read the prompt.
+    /// The target that has already read the prompt, if known.
     pub reader: Option<TargetHash>,
-    /// Whether the load that other entries report is known. The targets' own reports are used
-    /// otherwise.
+    /// Whether the load that other entries report is known. Otherwise the targets' own reports are
+    /// used.
     pub peers_known: bool,
 }
 
@@ -77,7 +77,7 @@
 pub struct Placement {
     /// The target that runs the request.
     pub target: TargetId,
-    /// The target that keeps a copy of the run.
+    /// The target that keeps a copy of the run, if there is one.
     pub keeper: Option<TargetId>,
 }
 
--- a/crates/cw_policy/src/forward/run_copy.rs
+++ b/crates/cw_policy/src/forward/run_copy.rs
@@ -1,4 +1,4 @@
-//! Copies of a run's memory at another engine.
+//! Copies of a run's cache memory at another engine.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,14 @@
 pub struct CopyName {
     /// The address of the engine that assigned the name.
     pub address: SocketAddr,
-    /// The name at that engine.
+    /// The name that this engine assigned.
     pub name: String,
 }
 
-/// A copy of a run's memory at another engine.
+/// A copy of a run's cache memory at another engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunCopy {
-    /// The engine that keeps it.
+    /// The engine that keeps the copy.
     pub keeper: TargetId,
     /// When the copy was started. An instance of the keeper that starts later does not have it.
     pub since: Time,
--- a/crates/cw_policy/src/forward/run_times.rs
+++ b/crates/cw_policy/src/forward/run_times.rs
@@ -33,7 +33,7 @@
     /// Records that a prompt of `tokens` tokens was read in `time`.
     ///
     /// `ahead` is the number of tokens that the target had queued to read, including this prompt.
-    /// It is `None` if something else delayed the run.
+    /// It is `None` if anything but reading delayed the run.
     pub fn record_prompt(
         &mut self,
         service: &ServiceName,
--- a/crates/cw_policy/src/forward/start_estimate.rs
+++ b/crates/cw_policy/src/forward/start_estimate.rs
@@ -46,7 +46,7 @@
 }
 
 impl Fleet {
-    /// Returns the work that would precede a request at a target now, zero for an unknown target.
+    /// Returns the work that would precede a request at a target now, none for an unknown target.
     pub fn backlog(
         &self,
         now: Time,
--- a/crates/cw_policy/src/lib.rs
+++ b/crates/cw_policy/src/lib.rs
@@ -6,9 +6,13 @@
 //! decision can be replayed and fuzzed.
 //!
 //! - [`Generation`]: one generation at its entry.
+//! - [`queue`]: the requests of an entry that wait for a target.
+//! - [`quota`]: the quotas of workspaces, each enforced over all entries together.
+//! - [`budget`]: the limits on sending requests more than once, and backoff.
 //! - [`ClaimWrite`]: the write of an idempotency key's claim.
 //! - [`SuspicionTable`]: the detection of requests that crash their targets.
-//! - [`AttemptTable`]: the attempts of one target at its agent, including [`AdmissionControl`].
+//! - [`AttemptTable`]: the attempts at one target, tracked by its agent, including
+//!   [`AdmissionControl`].
 //! - [`OrderGuard`]: the check of orders at an agent before they reach the engine.
 //! - [`configuration`]: the configurations that operators have accepted, and the one in force.
 //! - [`membership`]: the live targets and entries, and how this knowledge is relayed.
--- a/crates/cw_policy/src/membership/members.rs
+++ b/crates/cw_policy/src/membership/members.rs
@@ -86,8 +86,7 @@
         }
     }
 
-    // ------------------------------------------------------------------------
-    // Events
+    // ---- Events ----
 
     /// Records that the process is running. After a pause of the process itself, the silence of
     /// targets is measured from the end of the pause.
@@ -186,8 +185,7 @@
         self.members.len() >= self.records.len() + MAX_UNREGISTERED
     }
 
-    // ------------------------------------------------------------------------
-    // Queries
+    // ---- Queries ----
 
     /// Returns the liveness of a target; one without a report is [`Liveness::Down`].
     pub fn liveness(&self, now: Time, id: &TargetId) -> Liveness {
--- a/crates/cw_policy/src/membership/relay.rs
+++ b/crates/cw_policy/src/membership/relay.rs
@@ -33,7 +33,7 @@
 const PIN_CHANGE_PERIOD: Duration = Duration::from_secs(5);
 
 /// How long the other relays of a target must have sent none of its reports and loads before a
-/// relay that is not its first one sends its loads.
+/// relay that is not its primary one sends its loads.
 const BACKUP_DELAY: Duration = Duration::from_secs(10);
 
 /// How long the silence of a target is reported before the target is forgotten.
@@ -165,8 +165,8 @@
 
     /// Returns the batches of a round.
     ///
-    /// `is_primary` returns whether this is the first relay of a target. The first relay always sends
-    /// the target's loads; the others do only while no other relay sends them.
+    /// `is_primary` returns whether this is the primary relay of a target. The primary relay always
+    /// sends the target's loads; the others do only while no other relay sends them.
     pub fn round(
         &mut self,
         now: Time,
--- a/crates/cw_policy/src/membership/relays.rs
+++ b/crates/cw_policy/src/membership/relays.rs
@@ -10,7 +10,7 @@
 /// The number of entries to which an agent reports.
 pub const RELAYS_PER_TARGET: usize = 3;
 
-/// Returns the relays of a target, the preferred one first: entries of its region, or of any region
+/// Returns the relays of a target, the primary one first: entries of its region, or of any region
 /// if its own has none.
 ///
 /// Rendezvous hashing reassigns few targets when an entry is added or removed.
@@ -28,7 +28,7 @@
     ranked
 }
 
-/// Returns the preferred relay of a target, which forwards its load updates.
+/// Returns the primary relay of a target, which always forwards its load updates.
 ///
 /// `None` when there are no entries.
 pub fn primary_relay<'a>(
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Returns whether a target refused an order because it has received one of a later holder.
+    /// Returns whether a target refused an order because it has received one of a later holder of
+    /// the lease.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
@@ -160,7 +161,8 @@
         orders
     }
 
-    /// Records the outcome of an order. One for another order than that in progress is ignored.
+    /// Records the outcome of an order. The outcome of an order that is no longer in progress is
+    /// ignored.
     pub fn on_outcome(
         &mut self,
         now: Time,
@@ -187,8 +189,7 @@
         }
     }
 
-    // ------------------------------------------------------------------------
-    // Orders in progress
+    // ---- Orders in progress ----
 
     fn on_fenced(&mut self, highest: FencingNumber) {
         // A later holder is active, even if this process still considers its own lease valid.
@@ -274,8 +275,7 @@
         !self.pending.contains_key(target) && !self.backoff.contains_key(target)
     }
 
-    // ------------------------------------------------------------------------
-    // Loads
+    // ---- Loads ----
 
     /// Returns at most one load, and none before the weight store has had time for the previous one.
     fn plan_load(
@@ -366,8 +366,7 @@
         found.into_iter().map(with_timeout).collect()
     }
 
-    // ------------------------------------------------------------------------
-    // Unloads
+    // ---- Unloads ----
 
     /// Unloads versions that are not required, once the required versions are loaded on enough targets
     /// and the unrequired one has had no pins in the whole deployment for the retention time.
--- a/crates/cw_policy/src/prefix/block.rs
+++ b/crates/cw_policy/src/prefix/block.rs
@@ -10,7 +10,7 @@
 /// The length of the first block, and the unit of the others, in bytes.
 const FIRST_BLOCK_BYTES: usize = 256;
 
-/// The most bytes of a prompt that are hashed.
+/// The maximum number of bytes of a prompt that are hashed.
 const MAX_PROMPT_BYTES: usize = 1 << 20;
 
 /// A leading part of a prompt, identified by its hash.
--- a/crates/cw_policy/src/prefix/cache_index.rs
+++ b/crates/cw_policy/src/prefix/cache_index.rs
@@ -7,10 +7,10 @@
 
 use super::Block;
 
-/// The most blocks in the index.
+/// The maximum number of blocks in the index.
 const MAX_BLOCKS: usize = 32_768;
 
-/// The most targets that are kept for one block.
+/// The maximum number of targets that are kept for one block.
 const MAX_HOLDERS: usize = 4;
 
 /// The weight of the newest answer in the confidence in a target.
@@ -33,14 +33,16 @@
 
 /// The prompt blocks that the targets are known to have cached.
 ///
-/// The index is bounded by two generations: when the young one is full, it replaces the old one.
-/// The caches of targets evict blocks, so their answers correct a confidence for each target.
+/// The index has two generations, which bound its size: when the young one is full, it replaces the
+/// old one. The caches of targets evict blocks, so the answers of each target correct the confidence
+/// in it.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
     young: BTreeMap<u64, Vec<u32>>,
     old: BTreeMap<u64, Vec<u32>>,
     numbers: BTreeMap<TargetId, u32>,
-    /// The target of each number, with the confidence in it: zero for one that was forgotten.
+    /// The target of each number, with the confidence in it, which is zero for a target that was
+    /// forgotten.
     targets: Vec<(TargetId, f64)>,
     /// The ratio of cached to expected tokens where the cache has the whole expected part. It
     /// differs from one because an entry only estimates the length of a prompt in tokens.
@@ -98,7 +100,7 @@
         self.len() == 0
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Targets and blocks ----
 
     fn number(&mut self, target: &TargetId) -> u32 {
         if let Some(&number) = self.numbers.get(target) {
--- a/crates/cw_policy/src/queue/flow.rs
+++ b/crates/cw_policy/src/queue/flow.rs
@@ -26,7 +26,7 @@
         self.requests.len() as f64 / f64::from(self.weight)
     }
 
-    /// Returns the request that would start last.
+    /// Returns the last request of the workspace, which has the latest deadline.
     pub(super) fn last(&self) -> Option<&QueuedRequest> {
         self.requests.values().next_back()
     }
--- a/crates/cw_policy/src/queue/mod.rs
+++ b/crates/cw_policy/src/queue/mod.rs
@@ -1,8 +1,8 @@
 //! The entry's queue of requests that wait for a target.
 //!
 //! [`RequestQueue`] is a state machine that handles [`QueueEvent`]s and returns [`QueueStep`]s.
-//! Within a [`TargetPool`] a higher rank is started first, except that each
-//! [`QueueLimits::lower_interval`]th start goes to a lower rank. Workspaces of one rank share the
+//! Within a [`TargetPool`] a higher rank is started first, except that one start in
+//! [`QueueLimits::lower_interval`] goes to a lower rank. Workspaces of one rank share the
 //! starts by weight, and the requests of one workspace are started in the order of their deadlines.
 
 mod drain_rate;
--- a/crates/cw_policy/src/queue/queue_event.rs
+++ b/crates/cw_policy/src/queue/queue_event.rs
@@ -11,7 +11,7 @@
 /// An event that the queue handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueEvent {
-    /// A new request is to wait.
+    /// A new request arrives at the queue.
     Offered(QueuedRequest),
     /// A target of this pool seems to have capacity for one request.
     CapacityAvailable(TargetPool),
@@ -23,12 +23,12 @@
     Tick,
 }
 
-/// A step that the queue's owner takes.
+/// A step that the driver of the queue carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueueStep {
-    /// Chooses a target for the request.
+    /// Choose a target for the request.
     Start(QueuedRequest),
-    /// Refuses the request, which was not run.
+    /// Refuse the request, which was not run.
     Refuse {
         /// The request.
         request: QueuedRequest,
--- a/crates/cw_policy/src/queue/queued_request.rs
+++ b/crates/cw_policy/src/queue/queued_request.rs
@@ -12,13 +12,13 @@
 pub struct QueuedRequest {
     /// The id of the generation.
     pub id: GenerationId,
-    /// The targets that it waits for.
+    /// The pool of targets that it waits for.
     pub pool: TargetPool,
     /// The workspace of the caller.
     pub workspace: WorkspaceId,
     /// The fair-queueing weight of that workspace.
     pub weight: u32,
-    /// The rank of its priority: a higher one is started first.
+    /// The rank of its priority; higher ranks start first.
     pub rank: u8,
     /// When it arrived.
     pub arrived: Time,
--- a/crates/cw_policy/src/queue/request_queue.rs
+++ b/crates/cw_policy/src/queue/request_queue.rs
@@ -97,7 +97,7 @@
         self.positions.is_empty()
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Events ----
 
     fn offer(
         &mut self,
@@ -156,7 +156,7 @@
         steps
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Limits and refusals ----
 
     /// Returns whether a request is expected to miss its deadline at the measured drain rate.
     fn misses_deadline(&self, now: Time, request: &QueuedRequest) -> bool {
@@ -219,7 +219,7 @@
         }
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Storage ----
 
     fn insert(&mut self, request: QueuedRequest) {
         self.bytes += request.bytes.0;
@@ -237,6 +237,7 @@
         Some(request)
     }
 
+    /// Removes a request that has left its pool's queue from the queue's own records.
     fn remove_keys(&mut self, request: &QueuedRequest) {
         self.bytes -= request.bytes.0;
         self.positions.remove(&request.id);
--- a/crates/cw_policy/src/quota/quota_settings.rs
+++ b/crates/cw_policy/src/quota/quota_settings.rs
@@ -7,7 +7,7 @@
 /// Settings for sharing quotas among entries.
 #[data]
 pub struct QuotaSettings {
-    /// The maximum age of a demand that counts, and so the maximum delay of its message.
+    /// The maximum age at which a demand counts, and so the maximum delay of its message.
     #[serde(rename = "stale")]
     pub max_age: Duration,
     /// The maximum growth of an entry's announced demand within that time, as a fraction of it.
--- a/crates/cw_policy/src/quota/quotas.rs
+++ b/crates/cw_policy/src/quota/quotas.rs
@@ -16,10 +16,10 @@
 use super::peer_demands::PeerDemands;
 use super::usage::Usage;
 
-/// The shortest retry delay given to a caller over quota.
+/// The minimum retry delay given to a caller over quota.
 const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The longest jitter that is added to [`MIN_RETRY_DELAY`].
+/// The maximum jitter that is added to [`MIN_RETRY_DELAY`].
 const MAX_RETRY_JITTER: Duration = Duration::from_secs(30);
 
 /// The decision whether a request is within its workspace's quota.
@@ -169,7 +169,7 @@
         own / (own + others)
     }
 
-    // ---- Buckets
+    // ---- Buckets ----
 
     fn usage(&mut self, now: Time, workspace: &WorkspaceId, quota: &Quota) -> &mut Usage {
         let equal = 1.0 / self.entries as f64;
--- a/crates/cw_policy/src/routing/cached_shares.rs
+++ b/crates/cw_policy/src/routing/cached_shares.rs
@@ -1,6 +1,6 @@
 //! The shares of one prompt that candidates have cached.
 
-/// The most candidates with a known or assumed share of one prompt.
+/// The maximum number of candidates with a known or assumed share of one prompt.
 const MAX_SHARES: usize = 8;
 
 /// The shares of one prompt that candidates have cached, in an array of fixed size.
--- a/crates/cw_policy/src/routing/decision.rs
+++ b/crates/cw_policy/src/routing/decision.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- The default policy ----
 
     /// Returns the candidate of lowest cost in a short list, if any of them is open.
     fn affinity(&self, members: &[Member], rng: &mut impl Rng) -> Option<usize> {
@@ -160,7 +160,7 @@
         }
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- The baselines ----
 
     fn round_robin(&self, members: &[Member]) -> Option<usize> {
         let dispatch_count = usize::try_from(self.dispatches.dispatch_count()).unwrap_or_default();
@@ -224,7 +224,7 @@
         }
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Candidates ----
 
     /// Returns whether the request may be sent to a candidate now.
     fn is_open(&self, position: usize) -> bool {
--- a/crates/cw_policy/src/routing/shortlist.rs
+++ b/crates/cw_policy/src/routing/shortlist.rs
@@ -1,6 +1,6 @@
 //! A short list of candidates in an array of fixed size.
 
-/// The most candidates that a decision compares.
+/// The maximum number of candidates that a decision compares.
 const MAX_LENGTH: usize = 24;
 
 /// A list of a few candidates that needs no heap allocation.
--- a/crates/cw_policy/src/routing/target_index.rs
+++ b/crates/cw_policy/src/routing/target_index.rs
@@ -48,7 +48,7 @@
     pub(super) suspect: Vec<Member>,
     /// The summed load of the alive targets as a fraction of their summed limits.
     pub(super) utilization: f64,
-    /// When the first of the alive targets became alive.
+    /// The earliest time at which one of the alive targets became alive.
     pub(super) first_alive: Time,
 }
 
@@ -119,7 +119,7 @@
         Some(sum.max(usize::from(any)))
     }
 
-    // -----------------------------------------------------------------------------------------
+    // ---- Groups ----
 
     fn insert(&mut self, id: &TargetId, view: &TargetView) {
         if !matches!(view.liveness, Liveness::Alive | Liveness::Suspect) {
--- a/crates/cw_policy/src/routing/target_log.rs
+++ b/crates/cw_policy/src/routing/target_log.rs
@@ -4,7 +4,7 @@
 
 use cw_types::Time;
 
-/// The most changes kept for one target; its report includes older ones by then.
+/// The maximum number of changes kept for one target. Its reports already include older ones.
 const MAX_CHANGES: usize = 1024;
 
 /// The beginning or the end of an attempt.
@@ -16,7 +16,7 @@
     tokens: u64,
 }
 
-/// The load of a target, from its report and the dispatches since.
+/// The change of a target's load since its report, with the prefill backlog that results.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct LoadDelta {
     /// The attempts that began since the report, less those that ended.
--- a/crates/cw_policy/src/slo/objective.rs
+++ b/crates/cw_policy/src/slo/objective.rs
@@ -82,7 +82,7 @@
     /// The limit for the time to the first token.
     #[serde_as(as = "DurationText")]
     pub first_token: Duration,
-    /// The limit for the latency between tokens.
+    /// The limit for the time between two tokens.
     #[serde_as(as = "DurationText")]
     pub token_gap: Duration,
     /// The limit for the time from the loss of a target until output resumes.
--- a/crates/cw_policy/src/slo/slo_recorder.rs
+++ b/crates/cw_policy/src/slo/slo_recorder.rs
@@ -50,7 +50,7 @@
         now.since(self.started).min(window.length())
     }
 
-    // --- Recording ---
+    // ---- Recording ----
 
     /// Records events of one class. Events of a new class are dropped once the maximum number of
     /// classes is reached.
@@ -92,7 +92,7 @@
         self.record(now, class, objective, counts);
     }
 
-    // --- Queries ---
+    // ---- Queries ----
 
     /// Returns the counts of each class and objective over a window that ends at `now`.
     pub fn counts(
--- a/crates/cw_policy/src/suspicion/crash_suspicion.rs
+++ b/crates/cw_policy/src/suspicion/crash_suspicion.rs
@@ -5,23 +5,25 @@
 /// The limits by which crashes are counted against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspicionLimits {
-    /// How many crashes confirm a request as the cause that alone was in flight at all of them.
+    /// The number of crashes that confirm a request as their cause, if it is the only one that was
+    /// in flight at all of them.
     pub confirming_crashes: usize,
-    /// How many such crashes refuse a new call whose request this entry did not confirm itself.
+    /// The number of such crashes from which a new call of the request is refused. A request that
+    /// this entry itself has confirmed as the cause is refused before.
     ///
-    /// Another entry may know that the request has completed since, or that its output went on
-    /// between the crashes.
+    /// The number is higher than that for a confirmation because another entry may know that the
+    /// request has completed since, or that its output advanced between the crashes.
     pub refusing_crashes: usize,
-    /// How many targets that crash within [`SuspicionLimits::mass_window`] are a mass failure,
-    /// which no request causes.
+    /// The number of targets whose crashes within [`SuspicionLimits::mass_window`] count as a mass
+    /// failure, which no request causes.
     pub mass_targets: usize,
     /// The time within which the crashes of a mass failure occur.
     pub mass_window: Duration,
     /// How long a crash is kept.
     pub retention: Duration,
-    /// The most crashes that are kept.
+    /// The maximum number of crashes that are kept.
     pub max_crashes: usize,
-    /// The most suspects of one crash; a crash with more of them is ignored.
+    /// The maximum number of suspects of one crash; a crash with more of them is ignored.
     pub max_suspects: usize,
 }
 
@@ -44,7 +46,8 @@
 pub enum CrashSuspicion {
     /// No crash counts against it.
     Unsuspected,
-    /// It was in flight at crashes that are too few, or at all of which another request was too.
+    /// It was in flight at too few crashes to be confirmed, or another request was in flight at all
+    /// of them too.
     Suspected {
         /// The crashes that count against it.
         crashes: usize,
@@ -57,12 +60,12 @@
 }
 
 impl CrashSuspicion {
-    /// Returns how many more crashes a new call of the request is allowed, of `limit`, before the
-    /// request is checked as their cause.
+    /// Returns how many crashes a new call of the request is allowed before the request is checked
+    /// as their cause, at most `limit`.
     ///
     /// The first earlier crash does not count: the request may have been in flight by chance, and
-    /// may have completed at another entry since. Each further one reduces the limit, to one at
-    /// least.
+    /// may have completed at another entry since. Each further one reduces the number by one, down
+    /// to one.
     pub fn crashes_left(self, limit: u32) -> u32 {
         let earlier = match self {
             CrashSuspicion::Unsuspected => 0,
--- a/crates/cw_policy/src/suspicion/suspicion_table.rs
+++ b/crates/cw_policy/src/suspicion/suspicion_table.rs
@@ -14,7 +14,7 @@
 use super::SuspicionLimits;
 use crate::View;
 
-/// One crash of an engine whose agent lived on.
+/// One crash of an engine whose agent kept running.
 #[derive(Clone, Debug)]
 struct Crash {
     number: u64,
@@ -26,7 +26,7 @@
 /// The incarnation of a target and the sequence number of its newest crash in the table.
 type LastCrash = (Incarnation, u64);
 
-/// The crashes of the retention time, and the requests that were in flight at them.
+/// The crashes within the retention time, and the requests that were in flight at them.
 #[derive(Clone, Debug, Default)]
 pub struct SuspicionTable {
     limits: SuspicionLimits,
--- a/crates/cw_policy/src/trace/redact.rs
+++ b/crates/cw_policy/src/trace/redact.rs
@@ -5,7 +5,7 @@
 /// The JSON fields that contain callers' text or secrets, besides the headers.
 const TEXT_FIELDS: [&str; 3] = ["text", "body", "bytes"];
 
-/// Returns a value without callers' text: tokens keep their ids and lose their text.
+/// Returns a value without callers' text: tokens keep their ids but lose their text.
 ///
 /// The state machines branch on indices and list lengths, never on text, so a redacted trace
 /// replays like the original.
--- a/crates/cw_policy/src/view.rs
+++ b/crates/cw_policy/src/view.rs
@@ -32,7 +32,8 @@
     Suspect,
     /// The target accepts no new work.
     Leaving,
-    /// The target does not return with its present incarnation.
+    /// The target counts as lost: it has been silent for long, and relays or the host list confirm
+    /// it.
     Gone,
 }
 
@@ -53,7 +54,7 @@
     pub alive_since: Time,
     /// The loaded versions of each model.
     pub versions: BTreeMap<ModelName, BTreeSet<VersionName>>,
-    /// The recent crashes of the target's engine, over the last minutes.
+    /// The crashes of the target's engine over the last minutes.
     pub crashes: Vec<CrashReport>,
 }
 
