--- a/crates/cw_policy/src/attempt/output.rs
+++ b/crates/cw_policy/src/attempt/output.rs
@@ -9,7 +9,7 @@
 use cw_wire::Token;
 
 /// The maximum number of tokens in one frame.
-const FRAME_TOKENS_MAX: usize = 64;
+const MAX_FRAME_TOKENS: usize = 64;
 /// The memory that a buffered part takes beside its content, in bytes.
 const PART_OVERHEAD: usize = size_of::<(u64, Part)>();
 
@@ -58,8 +58,11 @@
 pub struct Output {
     head: Option<(u16, BTreeMap<String, String>)>,
     parts: VecDeque<(u64, Part)>,
+    /// The lowest index in the buffer.
     base: u64,
+    /// The index after the last one produced.
     next: u64,
+    /// The memory that the buffer takes, in bytes.
     bytes: usize,
 }
 
@@ -164,7 +167,7 @@
             Part::Token(token) => Some(token.clone()),
             Part::Body(_) => None,
         };
-        let parts = self.parts.range(at..).take(FRAME_TOKENS_MAX);
+        let parts = self.parts.range(at..).take(MAX_FRAME_TOKENS);
         let tokens: Vec<Token> = parts.map_while(token).collect();
         let end = first + tokens.len() as u64;
         let first = TokenIndex(first);
--- a/crates/cw_policy/src/attempt/table/peer_events.rs
+++ b/crates/cw_policy/src/attempt/table/peer_events.rs
@@ -1,4 +1,4 @@
-//! Requests of entries.
+//! The handling of requests from entries.
 
 use cw_types::AttemptId;
 use cw_types::AttemptNo;
@@ -59,7 +59,7 @@
             return (self.refuse_permanently(now, id, reason), steps);
         }
         match self.admission.submit(now, ticket(now, &dispatch)) {
-            AdmissionOutcome::Busy { .. } => {
+            AdmissionOutcome::Refuse { .. } => {
                 return (self.refuse_permanently(now, id, NotRunReason::Busy), steps);
             }
             AdmissionOutcome::Start => {
@@ -175,7 +175,7 @@
             .map(|(id, _)| *id)
     }
 
-    // ---- Refusals
+    // ---- Refusals ----
 
     fn refuse(&self, now: Time, reason: NotRunReason) -> AttemptAnswer {
         AttemptAnswer::Frame(Box::new(self.not_run(now, reason)))
--- a/crates/cw_policy/src/forward/member.rs
+++ b/crates/cw_policy/src/forward/member.rs
@@ -82,7 +82,7 @@
     pub waiting: u32,
 }
 
-/// The state of one target.
+/// The state of one target as seen by this entry.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) listing: Listing,
@@ -103,6 +103,7 @@
     pub(super) backoff_until: Time,
     /// The number of consecutive losses.
     losses: u32,
+    /// The penalty as of `penalized_at`.
     penalty: f64,
     penalized_at: Time,
     /// The number of other entries' requests in the last report of the target.
@@ -173,7 +174,7 @@
         self.penalty * (-age * std::f64::consts::LN_2).exp()
     }
 
-    pub(super) fn failed(&mut self, now: Time, fault: Fault) {
+    pub(super) fn record_failure(&mut self, now: Time, fault: Fault) {
         self.penalty = self.penalty(now) + fault.weight();
         self.penalized_at = now;
         if fault == Fault::Replaced {
@@ -215,7 +216,7 @@
     }
 
     /// Records a response of the target, which shows that it is up.
-    pub(super) fn responded(&mut self, now: Time) {
+    pub(super) fn record_response(&mut self, now: Time) {
         self.responded_at = now;
         self.losses = 0;
         self.suspected_at = None;
@@ -223,7 +224,7 @@
     }
 
     /// Records that another entry found the target lost.
-    pub(super) fn suspect(&mut self, now: Time) {
+    pub(super) fn record_suspicion(&mut self, now: Time) {
         self.suspected_at = Some(now);
         self.backoff_until = self.backoff_until.max(now + BACKOFF_BASE);
     }
@@ -238,14 +239,14 @@
         }
     }
 
-    pub(super) fn reported(&mut self, now: Time, load: ReportedLoad) {
+    pub(super) fn record_load(&mut self, now: Time, load: ReportedLoad) {
         let all = f64::from(load.running) + f64::from(load.waiting);
         self.reported_others = (all - f64::from(self.runs)).max(0.0);
         self.reported_at = now;
     }
 
     /// Returns the estimated number of other entries' requests, by the last report of the target.
-    pub(super) fn others(&self, now: Time) -> f64 {
+    pub(super) fn other_requests(&self, now: Time) -> f64 {
         let age = now.since(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
         self.reported_others * (1.0 - age).max(0.0)
     }
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     fencing: Option<FencingNumber>,
-    deposed: bool,
+    fenced: bool,
     sequence: u64,
     pending: BTreeMap<TargetId, PendingOrder>,
     backoff: BTreeMap<TargetId, Time>,
@@ -131,9 +131,10 @@
         }
     }
 
-    /// Returns whether a target refused an order because it has received one of a later holder.
-    pub fn is_deposed(&self) -> bool {
-        self.deposed
+    /// Returns whether a target refused an order because it has received one of a later holder of
+    /// the lease.
+    pub fn is_fenced(&self) -> bool {
+        self.fenced
     }
 
     /// Returns how many orders are in progress.
@@ -160,7 +161,8 @@
         orders
     }
 
-    /// Records the outcome of an order. One for another order than that in progress is ignored.
+    /// Records the outcome of an order. The outcome of an order that is no longer in progress is
+    /// ignored.
     pub fn on_outcome(
         &mut self,
         now: Time,
@@ -187,14 +189,13 @@
         }
     }
 
-    // ------------------------------------------------------------------------
-    // Orders in progress
+    // ---- Orders in progress ----
 
     fn on_fenced(&mut self, highest: FencingNumber) {
         // A later holder is active, even if this process still considers its own lease valid.
         if self.fencing.is_some_and(|own| own < highest) {
             self.on_lease(None);
-            self.deposed = true;
+            self.fenced = true;
         }
     }
 
@@ -274,8 +275,7 @@
         !self.pending.contains_key(target) && !self.backoff.contains_key(target)
     }
 
-    // ------------------------------------------------------------------------
-    // Loads
+    // ---- Loads ----
 
     /// Returns at most one load, and none before the weight store has had time for the previous one.
     fn plan_load(
@@ -290,14 +290,14 @@
             if now < self.next_load_at || self.holder_count(model, name, input.view) >= wanted {
                 continue;
             }
-            let Some(weight) = input.weights.get(&version.weights) else {
+            let Some(weights) = input.weights.get(&version.weights) else {
                 continue;
             };
             let Some(target) = self.choose_target(model, name, input.view) else {
                 continue;
             };
-            self.next_load_at = now + weight.load_time();
-            let timeout = weight.load_time() * LOAD_TIMEOUT_FACTOR + EFFECT_TIMEOUT;
+            self.next_load_at = now + weights.load_time();
+            let timeout = weights.load_time() * LOAD_TIMEOUT_FACTOR + EFFECT_TIMEOUT;
             return vec![(target, load_order(version), timeout)];
         }
         Vec::new()
@@ -362,12 +362,11 @@
                 }
             }
         }
-        let limited = |(id, kind)| (id, kind, EFFECT_TIMEOUT);
-        found.into_iter().map(limited).collect()
+        let with_timeout = |(id, kind)| (id, kind, EFFECT_TIMEOUT);
+        found.into_iter().map(with_timeout).collect()
     }
 
-    // ------------------------------------------------------------------------
-    // Unloads
+    // ---- Unloads ----
 
     /// Unloads versions that are not required, once the required versions are loaded on enough targets
     /// and the unrequired one has had no pins in the whole deployment for the retention time.
--- a/crates/cw_policy/src/quota/quota_settings.rs
+++ b/crates/cw_policy/src/quota/quota_settings.rs
@@ -7,8 +7,9 @@
 /// Settings for sharing quotas among entries.
 #[data]
 pub struct QuotaSettings {
-    /// The maximum age of a demand that counts, and so the maximum delay of its message.
-    pub stale: Duration,
+    /// The maximum age at which a demand counts, and so the maximum delay of its message.
+    #[serde(rename = "stale")]
+    pub max_age: Duration,
     /// The maximum growth of an entry's announced demand within that time, as a fraction of it.
     pub growth: f64,
     /// The minimum demand of an entry, as a fraction of an equal share.
@@ -20,7 +21,7 @@
 impl Default for QuotaSettings {
     fn default() -> Self {
         Self {
-            stale: Duration::from_secs(2),
+            max_age: Duration::from_secs(2),
             growth: 0.5,
             floor: 0.1,
             burst: Duration::from_secs(1),
--- a/crates/cw_policy/src/slo/slo_recorder.rs
+++ b/crates/cw_policy/src/slo/slo_recorder.rs
@@ -50,7 +50,7 @@
         now.since(self.started).min(window.length())
     }
 
-    // --- Recording ---
+    // ---- Recording ----
 
     /// Records events of one class. Events of a new class are dropped once the maximum number of
     /// classes is reached.
@@ -63,24 +63,24 @@
     }
 
     /// Records the time to the first token.
-    pub fn first_token(&mut self, now: Time, class: &Class, took: Duration) {
+    pub fn record_first_token(&mut self, now: Time, class: &Class, took: Duration) {
         let good = took <= self.objectives.first_token;
         self.record_one(now, class, Objective::FirstToken, good);
     }
 
     /// Records how long output was interrupted by the loss of a target.
-    pub fn resume(&mut self, now: Time, class: &Class, took: Duration) {
+    pub fn record_resume(&mut self, now: Time, class: &Class, took: Duration) {
         let good = took <= self.objectives.resume;
         self.record_one(now, class, Objective::Resume, good);
     }
 
     /// Records whether an accepted request got its complete response.
-    pub fn whole(&mut self, now: Time, class: &Class, good: bool) {
+    pub fn record_response(&mut self, now: Time, class: &Class, good: bool) {
         self.record_one(now, class, Objective::Whole, good);
     }
 
     /// Records whether a refused request is proven not to have run.
-    pub fn refusal(&mut self, now: Time, class: &Class, proven: bool) {
+    pub fn record_refusal(&mut self, now: Time, class: &Class, proven: bool) {
         self.record_one(now, class, Objective::Refusal, proven);
     }
 
@@ -92,7 +92,7 @@
         self.record(now, class, objective, counts);
     }
 
-    // --- Queries ---
+    // ---- Queries ----
 
     /// Returns the counts of each class and objective over a window that ends at `now`.
     pub fn counts(
--- a/crates/cyclamenwharf/src/control/admin/change_service.rs
+++ b/crates/cyclamenwharf/src/control/admin/change_service.rs
@@ -11,12 +11,12 @@
 use cw_policy::configuration::Alarm;
 use cw_policy::configuration::Breakage;
 use cw_policy::configuration::Edit;
-use cw_policy::configuration::Fault;
 use cw_policy::configuration::FlowEnd;
 use cw_policy::configuration::FlowEvent;
 use cw_policy::configuration::FlowStep;
 use cw_policy::configuration::Proposal;
 use cw_policy::configuration::RejectDecision;
+use cw_policy::configuration::StoreFault;
 use cw_policy::configuration::accept;
 use cw_policy::configuration::in_use;
 use cw_policy::configuration::reject;
@@ -261,7 +261,7 @@
         &self,
         id: &ChangeId,
     ) -> Result<(FlowEvent, (Option<ModRevision>, Option<ModRevision>)), ErrorMessage> {
-        let failed = (FlowEvent::Failed(Fault::Unavailable), (None, None));
+        let failed = (FlowEvent::Failed(StoreFault::Unavailable), (None, None));
         let proposal = match self.read_key::<Proposal>(&proposal_key(id)).await {
             Err(error) if error.kind == AdminErrorKind::Unavailable => return Ok(failed),
             other => other?,
@@ -370,8 +370,8 @@
     match swap {
         Ok(Swap::Done(_)) => Ok(FlowEvent::Written(true)),
         Ok(Swap::Conflict(_)) => Ok(FlowEvent::Written(false)),
-        Err(StoreError::Unavailable { .. }) => Ok(FlowEvent::Failed(Fault::Unavailable)),
-        Err(StoreError::OutcomeUnknown { .. }) => Ok(FlowEvent::Failed(Fault::Lost)),
+        Err(StoreError::Unavailable { .. }) => Ok(FlowEvent::Failed(StoreFault::Unavailable)),
+        Err(StoreError::OutcomeUnknown { .. }) => Ok(FlowEvent::Failed(StoreFault::Lost)),
         Err(error) => Err(error.into()),
     }
 }
--- a/crates/cyclamenwharf/src/control/planner_task.rs
+++ b/crates/cyclamenwharf/src/control/planner_task.rs
@@ -127,7 +127,7 @@
         let now = self.clock.now();
         let view = self.view.load_full();
         let candidate = is_candidate(&self.host, &view.entries);
-        let step = match state.planner.is_deposed() {
+        let step = match state.planner.is_fenced() {
             true => state.lease.on_event(now, LeaseEvent::Expired),
             false => state.lease.on_event(now, LeaseEvent::Tick { candidate }),
         };
--- a/crates/cyclamenwharf/src/forward/exchange_driver.rs
+++ b/crates/cyclamenwharf/src/forward/exchange_driver.rs
@@ -140,7 +140,7 @@
             _ => None,
         };
         if let (Some(placed), Some(fault)) = (&placed, fault) {
-            state.fleet.failed(now, &placed.target, fault);
+            state.fleet.record_failure(now, &placed.target, fault);
             self.context
                 .metrics
                 .record_send(&self.request.service, fault_name(fault));
--- a/crates/cyclamenwharf/src/forward/guards.rs
+++ b/crates/cyclamenwharf/src/forward/guards.rs
@@ -22,7 +22,7 @@
         demand: Demand,
     ) -> Self {
         let now = context.now();
-        context.state().fleet.sent(now, target, demand);
+        context.state().fleet.record_send(now, target, demand);
         if demand.prompt > 0 {
             context.peer_update.notify_one();
         }
@@ -40,7 +40,7 @@
             self.began = true;
             let now = self.context.now();
             let mut state = self.context.state();
-            state.fleet.began(now, &self.target, self.demand);
+            state.fleet.record_start(now, &self.target, self.demand);
         }
     }
 }
@@ -50,7 +50,7 @@
         let now = self.context.now();
         let mut state = self.context.state();
         let fleet = &mut state.fleet;
-        fleet.ended(now, &self.target, self.demand, self.began);
+        fleet.record_end(now, &self.target, self.demand, self.began);
     }
 }
 
