--- a/crates/cw_policy/src/generation/generation_limits.rs
+++ b/crates/cw_policy/src/generation/generation_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cw_macro::data;
-use cw_types::units::DurationText;
+use cw_types::DurationText;
 use serde_with::serde_as;
 
 /// The timeouts and retry limits of a generation.
--- a/crates/cw_policy/src/generation/generation_plan.rs
+++ b/crates/cw_policy/src/generation/generation_plan.rs
@@ -4,11 +4,11 @@
 
 use cw_macro::data;
 use cw_types::AttemptNo;
+use cw_types::DurationText;
 use cw_types::TargetId;
 use cw_types::TokenCount;
 use cw_types::TokenId;
 use cw_types::TokenIndex;
-use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 /// The kind of work that an attempt runs.
--- a/crates/cw_policy/src/membership/relay.rs
+++ b/crates/cw_policy/src/membership/relay.rs
@@ -10,11 +10,11 @@
 use cw_types::TargetId;
 use cw_types::Time;
 use cw_types::VersionName;
-use cw_wire::Demand;
 use cw_wire::Load;
 use cw_wire::LoadUpdate;
 use cw_wire::Pins;
 use cw_wire::ProcessState;
+use cw_wire::QuotaDemand;
 use cw_wire::Report;
 use cw_wire::ReportBatch;
 use cw_wire::SilentTarget;
@@ -153,7 +153,7 @@
     }
 
     /// Replaces this entry's own quota demand.
-    pub fn on_demand(&mut self, now: Time, demand: Demand) {
+    pub fn on_demand(&mut self, now: Time, demand: QuotaDemand) {
         self.demands.set_own(now, demand);
     }
 
--- a/crates/cw_policy/src/quota/peer_demands.rs
+++ b/crates/cw_policy/src/quota/peer_demands.rs
@@ -6,13 +6,13 @@
 use cw_types::HostId;
 use cw_types::Time;
 use cw_types::WorkspaceId;
-use cw_wire::Demand;
+use cw_wire::QuotaDemand;
 
 /// The last demand received from one sender.
 #[derive(Clone, Debug, PartialEq)]
 struct ReceivedDemand {
     at: Time,
-    demand: Demand,
+    demand: QuotaDemand,
 }
 
 /// The last demands received from all senders.
@@ -24,7 +24,7 @@
 impl PeerDemands {
     /// Stores a demand announced at `at`, unless a newer one of its sender is known that is not
     /// stale.
-    pub(super) fn insert(&mut self, at: Time, stale: Duration, demand: Demand) {
+    pub(super) fn insert(&mut self, at: Time, stale: Duration, demand: QuotaDemand) {
         let is_outdated = self.demands.get(&demand.from).is_some_and(|received| {
             received.demand.sequence >= demand.sequence && at.since(received.at) <= stale
         });
--- a/crates/cw_policy/src/quota/quotas.rs
+++ b/crates/cw_policy/src/quota/quotas.rs
@@ -8,7 +8,7 @@
 use cw_types::Quota;
 use cw_types::Time;
 use cw_types::WorkspaceId;
-use cw_wire::Demand;
+use cw_wire::QuotaDemand;
 use rand::Rng;
 use rand::RngExt;
 
@@ -130,7 +130,7 @@
     }
 
     /// Returns the demand of this entry, to be sent several times within [`QuotaSettings::stale`].
-    pub fn demand(&mut self, now: Time) -> Demand {
+    pub fn demand(&mut self, now: Time) -> QuotaDemand {
         let equal = 1.0 / self.entries as f64;
         self.usages.retain(|_, usage| !usage.is_idle(now));
         self.sequence += 1;
@@ -139,7 +139,7 @@
             .usages
             .iter_mut()
             .map(|(id, usage)| (id.clone(), usage.announce(now, equal, settings)));
-        Demand {
+        QuotaDemand {
             from: self.host.clone(),
             sequence: self.sequence,
             entries: 1,
@@ -148,7 +148,7 @@
     }
 
     /// Handles the demand that another entry announced `age` ago.
-    pub fn on_demand(&mut self, now: Time, age: Duration, demand: Demand) {
+    pub fn on_demand(&mut self, now: Time, age: Duration, demand: QuotaDemand) {
         if demand.from != self.host && age <= self.settings.stale {
             let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
             let at = Time(now.0.saturating_sub(micros));
--- a/crates/cw_policy/src/slo/objective.rs
+++ b/crates/cw_policy/src/slo/objective.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cw_macro::data;
-use cw_types::units::DurationText;
+use cw_types::DurationText;
 use serde_with::serde_as;
 use snafu::Snafu;
 
--- a/crates/cw_policy/src/trace/outcome.rs
+++ b/crates/cw_policy/src/trace/outcome.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use cw_macro::data;
+use cw_types::DurationText;
 use cw_types::ErrorKind;
 use cw_types::Ran;
-use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use crate::Step;
--- a/crates/cw_policy/tests/membership.rs
+++ b/crates/cw_policy/tests/membership.rs
@@ -441,8 +441,8 @@
     }
 }
 
-fn demand(host: &HostId) -> cw_wire::Demand {
-    cw_wire::Demand {
+fn demand(host: &HostId) -> cw_wire::QuotaDemand {
+    cw_wire::QuotaDemand {
         from: host.clone(),
         sequence: 1,
         entries: 1,
--- a/crates/cw_policy/tests/quota.rs
+++ b/crates/cw_policy/tests/quota.rs
@@ -11,7 +11,7 @@
 use cw_types::Rate;
 use cw_types::Time;
 use cw_types::WorkspaceId;
-use cw_wire::Demand;
+use cw_wire::QuotaDemand;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
@@ -45,7 +45,7 @@
     to: usize,
     sent: Time,
     arrives: Time,
-    demand: Demand,
+    demand: QuotaDemand,
 }
 
 /// A simulation of several entries and the messages between them.
--- a/crates/cw_types/src/lib.rs
+++ b/crates/cw_types/src/lib.rs
@@ -11,6 +11,7 @@
 
 mod byte_size;
 mod config;
+mod duration_text;
 mod error_kind;
 mod id;
 mod key_hash;
@@ -21,11 +22,12 @@
 mod schema;
 mod snapshot;
 mod time;
-pub mod units;
 
 pub use byte_size::ByteSize;
 pub use config::Config;
 pub use config::ConfigError;
+pub use duration_text::DurationText;
+pub use duration_text::parse_duration;
 pub use error_kind::ErrorKind;
 pub use error_kind::Ran;
 pub use id::AttemptId;
--- a/crates/cw_types/src/record.rs
+++ b/crates/cw_types/src/record.rs
@@ -14,6 +14,7 @@
 use snafu::Snafu;
 
 use crate::AdapterName;
+use crate::DurationText;
 use crate::HostId;
 use crate::KeyHash;
 use crate::ModelName;
@@ -24,7 +25,6 @@
 use crate::VersionName;
 use crate::WorkspaceId;
 use crate::ZoneId;
-use crate::units::DurationText;
 
 /// The kind of a record.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
--- a/crates/cw_types/tests/units.rs
+++ b/crates/cw_types/tests/units.rs
@@ -5,7 +5,7 @@
 use cw_types::ByteSize;
 use cw_types::Rate;
 use cw_types::Time;
-use cw_types::units::parse_duration;
+use cw_types::parse_duration;
 use rstest::rstest;
 
 #[rstest]
--- a/crates/cw_wire/src/lib.rs
+++ b/crates/cw_wire/src/lib.rs
@@ -6,13 +6,12 @@
 //! - [`Dispatch`] requests an agent to run an attempt; the response is a stream of [`Frame`]s.
 //! - [`Attach`], [`Ack`] and [`Cancel`] refer to an attempt only by its id.
 //! - [`Report`] goes from an agent to a relay, [`ReportBatch`] from a relay to the other entries.
-//! - [`Demand`] carries the quota demand of workspaces, by which entries share the quotas.
+//! - [`QuotaDemand`] carries the quota demand of workspaces, by which entries share the quotas.
 //! - [`Order`] goes from the planner to an agent.
 //! - [`OutstandingWork`] goes from a forwarding entry to the other entries.
 
 mod cached_prompt;
 mod codec;
-mod demand;
 mod directory_update;
 mod dispatch;
 mod frame;
@@ -21,6 +20,7 @@
 mod order;
 mod outstanding_work;
 pub mod path;
+mod quota_demand;
 mod report;
 
 pub use cached_prompt::CachedPrompt;
@@ -29,7 +29,6 @@
 pub use codec::WireError;
 pub use codec::decode;
 pub use codec::encode;
-pub use demand::Demand;
 pub use directory_update::DirectoryChange;
 pub use directory_update::DirectorySnapshot;
 pub use directory_update::DirectoryUpdate;
@@ -59,6 +58,7 @@
 pub use order::OrderResponse;
 pub use outstanding_work::OutstandingWork;
 pub use outstanding_work::TargetShare;
+pub use quota_demand::QuotaDemand;
 pub use report::ConfigDelta;
 pub use report::ConfigRequest;
 pub use report::ConfigResponse;
--- a/crates/cw_wire/src/demand.rs
+++ b/crates/cw_wire/src/quota_demand.rs
@@ -9,7 +9,7 @@
 /// The share of its quota that each workspace wants at one entry, or at several entries whose
 /// demand a relay adds up.
 #[data]
-pub struct Demand {
+pub struct QuotaDemand {
     /// The host of the entry, or of the relay.
     pub from: HostId,
     /// The sequence number of the message; the receiver ignores an older one.
--- a/crates/cw_wire/src/report.rs
+++ b/crates/cw_wire/src/report.rs
@@ -18,9 +18,9 @@
 use cw_types::TargetId;
 use cw_types::VersionName;
 
-use crate::Demand;
 use crate::Load;
 use crate::LoadUpdate;
+use crate::QuotaDemand;
 
 /// A hash of the workspace, model and prompt of a request.
 #[data(Copy, Default, Eq, Hash, PartialOrd, Ord)]
@@ -142,7 +142,7 @@
     pub forwarded: bool,
     /// The quota demands at other entries and their ages.
     #[serde(default)]
-    pub demands: Vec<(Duration, Demand)>,
+    pub demands: Vec<(Duration, QuotaDemand)>,
 }
 
 /// A request to a peer for a newer configuration.
--- a/crates/cyclamenwharf/src/control/demand_exchange.rs
+++ b/crates/cyclamenwharf/src/control/demand_exchange.rs
@@ -7,7 +7,7 @@
 
 use cw_types::HostId;
 use cw_types::Time;
-use cw_wire::Demand;
+use cw_wire::QuotaDemand;
 
 /// The quota demand of this entry and those received from other entries.
 #[derive(Debug, Default)]
@@ -17,30 +17,30 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    own: Option<Demand>,
-    received: BTreeMap<HostId, (Time, Demand)>,
+    own: Option<QuotaDemand>,
+    received: BTreeMap<HostId, (Time, QuotaDemand)>,
 }
 
 impl DemandExchange {
     /// Replaces the demand of this entry, which is sent with each round of batches.
-    pub fn set_own(&self, demand: Demand) {
+    pub fn set_own(&self, demand: QuotaDemand) {
         self.lock().own = Some(demand);
     }
 
     /// Takes the demands received since the last call, the newest of each entry, with the time at
     /// which each was stated.
-    pub fn take_received(&self) -> Vec<(Time, Demand)> {
+    pub fn take_received(&self) -> Vec<(Time, QuotaDemand)> {
         let received = std::mem::take(&mut self.lock().received);
         received.into_values().collect()
     }
 
     /// Returns the demand of this entry.
-    pub(super) fn own(&self) -> Option<Demand> {
+    pub(super) fn own(&self) -> Option<QuotaDemand> {
         self.lock().own.clone()
     }
 
     /// Records a demand that another entry stated at `at`.
-    pub(super) fn receive(&self, at: Time, demand: Demand) {
+    pub(super) fn receive(&self, at: Time, demand: QuotaDemand) {
         self.lock()
             .received
             .insert(demand.from.clone(), (at, demand));
--- a/crates/cyclamenwharf/src/forward/forward_settings.rs
+++ b/crates/cyclamenwharf/src/forward/forward_settings.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cw_macro::data;
+use cw_types::DurationText;
 use cw_types::HostId;
 use cw_types::ZoneId;
-use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use crate::LogSettings;
--- a/crates/cyclamenwharf/src/settings/agent_settings.rs
+++ b/crates/cyclamenwharf/src/settings/agent_settings.rs
@@ -6,12 +6,12 @@
 
 use cw_macro::data;
 use cw_types::ByteSize;
+use cw_types::DurationText;
 use cw_types::HostId;
 use cw_types::RegionId;
 use cw_types::TargetId;
 use cw_types::TargetKind;
 use cw_types::ZoneId;
-use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use super::LogSettings;
--- a/crates/cyclamenwharf/src/settings/entry_settings.rs
+++ b/crates/cyclamenwharf/src/settings/entry_settings.rs
@@ -8,10 +8,10 @@
 use cw_policy::routing::Policy;
 use cw_policy::slo::Objectives;
 use cw_types::ByteSize;
+use cw_types::DurationText;
 use cw_types::HostId;
 use cw_types::RegionId;
 use cw_types::ZoneId;
-use cw_types::units::DurationText;
 use serde_with::serde_as;
 
 use super::LogSettings;
--- a/crates/cyclamenwharfctl/src/slo/report.rs
+++ b/crates/cyclamenwharfctl/src/slo/report.rs
@@ -11,7 +11,7 @@
 use cw_policy::slo::Condition;
 use cw_policy::slo::Objective;
 use cw_policy::slo::Window;
-use cw_types::units::DurationText;
+use cw_types::DurationText;
 use serde_with::serde_as;
 
 use super::EntryMetrics;
