--- a/crates/cw_store/src/etcd/gateway.rs
+++ b/crates/cw_store/src/etcd/gateway.rs
@@ -34,8 +34,8 @@
 use super::watch_reader::event_stream;
 use crate::KeyValueStore;
 use crate::LeaseId;
-use crate::ModRevision;
 use crate::StoreError;
+use crate::StoreRevision;
 use crate::Swap;
 use crate::Versioned;
 use crate::WatchEvent;
@@ -140,7 +140,7 @@
     async fn transact(
         &self,
         key: &str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         operation: Operation,
     ) -> Result<Swap, StoreError> {
         let read = RangeRequest::single_key(key);
@@ -153,7 +153,7 @@
             .call("/v3/kv/txn", &request, RetrySafety::Unsafe)
             .await?;
         if response.succeeded {
-            return Ok(Swap::Done(ModRevision(response.header.revision)));
+            return Ok(Swap::Done(StoreRevision(response.header.revision)));
         }
         let found = response
             .responses
@@ -214,7 +214,7 @@
     fn modified<'a>(
         &'a self,
         key: &'a str,
-    ) -> BoxFuture<'a, Result<Option<ModRevision>, StoreError>> {
+    ) -> BoxFuture<'a, Result<Option<StoreRevision>, StoreError>> {
         let request = RangeRequest {
             keys_only: true,
             ..RangeRequest::single_key(key)
@@ -236,7 +236,7 @@
     fn swap<'a>(
         &'a self,
         key: &'a str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         value: Bytes,
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
@@ -251,7 +251,7 @@
     fn remove<'a>(
         &'a self,
         key: &'a str,
-        expected: ModRevision,
+        expected: StoreRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
         let delete = RangeRequest::single_key(key);
         self.transact(key, Some(expected), Operation::Delete(delete))
@@ -300,7 +300,7 @@
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
-        after: ModRevision,
+        after: StoreRevision,
     ) -> BoxFuture<'a, Result<BoxStream<'static, Result<WatchEvent, StoreError>>, StoreError>> {
         async move {
             let request = WatchRequest {
--- a/crates/cw_store/src/etcd/json.rs
+++ b/crates/cw_store/src/etcd/json.rs
@@ -13,8 +13,8 @@
 use serde_with::serde_as;
 use serde_with::skip_serializing_none;
 
-use crate::ModRevision;
 use crate::StoreError;
+use crate::StoreRevision;
 use crate::Versioned;
 
 /// The header of every response.
@@ -51,8 +51,8 @@
         Ok(Versioned {
             key: self.key()?,
             value: Bytes::from(self.value),
-            created: ModRevision(self.create_revision),
-            modified: ModRevision(self.mod_revision),
+            created: StoreRevision(self.create_revision),
+            modified: StoreRevision(self.mod_revision),
         })
     }
 }
@@ -100,7 +100,7 @@
 
 impl Compare {
     /// Requires that the key was last changed at `expected`, or with `None` that it does not exist.
-    pub(super) fn new(key: &str, expected: Option<ModRevision>) -> Self {
+    pub(super) fn new(key: &str, expected: Option<StoreRevision>) -> Self {
         Self {
             key: encode_base64(key),
             result: "EQUAL",
--- a/crates/cw_store/src/etcd/watch_reader.rs
+++ b/crates/cw_store/src/etcd/watch_reader.rs
@@ -15,8 +15,8 @@
 use super::json::EventType;
 use super::json::Streamed;
 use super::json::WatchResponse;
-use crate::ModRevision;
 use crate::StoreError;
+use crate::StoreRevision;
 use crate::WatchEvent;
 use crate::http_client::parse_json;
 
@@ -103,7 +103,7 @@
             return;
         }
         if message.events.is_empty() {
-            let revision = ModRevision(message.header.revision);
+            let revision = StoreRevision(message.header.revision);
             self.pending.push_back(Ok(WatchEvent::Progress(revision)));
         }
         self.pending
@@ -120,7 +120,7 @@
         EventType::Put => event.kv.into_versioned().map(WatchEvent::Put),
         EventType::Delete => Ok(WatchEvent::Deleted {
             key: event.kv.key()?,
-            revision: ModRevision(event.kv.mod_revision),
+            revision: StoreRevision(event.kv.mod_revision),
         }),
     }
 }
--- a/crates/cw_store/src/key_value_store.rs
+++ b/crates/cw_store/src/key_value_store.rs
@@ -12,7 +12,7 @@
 /// A revision of the key-value service, which increases with each change.
 #[data(Copy, Default, Eq, Hash, PartialOrd, Ord)]
 #[serde(transparent)]
-pub struct ModRevision(pub i64);
+pub struct StoreRevision(pub i64);
 
 /// The id of a lease: the service deletes the keys attached to a lease when it expires.
 #[data(Copy, Eq, Hash, PartialOrd, Ord)]
@@ -27,16 +27,16 @@
     /// The value.
     pub value: Bytes,
     /// The revision at which the key was created, since its last deletion.
-    pub created: ModRevision,
+    pub created: StoreRevision,
     /// The revision at which the key was last changed.
-    pub modified: ModRevision,
+    pub modified: StoreRevision,
 }
 
 /// The outcome of a compare-and-swap.
 #[data(Eq)]
 pub enum Swap {
     /// The value was written at this revision.
-    Done(ModRevision),
+    Done(StoreRevision),
     /// The key was not at the expected revision; this is its current value, if it exists.
     Conflict(Option<Versioned>),
 }
@@ -51,10 +51,10 @@
         /// The key.
         key: String,
         /// The revision of the deletion.
-        revision: ModRevision,
+        revision: StoreRevision,
     },
     /// The watch is alive; the service is at this revision and reports no change.
-    Progress(ModRevision),
+    Progress(StoreRevision),
 }
 
 /// The error of a call to a service.
@@ -97,7 +97,7 @@
     fn modified<'a>(
         &'a self,
         key: &'a str,
-    ) -> BoxFuture<'a, Result<Option<ModRevision>, StoreError>> {
+    ) -> BoxFuture<'a, Result<Option<StoreRevision>, StoreError>> {
         async move { Ok(self.get(key).await?.map(|found| found.modified)) }.boxed()
     }
 
@@ -117,7 +117,7 @@
     fn snapshot<'a>(
         &'a self,
         prefix: &'a str,
-    ) -> BoxFuture<'a, Result<(Vec<Versioned>, ModRevision), StoreError>> {
+    ) -> BoxFuture<'a, Result<(Vec<Versioned>, StoreRevision), StoreError>> {
         async move {
             let found = self.list(prefix).await?;
             let newest = found.iter().map(|item| item.modified).max();
@@ -131,7 +131,7 @@
     fn swap<'a>(
         &'a self,
         key: &'a str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         value: Bytes,
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>>;
@@ -140,7 +140,7 @@
     fn remove<'a>(
         &'a self,
         key: &'a str,
-        expected: ModRevision,
+        expected: StoreRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>>;
 
     /// Creates a lease that expires after `ttl` unless it is kept alive.
@@ -156,6 +156,6 @@
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
-        after: ModRevision,
+        after: StoreRevision,
     ) -> BoxFuture<'a, Result<BoxStream<'static, Result<WatchEvent, StoreError>>, StoreError>>;
 }
--- a/crates/cw_store/tests/etcd_gateway.rs
+++ b/crates/cw_store/tests/etcd_gateway.rs
@@ -10,8 +10,8 @@
 use cw_store::EtcdGateway;
 use cw_store::KeyValueStore;
 use cw_store::LeaseId;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_store::WatchEvent;
 use futures::StreamExt;
@@ -75,7 +75,7 @@
 
 async fn swap(gateways: Vec<SocketAddr>) -> Result<Swap, StoreError> {
     let gateway = EtcdGateway::new(gateways);
-    let expected = Some(ModRevision(7));
+    let expected = Some(StoreRevision(7));
     gateway.swap("k", expected, Bytes::from("v"), None).await
 }
 
@@ -112,7 +112,7 @@
     let outcome = swap(vec![first.address, second.address]).await;
 
     match tries_next {
-        true => assert_eq!(outcome, Ok(Swap::Done(ModRevision(8)))),
+        true => assert_eq!(outcome, Ok(Swap::Done(StoreRevision(8)))),
         false => assert!(matches!(outcome, Err(StoreError::OutcomeUnknown { .. }))),
     }
     assert_eq!(first.calls(), 1);
@@ -131,8 +131,8 @@
     gateway.get("k").await.expect("a response");
 
     assert_eq!(found.value, "v");
-    assert_eq!(found.modified, ModRevision(7));
-    assert_eq!(found.created, ModRevision(3));
+    assert_eq!(found.modified, StoreRevision(7));
+    assert_eq!(found.created, StoreRevision(3));
     assert_eq!(
         first.calls(),
         1,
@@ -151,7 +151,7 @@
     let Ok(Swap::Conflict(Some(found))) = outcome else {
         panic!("expected a conflict, found {outcome:?}");
     };
-    assert_eq!(found.modified, ModRevision(9));
+    assert_eq!(found.modified, StoreRevision(9));
 }
 
 #[rstest]
@@ -180,11 +180,11 @@
     let server = FakeGateway::start(http_response("200 OK", lines)).await;
     let gateway = EtcdGateway::new(vec![server.address]);
 
-    let stream = gateway.watch("k", ModRevision(4)).await.expect("a watch");
+    let stream = gateway.watch("k", StoreRevision(4)).await.expect("a watch");
     let items: Vec<_> = stream.collect().await;
 
     assert_eq!(items.len(), 4);
-    assert_eq!(items[0], Ok(WatchEvent::Progress(ModRevision(4))));
+    assert_eq!(items[0], Ok(WatchEvent::Progress(StoreRevision(4))));
     assert!(matches!(&items[1], Ok(WatchEvent::Put(put)) if put.value == "v"));
     assert!(matches!(&items[2], Ok(WatchEvent::Deleted { .. })));
     assert!(matches!(&items[3], Err(StoreError::Unavailable { .. })));
--- a/crates/cw_testkit/tests/key_value.rs
+++ b/crates/cw_testkit/tests/key_value.rs
@@ -8,8 +8,8 @@
 use common::soon;
 use cw_store::EtcdGateway;
 use cw_store::KeyValueStore as _;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_store::WatchEvent;
 use cw_testkit::KeyValue;
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn keys_of_a_lapsed_lease_vanish_and_watches_tell() {
     let (_service, client) = pair().await;
-    let mut events = client.watch("k", ModRevision(0)).await.expect("it is up");
+    let mut events = client.watch("k", StoreRevision(0)).await.expect("it is up");
     let lease = client
         .grant(Duration::from_secs(1))
         .await
--- a/crates/cyclamenwharf/src/control/admin/change_service.rs
+++ b/crates/cyclamenwharf/src/control/admin/change_service.rs
@@ -21,8 +21,8 @@
 use cw_policy::configuration::in_use;
 use cw_policy::configuration::reject;
 use cw_store::KeyValueStore;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_types::Change;
 use cw_types::ChangeId;
@@ -260,7 +260,7 @@
     async fn read_for_accept(
         &self,
         id: &ChangeId,
-    ) -> Result<(FlowEvent, (Option<ModRevision>, Option<ModRevision>)), ErrorMessage> {
+    ) -> Result<(FlowEvent, (Option<StoreRevision>, Option<StoreRevision>)), ErrorMessage> {
         let failed = (FlowEvent::Failed(Fault::Unavailable), (None, None));
         let proposal = match self.read_key::<Proposal>(&proposal_key(id)).await {
             Err(error) if error.kind == AdminErrorKind::Unavailable => return Ok(failed),
--- a/crates/cyclamenwharf/src/control/admin/stored.rs
+++ b/crates/cyclamenwharf/src/control/admin/stored.rs
@@ -1,8 +1,8 @@
 //! Access to JSON values in the key-value service.
 
 use bytes::Bytes;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -14,7 +14,7 @@
 /// A value and the revision at which it was last written; `None` if the key does not exist.
 pub(super) struct Stored<T> {
     pub(super) value: T,
-    pub(super) modified: Option<ModRevision>,
+    pub(super) modified: Option<StoreRevision>,
 }
 
 impl ChangeService {
@@ -39,7 +39,7 @@
     pub(super) async fn write_key<T: Serialize>(
         &self,
         key: &str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         value: &T,
     ) -> Result<Swap, StoreError> {
         let value = serde_json::to_vec(value).map_err(|error| StoreError::Protocol {
--- a/crates/cyclamenwharf/src/control/counting_key_value.rs
+++ b/crates/cyclamenwharf/src/control/counting_key_value.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use cw_store::KeyValueStore;
 use cw_store::LeaseId;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_store::Versioned;
 use cw_store::WatchEvent;
@@ -41,7 +41,7 @@
     fn modified<'a>(
         &'a self,
         key: &'a str,
-    ) -> BoxFuture<'a, Result<Option<ModRevision>, StoreError>> {
+    ) -> BoxFuture<'a, Result<Option<StoreRevision>, StoreError>> {
         self.count("modified");
         self.inner.modified(key)
     }
@@ -54,7 +54,7 @@
     fn swap<'a>(
         &'a self,
         key: &'a str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         value: Bytes,
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
@@ -65,7 +65,7 @@
     fn remove<'a>(
         &'a self,
         key: &'a str,
-        expected: ModRevision,
+        expected: StoreRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
         self.count("remove");
         self.inner.remove(key, expected)
@@ -89,7 +89,7 @@
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
-        after: ModRevision,
+        after: StoreRevision,
     ) -> BoxFuture<'a, Result<BoxStream<'static, Result<WatchEvent, StoreError>>, StoreError>> {
         self.count("watch");
         self.inner.watch(prefix, after)
--- a/crates/cyclamenwharf/src/control/store_task.rs
+++ b/crates/cyclamenwharf/src/control/store_task.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cw_store::KeyValueStore;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Versioned;
 use cw_store::WatchEvent;
 use cw_types::Snapshot;
@@ -30,7 +30,7 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
 /// The revision that starts a watch at the current one.
-const FROM_NOW: ModRevision = ModRevision(-1);
+const FROM_NOW: StoreRevision = StoreRevision(-1);
 
 /// How this process gets the configuration in the key-value service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -94,7 +94,7 @@
         }
     }
 
-    async fn read(&self) -> Result<Option<ModRevision>, StoreError> {
+    async fn read(&self) -> Result<Option<StoreRevision>, StoreError> {
         let found = self.key_value.get(CONFIG_KEY).await?;
         self.send_snapshot(found.as_ref()).await;
         Ok(found.map(|found| found.modified))
@@ -102,7 +102,7 @@
 
     /// Sends a change of the key to the control state, and returns its revision. Returns `None` if
     /// the event does not concern the key.
-    async fn on_event(&self, event: WatchEvent) -> Option<ModRevision> {
+    async fn on_event(&self, event: WatchEvent) -> Option<StoreRevision> {
         match event {
             WatchEvent::Put(versioned) if versioned.key == CONFIG_KEY => {
                 self.send_snapshot(Some(&versioned)).await;
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -14,8 +14,8 @@
 use cw_policy::StoredAnswer;
 use cw_store::KeyValueStore;
 use cw_store::LeaseId;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_store::Versioned;
 use cw_types::ErrorKind;
@@ -105,7 +105,7 @@
         lease: LeaseId,
     ) -> Result<ClaimEvent, ErrorKind> {
         let value = serde_json::to_vec(claim).map_err(|_| ErrorKind::Internal)?;
-        let expected = expected.map(|revision| ModRevision(revision.0));
+        let expected = expected.map(|revision| StoreRevision(revision.0));
         let swap = self.store.swap(key, expected, value.into(), Some(lease));
         match swap.await {
             Ok(Swap::Done(revision)) => Ok(ClaimEvent::Written(ClaimRevision(revision.0))),
--- a/crates/cyclamenwharf/src/forward/directory_sync.rs
+++ b/crates/cyclamenwharf/src/forward/directory_sync.rs
@@ -9,8 +9,8 @@
 use cw_policy::budget::Backoff;
 use cw_store::HttpClient;
 use cw_store::KeyValueStore;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Versioned;
 use cw_store::WatchEvent;
 use cw_types::TargetId;
@@ -169,7 +169,7 @@
 
     // ---- Data of the service ----
 
-    fn apply_snapshot(&self, items: &[Versioned], revision: ModRevision) {
+    fn apply_snapshot(&self, items: &[Versioned], revision: StoreRevision) {
         if self.topic == Topic::Config {
             items.iter().for_each(|item| self.apply_config(item));
             return;
@@ -325,7 +325,7 @@
         set_target_count(&self.context, state.fleet.len());
     }
 
-    fn apply_delete(&self, key: &str, revision: ModRevision) {
+    fn apply_delete(&self, key: &str, revision: StoreRevision) {
         if self.topic == Topic::Targets {
             self.apply_change(key, None, revision);
         }
@@ -333,7 +333,7 @@
 
     /// Applies a change of the targets that this entry's watch delivered, and announces it to the
     /// other entries.
-    fn apply_change(&self, key: &str, value: Option<Bytes>, revision: ModRevision) {
+    fn apply_change(&self, key: &str, value: Option<Bytes>, revision: StoreRevision) {
         let now = self.context.now();
         let mut state = self.context.state();
         state
--- a/crates/cyclamenwharf/src/forward/prompt_location_store.rs
+++ b/crates/cyclamenwharf/src/forward/prompt_location_store.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cw_store::KeyValueStore;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_wire::CachedPrompt;
 use cw_wire::decode;
@@ -103,7 +103,7 @@
     async fn write(
         &self,
         prompts: &[CachedPrompt],
-        revision: &mut Option<ModRevision>,
+        revision: &mut Option<StoreRevision>,
     ) -> Result<(), StoreError> {
         let value = encode(&prompts).map_err(|error| StoreError::Protocol {
             message: error.to_string(),
--- a/crates/cyclamenwharf/tests/entry_kit/memory_store.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/memory_store.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use cw_store::KeyValueStore;
 use cw_store::LeaseId;
-use cw_store::ModRevision;
 use cw_store::StoreError;
+use cw_store::StoreRevision;
 use cw_store::Swap;
 use cw_store::Versioned;
 use cw_store::WatchEvent;
@@ -69,14 +69,14 @@
         }
     }
 
-    fn write(&self, key: &str, expected: Option<ModRevision>, value: Bytes) -> Swap {
+    fn write(&self, key: &str, expected: Option<StoreRevision>, value: Bytes) -> Swap {
         let mut inner = self.inner();
         let stored = inner.values.get(key).cloned();
         if stored.as_ref().map(|stored| stored.modified) != expected {
             return Swap::Conflict(stored);
         }
         inner.revision += 1;
-        let revision = ModRevision(inner.revision);
+        let revision = StoreRevision(inner.revision);
         let versioned = Versioned {
             key: key.to_owned(),
             value,
@@ -104,7 +104,7 @@
     fn swap<'a>(
         &'a self,
         key: &'a str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         value: Bytes,
         _lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
@@ -128,7 +128,7 @@
     fn remove<'a>(
         &'a self,
         _key: &'a str,
-        _expected: ModRevision,
+        _expected: StoreRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
         async { Ok(Swap::Conflict(None)) }.boxed()
     }
@@ -148,7 +148,7 @@
     fn watch<'a>(
         &'a self,
         _prefix: &'a str,
-        _after: ModRevision,
+        _after: StoreRevision,
     ) -> BoxFuture<'a, Result<BoxStream<'static, Result<WatchEvent, StoreError>>, StoreError>> {
         async { Err(StoreError::LeaseExpired) }.boxed()
     }
