--- a/crates/cw_store/src/dialect.rs
+++ b/crates/cw_store/src/dialect.rs
@@ -55,9 +55,9 @@
     pub last_event: Option<u64>,
     /// The version of the model weights that generated the first part of the response.
     pub weight_version: Option<u64>,
-    /// The address that the target sends a copy of the run to.
+    /// The address to which the target sends a copy of the run.
     pub copy_address: Option<SocketAddr>,
-    /// The copy that the target resumes the run from.
+    /// The copy from which the target resumes the run.
     pub resume_from: Option<&'a CopyName>,
 }
 
@@ -90,13 +90,14 @@
     ///
     /// # Errors
     ///
-    /// Returns which header is missing or has an invalid value.
+    /// Fails with a message that names the missing or invalid header.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, String>;
 
     /// Builds the headers of a request to a target from the caller's headers and `send`.
     fn target_headers(&self, caller: &HeaderMap, send: &TargetRequestHead<'_>) -> HeaderMap;
 
-    /// Builds the request that makes a target copy the memory of its run `id` to another one.
+    /// Builds the request that makes a target copy the memory of its run `id` to the target at
+    /// `to`.
     fn copy_request(&self, id: &str, to: SocketAddr) -> Request<Bytes>;
 
     /// Builds the request that makes a target release the copy `name`, which is no longer needed.
@@ -106,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why no copy was made, or why its name cannot be sent to targets.
+    /// Fails with the reason why no copy was made, or why its name cannot be sent to targets.
     fn parse_copy_response(&self, status: StatusCode, body: &[u8]) -> Result<String, String>;
 
     /// Parses the headers of a target's response.
@@ -133,13 +134,13 @@
     ///
     /// # Errors
     ///
-    /// Returns which part is invalid.
+    /// Fails with a message that names the invalid part.
     fn parse_config(&self, value: &[u8]) -> Result<ForwardConfig, String>;
 
     /// Parses the directory's listing of a target.
     ///
     /// # Errors
     ///
-    /// Returns which part is invalid; such a listing describes no target.
+    /// Fails with a message that names the invalid part; the listing then describes no target.
     fn parse_listing(&self, id: &str, value: &[u8]) -> Result<Listing, String>;
 }
--- a/crates/cw_store/src/etcd/gateway.rs
+++ b/crates/cw_store/src/etcd/gateway.rs
@@ -1,4 +1,4 @@
-//! A key-value client for the gateway.
+//! The [`KeyValueStore`] client for etcd's JSON gateways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 use crate::http_client::HttpResponse;
 use crate::http_client::parse_json;
 
-/// The gRPC status code `NOT_FOUND`.
+/// The gRPC status code `NOT_FOUND`, with which etcd answers a call for an unknown lease.
 const GRPC_NOT_FOUND: i32 = 5;
 
 /// Phrases in etcd's error messages that leave open whether a write took effect.
@@ -58,7 +58,7 @@
     Unsafe,
 }
 
-/// A client for a key-value service behind one or more JSON gateways of etcd.
+/// A client for an etcd cluster with one or more JSON gateways.
 ///
 /// A read is retried at the next gateway after any connection or service failure, a write only if
 /// it had no effect.
@@ -121,7 +121,7 @@
                 Err(error) => return Err(error),
             }
         }
-        // No gateway responded, so the next call starts with another gateway than this one.
+        // Every gateway failed, so the next call starts with a different one.
         self.preferred.store(first + 1, Ordering::Relaxed);
         Err(last_error)
     }
@@ -183,7 +183,8 @@
         })
 }
 
-/// Returns the body of a successful response, or an error that says if the call had an effect.
+/// Returns the body of a successful response, or an error that tells whether the call may have had
+/// an effect.
 fn check_status(response: HttpResponse) -> Result<Bytes, StoreError> {
     if response.status == StatusCode::OK {
         return Ok(response.body);
--- a/crates/cw_store/src/etcd/json.rs
+++ b/crates/cw_store/src/etcd/json.rs
@@ -84,7 +84,7 @@
     pub(super) kvs: Vec<KeyValuePair>,
 }
 
-/// The condition of a transaction on its key.
+/// The condition of a transaction on the revision of its key.
 #[serde_as]
 #[skip_serializing_none]
 #[derive(Debug, Serialize)]
@@ -99,7 +99,8 @@
 }
 
 impl Compare {
-    /// Requires that the key was last changed at `expected`, or with `None` that it does not exist.
+    /// Requires that the key was last changed at `expected`. If `expected` is `None`, the key must
+    /// not exist.
     pub(super) fn new(key: &str, expected: Option<StoreRevision>) -> Self {
         Self {
             key: encode_base64(key),
--- a/crates/cw_store/src/http_client.rs
+++ b/crates/cw_store/src/http_client.rs
@@ -19,10 +19,10 @@
 
 use crate::StoreError;
 
-/// The limit for establishing a connection.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The default limit for a whole call.
+/// The default timeout of a call, which for a streamed response ends when its headers arrive.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The status and the body of a response.
@@ -54,7 +54,7 @@
 }
 
 impl HttpClient {
-    /// Returns a client that uses the same connection pool and limits each call to `timeout`.
+    /// Returns a client that uses the same connection pool and ends each call after `timeout`.
     #[must_use]
     pub fn with_timeout(&self, timeout: Duration) -> Self {
         Self {
@@ -67,8 +67,9 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] if the call had no effect, [`StoreError::OutcomeUnknown`] if it
-    /// may have had one.
+    /// Fails with [`StoreError::Unavailable`] if the service cannot be reached or responds with
+    /// another status, with [`StoreError::OutcomeUnknown`] if no complete response arrives, and
+    /// with [`StoreError::Protocol`] if the body is not JSON of the type `T`.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -87,8 +88,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] if the call had no effect, [`StoreError::OutcomeUnknown`] if it
-    /// may have had one.
+    /// Fails with [`StoreError::Unavailable`] if the call had no effect, and with
+    /// [`StoreError::OutcomeUnknown`] if it may have had one.
     pub async fn call(
         &self,
         method: Method,
@@ -116,8 +117,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] if the call had no effect, [`StoreError::OutcomeUnknown`] if it
-    /// may have had one.
+    /// Fails with [`StoreError::Unavailable`] if the call had no effect, and with
+    /// [`StoreError::OutcomeUnknown`] if it may have had one.
     pub async fn post_streaming(
         &self,
         address: SocketAddr,
@@ -176,7 +177,7 @@
 ///
 /// # Errors
 ///
-/// [`StoreError::Protocol`] if the body is not JSON of the type `T`.
+/// Fails with [`StoreError::Protocol`] if the body is not JSON of the type `T`.
 pub fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     serde_json::from_slice(body).map_err(|error| StoreError::Protocol {
         message: error.to_string(),
--- a/crates/cw_store/src/key_value_store.rs
+++ b/crates/cw_store/src/key_value_store.rs
@@ -60,13 +60,14 @@
 /// The error of a call to a service.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum StoreError {
-    /// The call did not reach the service or was rejected by it, so that it had no effect.
+    /// The call did not reach the service or was rejected by it, so it had no effect.
     #[snafu(display("the service is unavailable: {message}"))]
     Unavailable {
         /// The cause.
         message: String,
     },
-    /// No complete response arrived, so that the call may have taken effect.
+    /// The call may have taken effect: no complete response arrived, or the service reported an
+    /// error that leaves the outcome open.
     #[snafu(display("the outcome of the call is unknown: {message}"))]
     OutcomeUnknown {
         /// The cause.
@@ -89,7 +90,7 @@
 
 /// A key-value service with compare-and-swap, leases and watches.
 pub trait KeyValueStore: Send + Sync {
-    /// Returns the value of a key, `None` if the key does not exist.
+    /// Returns the value of a key, or `None` if the key does not exist.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<Versioned>, StoreError>>;
 
     /// Returns the revision at which a key was last changed, without transferring the value if the
@@ -126,8 +127,8 @@
         .boxed()
     }
 
-    /// Writes `value` if the key was last changed at `expected`, or with `None` if it does not
-    /// exist, and attaches the key to `lease`.
+    /// Writes `value` if the key was last changed at `expected`, and attaches the key to `lease`.
+    /// If `expected` is `None`, the key must not exist.
     fn swap<'a>(
         &'a self,
         key: &'a str,
--- a/crates/cw_types/src/duration_text.rs
+++ b/crates/cw_types/src/duration_text.rs
@@ -1,4 +1,4 @@
-//! `serde_with` adapters for quantities that are written with a unit.
+//! Durations, written with a unit.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use serde_with::DeserializeAs;
 use serde_with::SerializeAs;
 
-/// Serialises a `Duration` as text such as `"250ms"`, `"4s"` or `"1h 30m"`.
+/// A `serde_with` adapter between a `Duration` and text such as `"250ms"`, `"4s"` or `"1h 30m"`.
 #[derive(Clone, Copy, Debug)]
 pub struct DurationText;
 
--- a/crates/cw_types/src/lib.rs
+++ b/crates/cw_types/src/lib.rs
@@ -4,9 +4,11 @@
 //!
 //! - [`TargetId`], [`WorkspaceId`], [`GenerationId`] and similar newtypes for names and numbers.
 //! - [`Time`]: the current time, which every decision function takes as an argument.
-//! - [`ByteSize`], [`Rate`] and the [`units`] adapters: quantities that are written with a unit.
+//! - [`ByteSize`], [`Rate`] and the adapter [`DurationText`]: quantities that are written with a
+//!   unit.
 //! - [`Record`] and [`Snapshot`]: the configuration that operators accept, and [`Config`], its
 //!   typed view.
+//! - [`convert`]: conversions of records between schema versions.
 //! - [`ErrorKind`]: the closed set of errors in responses, each with [`Ran`], its execution status.
 
 mod byte_size;
--- a/crates/cw_types/tests/record.rs
+++ b/crates/cw_types/tests/record.rs
@@ -35,7 +35,7 @@
     let body = json!({"rank": 3, "colour": "blue"});
     let before = snapshot(vec![record(RecordKind::Priority, "fast", body)]);
 
-    let text = serde_json::to_string(&before).expect("a snapshot can be serialised");
+    let text = serde_json::to_string(&before).expect("a snapshot serializes to JSON");
     let after: Snapshot = serde_json::from_str(&text).expect("the JSON text is a snapshot");
 
     assert_eq!(after, before);
--- a/crates/cw_wire/src/dispatch.rs
+++ b/crates/cw_wire/src/dispatch.rs
@@ -120,8 +120,9 @@
 
 /// A request to an agent to run an attempt. A repeat attaches to the attempt if it already runs.
 ///
-/// Once an entry has sent a repeat, it ignores the responses to earlier dispatches of the attempt:
-/// an agent that restarted between the two treats a delayed first dispatch as the only one.
+/// Once an entry has sent a repeat, it ignores the responses to earlier dispatches of the attempt.
+/// If the agent restarts between the two, it no longer knows the attempt, and it answers a first
+/// dispatch that arrives late as if that were the only one.
 #[data]
 pub struct Dispatch {
     /// The id of the attempt.
--- a/crates/cw_wire/src/frame.rs
+++ b/crates/cw_wire/src/frame.rs
@@ -47,7 +47,7 @@
     Cancelled,
     /// The attempt waited longer than [`crate::Dispatch::patience`].
     Expired,
-    /// The agent does not know the generation or attempt.
+    /// The agent does not know the generation or attempt, or the dispatch is too old to accept.
     Unknown,
 }
 
@@ -73,7 +73,7 @@
 pub enum Frame {
     /// The attempt is admitted: the target has received it or receives it immediately.
     Accepted {
-        /// The number of prompt tokens that the target had cached, if known.
+        /// The number of prompt tokens that the target had cached, which is 0 for a plain service.
         cached: TokenCount,
         /// The load of the target.
         load: Load,
--- a/crates/cw_wire/src/lib.rs
+++ b/crates/cw_wire/src/lib.rs
@@ -7,8 +7,10 @@
 //! - [`Attach`], [`Ack`] and [`Cancel`] refer to an attempt only by its id.
 //! - [`Report`] goes from an agent to a relay, [`ReportBatch`] from a relay to the other entries.
 //! - [`QuotaDemand`] carries the quota demand of workspaces, by which entries share the quotas.
+//! - [`ConfigRequest`] asks a peer for a newer configuration.
 //! - [`Order`] goes from the planner to an agent.
-//! - [`OutstandingWork`] goes from a forwarding entry to the other entries.
+//! - [`OutstandingWork`] goes from a forwarding entry to the other entries, with a
+//!   [`DirectoryUpdate`] if the entry watches the directory.
 
 mod cached_prompt;
 mod codec;
--- a/crates/cw_wire/src/load_update.rs
+++ b/crates/cw_wire/src/load_update.rs
@@ -15,8 +15,8 @@
 /// Prompt tokens per step of [`LoadUpdate::prefill`].
 const PREFILL_STEP_TOKENS: u64 = 256;
 
-/// Microseconds per unit of [`LoadUpdate::step`].
-const STEP_MICROS: u64 = 1000;
+/// Microseconds per unit of [`LoadUpdate::step`], which is the inter-token latency.
+const LATENCY_UNIT_MICROS: u64 = 1000;
 
 /// Milliseconds per step of [`LoadUpdate::age`].
 const AGE_STEP_MILLIS: u64 = 10;
@@ -98,23 +98,23 @@
     pub fn new(target: &TargetId, sequence: u64, age: Duration, load: &Load) -> Self {
         let capacity = load.capacity.0.max(1);
         let cached = load.cached.0.saturating_mul(CACHE_STEPS) / capacity;
-        let step = load.step.as_micros() as u64 / STEP_MICROS;
+        let step = load.step.as_micros() as u64 / LATENCY_UNIT_MICROS;
         Self {
             target: TargetHash::from(target),
             sequence,
-            age: saturate(age.as_millis() as u64 / AGE_STEP_MILLIS),
+            age: to_u32_saturating(age.as_millis() as u64 / AGE_STEP_MILLIS),
             running: load.running,
             waiting: load.waiting,
             limit: load.limit,
             cached: cached.min(CACHE_STEPS) as u8,
-            prefill: saturate(load.prefill.0 / PREFILL_STEP_TOKENS),
+            prefill: to_u32_saturating(load.prefill.0 / PREFILL_STEP_TOKENS),
             step: u16::try_from(step).unwrap_or(u16::MAX),
         }
     }
 
     /// Sets the age of the report.
     pub fn set_age(&mut self, age: Duration) {
-        self.age = saturate(age.as_millis() as u64 / AGE_STEP_MILLIS);
+        self.age = to_u32_saturating(age.as_millis() as u64 / AGE_STEP_MILLIS);
     }
 
     /// Returns the age of the report.
@@ -137,11 +137,11 @@
             cached: TokenCount(capacity.0 * u64::from(self.cached) / CACHE_STEPS),
             capacity,
             prefill: TokenCount(u64::from(self.prefill) * PREFILL_STEP_TOKENS),
-            step: Duration::from_micros(u64::from(self.step) * STEP_MICROS),
+            step: Duration::from_micros(u64::from(self.step) * LATENCY_UNIT_MICROS),
         }
     }
 }
 
-fn saturate(number: u64) -> u32 {
+fn to_u32_saturating(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/cw_wire/src/order.rs
+++ b/crates/cw_wire/src/order.rs
@@ -6,7 +6,7 @@
 use cw_types::ModelName;
 use cw_types::VersionName;
 
-/// The operation that an order requests of an engine.
+/// The operation that an order requests from an engine.
 #[data(Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
--- a/crates/cyclamenwharfctl/src/admin_client.rs
+++ b/crates/cyclamenwharfctl/src/admin_client.rs
@@ -32,7 +32,7 @@
 /// The environment variable with the entries' admin addresses, separated by commas.
 const ADMIN_VARIABLE: &str = "CYCLAMENWHARF_ADMIN";
 
-/// The limit for one call to an entry.
+/// The timeout of one call to an entry.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often each entry is tried; every call is safe to repeat, even if its outcome is unknown.
--- a/crates/cyclamenwharfctl/src/slo/entry_metrics.rs
+++ b/crates/cyclamenwharfctl/src/slo/entry_metrics.rs
@@ -19,7 +19,7 @@
 use prometheus_parse::Value;
 use snafu::Snafu;
 
-/// The limit for reading the metrics of one entry.
+/// The timeout for reading the metrics of one entry.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The error of reading an entry's metrics.
@@ -93,7 +93,7 @@
         else {
             return;
         };
-        // A sample with labels of a later version is ignored.
+        // A sample of a newer entry, whose labels this version does not know, is ignored.
         let _ = match sample.metric.as_str() {
             SloMetrics::EVENTS => self.add_events(sample, value),
             SloMetrics::COVERED => self.add_covered(sample, value),
