--- a/crates/cw_store/src/etcd/gateway.rs
+++ b/crates/cw_store/src/etcd/gateway.rs
@@ -1,4 +1,4 @@
-//! A key-value client for the gateway.
+//! The [`KeyValueStore`] client for etcd's JSON gateways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,8 +34,8 @@
 use super::watch_reader::event_stream;
 use crate::KeyValueStore;
 use crate::LeaseId;
-use crate::ModRevision;
 use crate::StoreError;
+use crate::StoreRevision;
 use crate::Swap;
 use crate::Versioned;
 use crate::WatchEvent;
@@ -43,7 +43,7 @@
 use crate::http_client::HttpResponse;
 use crate::http_client::parse_json;
 
-/// The gRPC status code `NOT_FOUND`.
+/// The gRPC status code `NOT_FOUND`, with which etcd answers a call for an unknown lease.
 const GRPC_NOT_FOUND: i32 = 5;
 
 /// Phrases in etcd's error messages that leave open whether a write took effect.
@@ -58,7 +58,7 @@
     Unsafe,
 }
 
-/// A client for a key-value service behind one or more JSON gateways of etcd.
+/// A client for an etcd cluster with one or more JSON gateways.
 ///
 /// A read is retried at the next gateway after any connection or service failure, a write only if
 /// it had no effect.
@@ -121,7 +121,7 @@
                 Err(error) => return Err(error),
             }
         }
-        // No gateway responded, so the next call starts with another gateway than this one.
+        // Every gateway failed, so the next call starts with a different one.
         self.preferred.store(first + 1, Ordering::Relaxed);
         Err(last_error)
     }
@@ -140,7 +140,7 @@
     async fn transact(
         &self,
         key: &str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         operation: Operation,
     ) -> Result<Swap, StoreError> {
         let read = RangeRequest::single_key(key);
@@ -153,7 +153,7 @@
             .call("/v3/kv/txn", &request, RetrySafety::Unsafe)
             .await?;
         if response.succeeded {
-            return Ok(Swap::Done(ModRevision(response.header.revision)));
+            return Ok(Swap::Done(StoreRevision(response.header.revision)));
         }
         let found = response
             .responses
@@ -183,7 +183,8 @@
         })
 }
 
-/// Returns the body of a successful response, or an error that says if the call had an effect.
+/// Returns the body of a successful response, or an error that tells whether the call may have had
+/// an effect.
 fn check_status(response: HttpResponse) -> Result<Bytes, StoreError> {
     if response.status == StatusCode::OK {
         return Ok(response.body);
@@ -214,7 +215,7 @@
     fn modified<'a>(
         &'a self,
         key: &'a str,
-    ) -> BoxFuture<'a, Result<Option<ModRevision>, StoreError>> {
+    ) -> BoxFuture<'a, Result<Option<StoreRevision>, StoreError>> {
         let request = RangeRequest {
             keys_only: true,
             ..RangeRequest::single_key(key)
@@ -236,7 +237,7 @@
     fn swap<'a>(
         &'a self,
         key: &'a str,
-        expected: Option<ModRevision>,
+        expected: Option<StoreRevision>,
         value: Bytes,
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
@@ -251,7 +252,7 @@
     fn remove<'a>(
         &'a self,
         key: &'a str,
-        expected: ModRevision,
+        expected: StoreRevision,
     ) -> BoxFuture<'a, Result<Swap, StoreError>> {
         let delete = RangeRequest::single_key(key);
         self.transact(key, Some(expected), Operation::Delete(delete))
@@ -300,7 +301,7 @@
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
-        after: ModRevision,
+        after: StoreRevision,
     ) -> BoxFuture<'a, Result<BoxStream<'static, Result<WatchEvent, StoreError>>, StoreError>> {
         async move {
             let request = WatchRequest {
--- a/crates/cw_types/src/lib.rs
+++ b/crates/cw_types/src/lib.rs
@@ -4,13 +4,16 @@
 //!
 //! - [`TargetId`], [`WorkspaceId`], [`GenerationId`] and similar newtypes for names and numbers.
 //! - [`Time`]: the current time, which every decision function takes as an argument.
-//! - [`ByteSize`], [`Rate`] and the [`units`] adapters: quantities that are written with a unit.
+//! - [`ByteSize`], [`Rate`] and the adapter [`DurationText`]: quantities that are written with a
+//!   unit.
 //! - [`Record`] and [`Snapshot`]: the configuration that operators accept, and [`Config`], its
 //!   typed view.
+//! - [`convert`]: conversions of records between schema versions.
 //! - [`ErrorKind`]: the closed set of errors in responses, each with [`Ran`], its execution status.
 
 mod byte_size;
 mod config;
+mod duration_text;
 mod error_kind;
 mod id;
 mod key_hash;
@@ -21,11 +24,12 @@
 mod schema;
 mod snapshot;
 mod time;
-pub mod units;
 
 pub use byte_size::ByteSize;
 pub use config::Config;
 pub use config::ConfigError;
+pub use duration_text::DurationText;
+pub use duration_text::parse_duration;
 pub use error_kind::ErrorKind;
 pub use error_kind::Ran;
 pub use id::AttemptId;
