--- a/crates/cw_policy/tests/attempt/cases.rs
+++ b/crates/cw_policy/tests/attempt/cases.rs
@@ -1,4 +1,5 @@
-//! Cases of entries' requests.
+//! Tests of the attempt table's answers to entries: refusals, cancellations, disconnections and
+//! output.
 
 use std::time::Duration;
 
@@ -279,19 +280,19 @@
         from: TokenIndex(from),
         ..ordinary(1)
     };
-    let whole = dispatch_to_end(&mut table, at(0), again(5));
-    let behind = dispatch_to_end(&mut table, at(0), again(4));
+    let at_ack = dispatch_to_end(&mut table, at(0), again(5));
+    let before_ack = dispatch_to_end(&mut table, at(0), again(4));
 
     let finish = FinishReason::Stop;
-    assert_eq!(whole, Frame::Done { finish, next });
+    assert_eq!(at_ack, Frame::Done { finish, next });
     let trimmed = matches!(
-        behind,
+        before_ack,
         Frame::Failed {
             failure: Failure::Trimmed,
             ..
         }
     );
-    assert!(trimmed, "{behind:?}");
+    assert!(trimmed, "{before_ack:?}");
     assert_eq!(table.output_bytes(), 0);
 }
 
--- a/crates/cw_policy/tests/attempt/target_cases.rs
+++ b/crates/cw_policy/tests/attempt/target_cases.rs
@@ -1,4 +1,4 @@
-//! Cases of events at the target.
+//! Tests of the attempt table at events of its target: output, crashes and drains.
 
 use super::cases::INCARNATION;
 use super::cases::full_table;
--- a/crates/cw_policy/tests/configuration.rs
+++ b/crates/cw_policy/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Acceptance of changes, and application of snapshots.
+//! Tests of the acceptance of changes and the application of snapshots.
 
 use cw_policy::configuration::AcceptDecision;
 use cw_policy::configuration::Acceptance;
@@ -31,7 +31,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Live processes that can read schema versions up to this one.
+/// Support of schema versions up to this one by all live processes.
 struct ReadsUpTo(u32);
 
 impl SchemaSupport for ReadsUpTo {
@@ -153,10 +153,10 @@
     let late = propose(&empty, "late", vec![put(priority("p", 2))]);
     let next = accepted(&empty, "early", vec![put(priority("p", 1))]);
 
-    let verdict = decide(&next, &late, "bob", false);
+    let decision = decide(&next, &late, "bob", false);
 
-    let AcceptDecision::Refused(Refusal::Conflict { key, other, .. }) = verdict else {
-        panic!("expected a conflict, found {verdict:?}");
+    let AcceptDecision::Refused(Refusal::Conflict { key, other, .. }) = decision else {
+        panic!("expected a conflict, found {decision:?}");
     };
     assert_eq!(key, priority("p", 1).key());
     assert_eq!(other, Some(name("early")));
@@ -169,10 +169,10 @@
     let key = priority("p", 1).key();
     let next = accepted(&first, "removal", vec![Edit::Remove(key)]);
 
-    let verdict = decide(&next, &late, "bob", false);
+    let decision = decide(&next, &late, "bob", false);
 
     assert!(matches!(
-        verdict,
+        decision,
         AcceptDecision::Refused(Refusal::Conflict { .. })
     ));
 }
@@ -183,9 +183,9 @@
     let other = propose(&empty, "other", vec![put(priority("q", 2))]);
     let next = accepted(&empty, "early", vec![put(priority("p", 1))]);
 
-    let verdict = decide(&next, &other, "bob", false);
+    let decision = decide(&next, &other, "bob", false);
 
-    assert!(matches!(verdict, AcceptDecision::Write(_)));
+    assert!(matches!(decision, AcceptDecision::Write(_)));
 }
 
 #[rstest]
@@ -200,9 +200,9 @@
     let empty = Snapshot::default();
     let proposal = propose(&empty, "c1", vec![put(priority("p", 1))]);
 
-    let verdict = decide(&empty, &proposal, accepter, self_approval);
+    let decision = decide(&empty, &proposal, accepter, self_approval);
 
-    assert_eq!(matches!(verdict, AcceptDecision::Write(_)), allowed);
+    assert_eq!(matches!(decision, AcceptDecision::Write(_)), allowed);
 }
 
 #[test]
@@ -211,9 +211,9 @@
     let drain = record(RecordKind::Drain, "t1", 1, json!({ "reason": "hot" }));
     let proposal = propose(&empty, "c1", vec![put(drain)]);
 
-    let verdict = decide(&empty, &proposal, "alice", false);
+    let decision = decide(&empty, &proposal, "alice", false);
 
-    assert!(matches!(verdict, AcceptDecision::Write(_)));
+    assert!(matches!(decision, AcceptDecision::Write(_)));
 }
 
 #[test]
@@ -231,10 +231,10 @@
         in_use: &[],
     };
 
-    let verdict = accept(&empty, &proposal, &by);
+    let decision = accept(&empty, &proposal, &by);
 
     assert!(matches!(
-        verdict,
+        decision,
         AcceptDecision::Refused(Refusal::Role { .. })
     ));
 }
@@ -245,10 +245,10 @@
     let mut proposal = propose(&empty, "c1", vec![put(priority("p", 1))]);
     proposal.state = ProposalState::Rejected(name("carol"));
 
-    let verdict = decide(&empty, &proposal, "bob", false);
+    let decision = decide(&empty, &proposal, "bob", false);
 
     assert_eq!(
-        verdict,
+        decision,
         AcceptDecision::Refused(Refusal::Rejected { by: name("carol") })
     );
 }
@@ -259,10 +259,10 @@
     let new = record(RecordKind::Workspace, "w", 3, json!({ "keys": [] }));
     let proposal = propose(&empty, "c1", vec![put(new)]);
 
-    let verdict = decide(&empty, &proposal, "bob", false);
+    let decision = decide(&empty, &proposal, "bob", false);
 
-    let AcceptDecision::Refused(Refusal::Unreadable { hosts, schema, .. }) = verdict else {
-        panic!("expected a refusal, found {verdict:?}");
+    let AcceptDecision::Refused(Refusal::Unreadable { hosts, schema, .. }) = decision else {
+        panic!("expected a refusal, found {decision:?}");
     };
     assert_eq!(hosts, [name::<HostId>("entry-old")]);
     assert_eq!(schema, SchemaVersion(3));
@@ -276,10 +276,10 @@
     let key: RecordKey = name(removed);
     let proposal = propose(&current, "c1", vec![Edit::Remove(key)]);
 
-    let verdict = decide(&current, &proposal, "bob", false);
+    let decision = decide(&current, &proposal, "bob", false);
 
-    let AcceptDecision::Refused(Refusal::Breaks { breakages }) = verdict else {
-        panic!("expected a refusal, found {verdict:?}");
+    let AcceptDecision::Refused(Refusal::Breaks { breakages }) = decision else {
+        panic!("expected a refusal, found {decision:?}");
     };
     let expected = match removed {
         "target/t1" => Breakage::NoTarget { route: name("r1") },
@@ -298,14 +298,14 @@
     let edit = put(record(RecordKind::Route, "r1", 1, route));
     let proposal = propose(&current, "c1", vec![edit]);
 
-    let verdict = decide(&current, &proposal, "bob", false);
+    let decision = decide(&current, &proposal, "bob", false);
 
     let breakages = vec![Breakage::NoVersion {
         route: name("r1"),
         version: name("v2"),
     }];
     assert_eq!(
-        verdict,
+        decision,
         AcceptDecision::Refused(Refusal::Breaks { breakages })
     );
 }
--- a/crates/cw_policy/tests/configuration_fuzz.rs
+++ b/crates/cw_policy/tests/configuration_fuzz.rs
@@ -95,23 +95,23 @@
 
 impl Store {
     fn write_config(&mut self, expected: u64, snapshot: &Snapshot) -> bool {
-        let fits = self.config.0 == expected;
-        if fits {
+        let is_expected = self.config.0 == expected;
+        if is_expected {
             self.writes += 1;
             self.config = (self.writes, snapshot.clone());
         }
-        fits
+        is_expected
     }
 
     fn write_proposal(&mut self, expected: u64, proposal: &Proposal) -> bool {
         let found = self.proposals.get(&proposal.id);
-        let fits = found.map_or(0, |(at, _)| *at) == expected;
-        if fits {
+        let is_expected = found.map_or(0, |(at, _)| *at) == expected;
+        if is_expected {
             self.writes += 1;
             let value = (self.writes, proposal.clone());
             self.proposals.insert(proposal.id.clone(), value);
         }
-        fits
+        is_expected
     }
 }
 
@@ -236,8 +236,8 @@
     }
 
     fn reject(&mut self, flow: usize, node: usize) {
-        let away = self.down || self.paused[node];
-        let Some(call) = pick(&self.flows, flow).filter(|_| !away) else {
+        let is_unavailable = self.down || self.paused[node];
+        let Some(call) = pick(&self.flows, flow).filter(|_| !is_unavailable) else {
             return;
         };
         let Some((at, proposal)) = self.store.proposals.get(&call.id).cloned() else {
@@ -414,7 +414,7 @@
             assert_eq!(
                 pair[1].revision,
                 pair[0].revision.next(),
-                "the history forked"
+                "the accepted revisions are not consecutive"
             );
         }
         for node in &self.nodes {
@@ -446,11 +446,11 @@
             assert_eq!(count, 1, "{id} was answered as accepted");
         }
         let calls = self.flows.iter().filter(|flow| flow.id == *id).count();
-        let no = matches!(
+        let is_negative = matches!(
             end,
             FlowEnd::Refused(_) | FlowEnd::Unavailable | FlowEnd::NotFound
         );
-        if no && calls == 1 {
+        if is_negative && calls == 1 {
             assert_eq!(count, 0, "{id} was answered as not accepted");
         }
     }
@@ -531,7 +531,7 @@
     })]
 
     #[test]
-    fn what_was_accepted_is_in_force_once_and_never_reverts(
+    fn accepted_changes_come_into_force_once_and_never_revert(
         ops in proptest::collection::vec(op(), 1..250),
     ) {
         let mut world = World::new();
--- a/crates/cw_policy/tests/forward/budget.rs
+++ b/crates/cw_policy/tests/forward/budget.rs
@@ -28,19 +28,19 @@
     let service: ServiceName = name("s");
     let mut rng = SmallRng::seed_from_u64(1);
     let mut entries: Vec<ServiceBudgets> = (0..4).map(|_| ServiceBudgets::new(BUDGET, 4)).collect();
-    let mut firsts = Vec::new();
-    let mut further = Vec::new();
+    let mut first_sends = Vec::new();
+    let mut repeats = Vec::new();
 
     for millis in (0..40_000).step_by(5) {
         let at_entry = rng.random_range(0..10_usize).min(3);
         let entry = &mut entries[at_entry];
         if rng.random_bool(0.4) {
             entry.record_first(at(millis), &service);
-            firsts.push(millis);
+            first_sends.push(millis);
         }
         for _ in 0..3 {
             if entry.try_spend(at(millis), &service) {
-                further.push(millis);
+                repeats.push(millis);
             }
         }
     }
@@ -51,16 +51,17 @@
             all.iter().filter(|at| window.contains(*at)).count() as f64
         };
         let earlier = [0, 5000, 10_000].map(|back: u64| begin.saturating_sub(back));
-        let requests = earlier.map(|begin| count(&firsts, begin));
+        let requests = earlier.map(|begin| count(&first_sends, begin));
         let most = requests.into_iter().fold(0.0, f64::max);
         let bound = BUDGET.ratio * most + BUDGET.slack;
-        let spent = count(&further, begin);
+        let spent = count(&repeats, begin);
         assert!(spent <= bound, "{spent} over {bound} from {begin} ms");
     }
-    assert!(further.len() > 400, "the slack is available in each window");
+    assert!(repeats.len() > 400, "too few repeated sends were allowed");
 }
 
-/// An availability zone is lost every few seconds, and many streams with it each time.
+/// Guards against a slack that is not available again: an availability zone is lost every few
+/// seconds, and many streams with it each time.
 #[test]
 fn the_slack_is_available_again_in_the_next_window() {
     let service: ServiceName = name("s");
--- a/crates/cw_policy/tests/forward/directory_log.rs
+++ b/crates/cw_policy/tests/forward/directory_log.rs
@@ -89,8 +89,8 @@
 }
 
 /// The directory changes at random, and an entry loses most of the watcher's messages. After each
-/// message that it receives, and the read that may follow, it must have the same state as the
-/// watcher.
+/// message that the entry receives, and the read that may follow, it must have the same state as
+/// the watcher.
 #[test]
 fn any_loss_of_messages_leads_to_the_same_state() {
     for seed in 0..200 {
@@ -134,8 +134,9 @@
     }
 }
 
-/// The store rejects the calls of one machine while engines leave. The other entries must not stop
-/// trusting the directory because of it, and it must not keep targets that the others have dropped.
+/// Guards against stale targets when the store rejects the calls of one entry while engines leave:
+/// the other entries must still trust the directory, and that entry must not keep targets that the
+/// others have dropped.
 #[test]
 fn the_directory_is_trusted_only_after_it_has_answered_long_enough() {
     let mut log = DirectoryLog::default();
@@ -145,11 +146,11 @@
     fleet.directory_failed();
     let failed = log.news(at(10_000), &fleet, 1);
     fleet.directory_answered(at(11_000));
-    let back = log.news(at(11_100), &fleet, 1);
+    let recovered = log.news(at(11_100), &fleet, 1);
     let later = log.news(at(13_100), &fleet, 1);
 
     assert!(trusted.up && trusted.trusted);
     assert!(!failed.up && !failed.trusted);
-    assert!(back.up && !back.trusted);
+    assert!(recovered.up && !recovered.trusted);
     assert!(later.up && later.trusted);
 }
--- a/crates/cw_policy/tests/forward/exchange.rs
+++ b/crates/cw_policy/tests/forward/exchange.rs
@@ -140,8 +140,8 @@
     assert_eq!(step, ExchangeStep::Send(Resume { copy }));
 }
 
-/// Engines of a zone crash while they still read many prompts. A run has no copy then, and starts
-/// from the beginning.
+/// Guards against a resumption from a copy that does not exist: engines of a zone crash while they
+/// still read many prompts, so their runs have no copies and start from the beginning.
 #[test]
 fn before_the_first_event_there_is_no_copy() {
     let mut exchange = sent(Repeat::Resume);
@@ -151,8 +151,8 @@
     assert_eq!(step, ExchangeStep::Send(Resume::default()));
 }
 
-/// The keeper is lost in one outage and the target in the next. The run must resume from the copy
-/// made in between.
+/// Guards against a resumption from the first copy when its keeper is lost in one outage and the
+/// target in the next: the run must resume from the copy made in between.
 #[test]
 fn a_stream_resumes_from_the_newest_copy() {
     let mut exchange = sent(Repeat::Resume);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_failure_is_tried_elsewhere_and_then_passed_on() {
+fn a_failed_request_is_sent_to_another_target_before_its_failure_is_passed_on() {
     let mut exchange = Exchange::new(ExchangePlan {
         attempts: 2,
         ..plan(Repeat::Whole)
@@ -264,8 +264,8 @@
     assert_eq!(step, ExchangeStep::Refuse(ErrorKind::TargetFailed));
 }
 
-/// A prompt of 14,000 tokens takes longer to read than the fraction of the objective that other
-/// requests get, and must not be given up while it is read.
+/// Guards against giving up a request while its prompt is read: a prompt of 14,000 tokens takes
+/// longer to read than the fraction of the objective that other requests get.
 #[test]
 fn a_long_prompt_is_waited_for() {
     let exchange = sent(Repeat::Resume);
--- a/crates/cw_policy/tests/forward/fleet.rs
+++ b/crates/cw_policy/tests/forward/fleet.rs
@@ -25,7 +25,8 @@
     );
 }
 
-/// Records expire during an outage of the directory although their targets are up.
+/// Guards against the loss of running targets whose records expire during an outage of the
+/// directory.
 #[test]
 fn a_target_unlisted_during_an_outage_of_the_directory_stays_in_use() {
     let mut fleet = fleet(1, 2);
@@ -159,8 +160,8 @@
     assert_eq!(fleet.len(), 1);
 }
 
-/// Engines of a zone go silent while they read prompts, when silence alone does not indicate a
-/// loss.
+/// Guards against trust in the other targets of a lost zone: its engines go silent while they read
+/// prompts, when silence alone does not indicate a loss.
 #[test]
 fn targets_of_a_lost_zone_are_suspect_until_they_respond() {
     let mut fleet = fleet(2, 6);
--- a/crates/cw_policy/tests/forward/peers.rs
+++ b/crates/cw_policy/tests/forward/peers.rs
@@ -39,7 +39,7 @@
 }
 
 /// Returns a message of an entry with one unread prompt at the first engine.
-fn reading(host: &str, sequence: u64) -> OutstandingWork {
+fn message_with_unread_prompt(host: &str, sequence: u64) -> OutstandingWork {
     let share = TargetShare {
         runs: 1,
         unread: 8000,
@@ -53,7 +53,7 @@
 }
 
 /// Returns how many of 100 placements choose the first engine.
-fn choices(fleet: &Fleet, now: u64) -> usize {
+fn count_choices(fleet: &Fleet, now: u64) -> usize {
     let mut rng = SmallRng::seed_from_u64(1);
     let request = TestRequest::default();
     (0..100)
@@ -71,19 +71,19 @@
 fn a_target_with_a_prompt_of_another_entry_is_avoided() {
     let mut fleet = fleet(1, 4);
 
-    fleet.receive_peer(at(0), &reading("a", 1));
+    fleet.receive_peer(at(0), &message_with_unread_prompt("a", 1));
 
-    assert_eq!(choices(&fleet, 10), 0);
+    assert_eq!(count_choices(&fleet, 10), 0);
 }
 
 #[test]
 fn the_newest_message_replaces_the_last() {
     let mut fleet = fleet(1, 4);
-    fleet.receive_peer(at(0), &reading("a", 1));
+    fleet.receive_peer(at(0), &message_with_unread_prompt("a", 1));
 
     fleet.receive_peer(at(5), &message("a", 2));
 
-    assert!(choices(&fleet, 10) > 0);
+    assert!(count_choices(&fleet, 10) > 0);
 }
 
 #[test]
@@ -91,10 +91,10 @@
     let mut fleet = fleet(1, 4);
     fleet.receive_peer(at(0), &message("a", 2));
 
-    let is_new = fleet.receive_peer(at(5), &reading("a", 1));
+    let is_new = fleet.receive_peer(at(5), &message_with_unread_prompt("a", 1));
 
     assert!(!is_new);
-    assert!(choices(&fleet, 10) > 0);
+    assert!(count_choices(&fleet, 10) > 0);
 }
 
 #[test]
@@ -103,7 +103,7 @@
     fleet.receive_peer(at(0), &message("a", 90));
     let restarted = OutstandingWork {
         incarnation: Incarnation(2),
-        ..reading("a", 1)
+        ..message_with_unread_prompt("a", 1)
     };
 
     assert!(fleet.receive_peer(at(5), &restarted));
@@ -112,27 +112,29 @@
 #[test]
 fn the_load_of_a_stopped_entry_is_dropped() {
     let mut fleet = fleet(1, 4);
-    fleet.receive_peer(at(0), &reading("a", 1));
+    fleet.receive_peer(at(0), &message_with_unread_prompt("a", 1));
 
     let gone = fleet.expire_peers(at(2000));
 
     assert_eq!(gone, vec![name("a")]);
-    assert!(choices(&fleet, 2000) > 0);
+    assert!(count_choices(&fleet, 2000) > 0);
 }
 
-/// With hundreds of entries each one sends less often, and must not expire between two messages.
+/// Guards against entries that expire between two of their messages: each one sends less often when
+/// there are hundreds.
 #[test]
 fn messages_are_valid_for_longer_with_more_entries() {
     let mut fleet = fleet(1, 4);
     let hosts: Vec<HostId> = (0..300).map(|n| name(&format!("h{n}"))).collect();
     fleet.set_entries(&name("own"), hosts.into_iter());
-    fleet.receive_peer(at(0), &reading("h1", 1));
+    fleet.receive_peer(at(0), &message_with_unread_prompt("h1", 1));
 
     assert!(fleet.expire_peers(at(4000)).is_empty());
     assert_eq!(fleet.expire_peers(at(15_000)), vec![name("h1")]);
 }
 
 #[test]
+/// Guards against entries that report a loss to each other forever.
 fn a_loss_reported_by_another_entry_is_believed_but_not_reported_again() {
     let mut fleet = fleet(1, 4);
     let lost = OutstandingWork {
@@ -145,7 +147,7 @@
     assert!(fleet.is_suspect(at(1010), &engine(0, 0)));
     assert!(
         fleet.lost_since(at(0)).is_empty(),
-        "entries would report it to each other forever"
+        "the loss is reported again"
     );
 }
 
@@ -171,7 +173,8 @@
     );
 }
 
-/// An entry is disconnected from all others, or starts alone.
+/// Guards against an entry without the state of the directory because it is disconnected from all
+/// others, or starts alone.
 #[test]
 fn an_entry_without_messages_watches_the_directory() {
     let mut fleet = fleet(1, 1);
@@ -186,8 +189,8 @@
     assert!(fleet.is_writer(at(5000)));
 }
 
-/// The store rejects the calls of some machines, including the watching ones, while the directory
-/// changes.
+/// Guards against missed changes: the store rejects the calls of some machines, including the
+/// watching ones, while the directory changes.
 #[test]
 fn an_entry_watches_when_the_watchers_before_it_get_no_answers() {
     let mut fleet = fleet(1, 1);
@@ -204,7 +207,8 @@
     assert!(fleet.is_watcher(at(20)));
 }
 
-/// Machines freeze, so no message says that they no longer watch the directory.
+/// Guards against missed changes when the machines of the watchers freeze, so that no message says
+/// that they no longer watch the directory.
 #[test]
 fn an_entry_watches_when_the_watchers_before_it_are_silent() {
     let mut fleet = fleet(1, 1);
@@ -232,7 +236,8 @@
     );
 }
 
-/// The store rejects the calls of one machine until after its record has expired.
+/// Guards against dropping an entry that still runs: the store rejects the calls of its machine
+/// until after its record has expired.
 #[test]
 fn an_entry_with_an_expired_record_is_listed_while_it_sends_messages() {
     let mut roster = Roster::default();
--- a/crates/cw_policy/tests/forward/placement.rs
+++ b/crates/cw_policy/tests/forward/placement.rs
@@ -23,7 +23,7 @@
     id.as_str().split('-').next().unwrap()
 }
 
-/// A burst of long prompts arrives at once.
+/// Guards against long prompts that queue at a few engines when a burst of them arrives at once.
 #[test]
 fn a_burst_of_prompts_is_spread_before_any_target_gets_a_second() {
     let mut fleet = fleet(3, 12);
@@ -40,7 +40,8 @@
     assert_eq!(counts.len(), 36, "each engine reads one prompt: {counts:?}");
 }
 
-/// Several entries place requests within the same milliseconds, without messages of each other.
+/// Guards against entries that choose the same target: several entries place requests within the
+/// same milliseconds, without messages of each other.
 #[test]
 fn entries_that_place_requests_at_once_choose_different_targets() {
     let hosts: Vec<HostId> = (0..4).map(|n| name(&format!("entry-{n}"))).collect();
@@ -63,7 +64,8 @@
     assert_eq!(collisions, 0, "of 200 rounds");
 }
 
-/// Most engines of one availability zone crash at the same moment, and their connections are reset.
+/// Guards against requests and copies at engines that are lost but still listed: most engines of
+/// one availability zone crash at the same moment, and their connections are reset.
 #[test]
 fn after_the_loss_of_a_zone_no_copy_is_kept_there() {
     let mut fleet = fleet(3, 12);
@@ -79,7 +81,7 @@
         assert_ne!(
             zone_of(&placed.target),
             "e1",
-            "its engines are still listed"
+            "the engine was lost with its zone"
         );
         let keeper = placed.copy.expect("two zones are left");
         assert_ne!(zone_of(&keeper), "e1");
@@ -117,7 +119,8 @@
     assert_eq!(placed.copy, None);
 }
 
-/// All entries crash, and callers reconnect with the id of their last event.
+/// Guards against a second read of the same prompts: all entries crash, and callers reconnect with
+/// the id of their last event.
 #[test]
 fn a_prompt_is_sent_to_the_target_that_read_it() {
     let mut fleet = fleet(3, 12);
@@ -138,7 +141,8 @@
     }
 }
 
-/// One engine rejects or fails part of its requests although its health check succeeds.
+/// Guards against placing the usual share of requests at an engine that rejects or fails part of
+/// them although its health check succeeds.
 #[test]
 fn a_failing_target_gets_fewer_requests_until_it_has_recovered() {
     let mut fleet = fleet(1, 4);
@@ -184,8 +188,8 @@
     assert_eq!(fleet.place(at(10), &request.need(), &mut rng), None);
 }
 
-/// The connections of an entry to engines and callers are reset while the engines stay up. The
-/// callers reconnect at once.
+/// Guards against a second read of the same prompts: the connections of an entry to engines and
+/// callers are reset while the engines stay up, and the callers reconnect at once.
 #[test]
 fn a_prompt_is_sent_to_the_target_that_read_it_although_its_connection_broke() {
     let mut fleet = fleet(3, 12);
--- a/crates/cw_policy/tests/forward/start_estimate.rs
+++ b/crates/cw_policy/tests/forward/start_estimate.rs
@@ -22,7 +22,7 @@
 use crate::fixtures::name;
 
 /// The time in which an engine reads one prompt.
-const READING: Duration = Duration::from_millis(1000);
+const READING_TIME: Duration = Duration::from_millis(1000);
 
 /// The objective for the time to the first event.
 const OBJECTIVE: Duration = Duration::from_millis(4500);
@@ -113,10 +113,10 @@
         let ahead = self.fleet.backlog(now, &target, &need, &self.times).unread;
         self.fleet.sent(now, &target, DEMAND);
         let queue = self.queues.entry(target).or_default();
-        let free = queue.back().map_or(now, |last| last.read_at.max(now));
+        let free_at = queue.back().map_or(now, |last| last.read_at.max(now));
         queue.push_back(QueuedPrompt {
             arrived: now,
-            read_at: free + READING,
+            read_at: free_at + READING_TIME,
             ahead,
         });
     }
@@ -182,12 +182,15 @@
     assert_eq!(outcome.in_time(), outcome.delays.len());
 }
 
-/// A standing queue has drained, and must not cause refusals any more.
+/// Guards against refusals that continue after a standing queue has drained.
 #[test]
 fn requests_are_accepted_again_as_soon_as_the_load_falls() {
     let mut simulation = Simulation::new(true);
     simulation.request_every(100, 0, 30_000);
-    assert!(simulation.outcome.refused > 0, "the load was too high");
+    assert!(
+        simulation.outcome.refused > 0,
+        "the overload caused no refusal"
+    );
     let refused = simulation.outcome.refused;
 
     simulation.request_every(500, 33_000, 60_000);
@@ -211,14 +214,15 @@
     }
 }
 
-/// Creates a fleet of one zone, with a mean reading time of [`READING`] per prompt.
+/// Creates a fleet of one zone, and run times with a mean reading time of [`READING_TIME`] per
+/// prompt.
 fn measured_fleet(engines: usize) -> (Fleet, RunTimes) {
     let mut times = RunTimes::default();
     times.record_prompt(
         &name("engines"),
         DEMAND.prompt,
         Some(DEMAND.prompt),
-        READING,
+        READING_TIME,
     );
     (fleet(1, engines), times)
 }
@@ -246,7 +250,7 @@
     assert_eq!(estimate, StartEstimate::InTime);
 }
 
-/// A route has no latency objective, and its target has a queue.
+/// Guards against refusals on a route without a latency objective when its target has a queue.
 #[test]
 fn nothing_is_refused_without_a_latency_objective() {
     let (mut fleet, times) = measured_fleet(1);
@@ -257,8 +261,8 @@
     assert_eq!(estimate, StartEstimate::InTime);
 }
 
-/// The memory is full of runs whose prompts have been read, so no token is unread but no request
-/// can start.
+/// Guards against an estimate from unread tokens alone: the memory is full of runs whose prompts
+/// have been read, so no token is unread but no request can start.
 #[test]
 fn memory_that_must_be_freed_first_delays_the_start() {
     let (mut fleet, mut times) = measured_fleet(1);
--- a/crates/cw_policy/tests/generation.rs
+++ b/crates/cw_policy/tests/generation.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the generation state machine, one for each kind of failure.
+//! Tests of the generation state machine, at least one for each kind of failure.
 
 use std::time::Duration;
 
--- a/crates/cw_policy/tests/generation_world/mod.rs
+++ b/crates/cw_policy/tests/generation_world/mod.rs
@@ -2,7 +2,7 @@
 
 mod agent_sim;
 mod claims;
-mod machines;
+mod driver;
 mod messages;
 mod network;
 
@@ -273,7 +273,7 @@
     pub(crate) fn check(&self) -> Result<(), String> {
         for caller in self.callers.iter().filter(|caller| !caller.disconnected) {
             let starts = self.starts(|id| id.generation == caller.id);
-            let own = self.starts(|id| self.is_sent(caller, id));
+            let own_starts = self.starts(|id| self.is_sent(caller, id));
             if !is_consistent(&caller.output) {
                 return Err(format!("mixed output: {:?}", caller.output));
             }
@@ -287,9 +287,9 @@
                 Some(Step::Finish(_)) if caller.output.len() as u64 != MAX_TOKENS => {
                     return Err(format!("finished after {} tokens", caller.output.len()));
                 }
-                Some(Step::Fail { ran: Ran::No, .. }) if own > 0 => {
+                Some(Step::Fail { ran: Ran::No, .. }) if own_starts > 0 => {
                     return Err(format!(
-                        "reported as not run, but ran {own} times: {}",
+                        "reported as not run, but ran {own_starts} times: {}",
                         caller.id
                     ));
                 }
--- a/crates/cw_policy/tests/membership.rs
+++ b/crates/cw_policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Liveness of targets, and the relaying of their reports.
+//! Tests of the liveness of targets and the relaying of their reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn target_without_silence_statements_is_suspect_but_not_gone() {
+fn target_that_no_relay_reports_as_silent_is_suspect_but_not_gone() {
     let mut members = members();
     tick_between(&mut members, 0, 600);
 
@@ -120,7 +120,10 @@
 #[case::one(&["e1"], Liveness::Suspect)]
 #[case::one_twice(&["e1", "e1"], Liveness::Suspect)]
 #[case::two(&["e1", "e2"], Liveness::Gone)]
-fn gone_needs_two_witnesses(#[case] relays: &[&str], #[case] expected: Liveness) {
+fn target_is_gone_once_two_relays_report_it_as_silent(
+    #[case] relays: &[&str],
+    #[case] expected: Liveness,
+) {
     let mut members = members();
     tick_between(&mut members, 0, 20);
 
--- a/crates/cw_policy/tests/planner.rs
+++ b/crates/cw_policy/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's lease, and the orders of the planner.
+//! Tests of the planner's lease and of its orders.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -79,7 +79,7 @@
 fn holder_stops_by_its_own_clock_before_the_lease_can_expire() {
     let mut lease = held_lease();
 
-    let paused = lease.fencing(at(5));
+    let after_pause = lease.fencing(at(5));
     lease.on_event(at(5), TICK);
     let late = LeaseEvent::Renewed {
         requested_at: at(4),
@@ -87,7 +87,7 @@
     };
     lease.on_event(at(5), late);
 
-    assert_eq!(paused, None);
+    assert_eq!(after_pause, None);
     assert_eq!(
         lease.fencing(at(5)),
         None,
@@ -229,8 +229,8 @@
     }
 
     fn execute(&mut self, now: Time, planned: &PlannedOrder) {
-        let seen = self.target_view(&planned.target);
-        let versions = seen.versions.entry(model()).or_default();
+        let target_view = self.target_view(&planned.target);
+        let versions = target_view.versions.entry(model()).or_default();
         match &planned.order.kind {
             OrderKind::Load { version, .. } => drop(versions.insert(version.clone())),
             OrderKind::Unload { version, .. } => drop(versions.remove(version)),
@@ -244,8 +244,8 @@
 
     fn holders(&self, version: &str) -> usize {
         let version: VersionName = name(version);
-        let holds = |seen: &&TargetView| {
-            let versions = seen.versions.get(&model());
+        let holds = |view: &&TargetView| {
+            let versions = view.versions.get(&model());
             versions.is_some_and(|versions| versions.contains(&version))
         };
         self.view.targets.values().filter(holds).count()
@@ -351,8 +351,8 @@
     deployment.require(&[version("v2", 2)]);
     deployment.pins.remove(&name("t0"));
     for id in ["t0", "t1"] {
-        let seen = deployment.target_view(&name(id));
-        seen.versions = [(model(), [name("v1"), name("v2")].into())].into();
+        let target_view = deployment.target_view(&name(id));
+        target_view.versions = [(model(), [name("v1"), name("v2")].into())].into();
     }
 
     for second in 0..100 {
--- a/crates/cw_policy/tests/prefix.rs
+++ b/crates/cw_policy/tests/prefix.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_size_of_the_cache_index_is_bounded() {
     let target: TargetId = "t".parse().unwrap();
     let mut cache_index = CacheIndex::default();
     for number in 0..10_000 {
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_gap_forgets_and_what_follows_is_learned_again() {
+fn a_gap_clears_the_follower_and_later_events_apply_again() {
     let page = |first, gap, blocks: &[u64]| CachePage {
         boot: 7,
         first,
--- a/crates/cw_policy/tests/queue.rs
+++ b/crates/cw_policy/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry's queue.
+//! Tests of the queue of requests at an entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -57,16 +57,19 @@
         }
     }
 
-    fn on(&mut self, now: Time, event: QueueEvent) -> Vec<QueueStep> {
+    fn handle(&mut self, now: Time, event: QueueEvent) -> Vec<QueueStep> {
         self.queue.on_event(now, event, &mut self.rng)
     }
 
     fn offer(&mut self, request: QueuedRequest) -> Vec<QueueStep> {
-        self.on(START, QueueEvent::Offered(request))
+        self.handle(START, QueueEvent::Offered(request))
     }
 
     fn start(&mut self) -> Option<QueuedRequest> {
-        match self.on(START, QueueEvent::CapacityAvailable(pool())).pop() {
+        match self
+            .handle(START, QueueEvent::CapacityAvailable(pool()))
+            .pop()
+        {
             Some(QueueStep::Start(request)) => Some(request),
             _ => None,
         }
@@ -112,17 +115,17 @@
 #[test]
 fn a_lower_rank_is_not_starved_beyond_the_stated_bound() {
     let limits = limits(10_000);
-    let lower = limits.lower_interval;
+    let interval = limits.lower_interval;
     let mut fixture = Fixture::new(limits);
-    let before = 3;
-    for id in 0..=before {
+    let older = 3;
+    for id in 0..=older {
         fixture.offer(request(id, "low", (id % 2) as u8));
     }
-    let bound = lower * (u32::try_from(before).unwrap() + 1);
+    let bound = interval * (u32::try_from(older).unwrap() + 1);
     let mut started = None;
     for turn in 1..=bound {
         fixture.offer(request(1000 + u128::from(turn), "high", 7));
-        if fixture.start().unwrap().id == GenerationId(before) {
+        if fixture.start().unwrap().id == GenerationId(older) {
             started = Some(turn);
         }
     }
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn one_workspaces_requests_go_by_deadline_and_are_answered_when_it_passes() {
+fn requests_of_a_workspace_start_by_deadline_and_are_refused_once_it_passes() {
     let mut fixture = Fixture::new(limits(10));
     for (id, seconds) in [(1, 30), (2, 10), (3, 20)] {
         let mut request = request(id, "w", 1);
@@ -139,7 +142,7 @@
     }
     let first = fixture.start().unwrap();
     let late = START + Duration::from_secs(20);
-    let expired = fixture.on(late, QueueEvent::Tick);
+    let expired = fixture.handle(late, QueueEvent::Tick);
 
     assert_eq!(first.id, GenerationId(2));
     assert!(matches!(
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn a_caller_who_will_miss_its_deadline_is_refused_at_once() {
+fn a_request_that_will_miss_its_deadline_is_refused_at_once() {
     let mut fixture = Fixture::new(limits(1000));
     let mut now = START;
     for id in 0..100 {
@@ -163,12 +166,12 @@
     // The measured drain rate is ten starts per second.
     for _ in 0..20 {
         now = now + Duration::from_millis(100);
-        fixture.on(now, QueueEvent::CapacityAvailable(pool()));
+        fixture.handle(now, QueueEvent::CapacityAvailable(pool()));
     }
     let offer = |fixture: &mut Fixture, id, rank, seconds| {
         let mut request = request(id, "w", rank);
         request.deadline = now + Duration::from_secs(seconds);
-        let steps = fixture.on(now, QueueEvent::Offered(request));
+        let steps = fixture.handle(now, QueueEvent::Offered(request));
         steps.into_iter().next()
     };
     // The 80 requests of the rank above take 8 s. A request of a lower rank without older ones
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn when_full_the_lowest_rank_and_the_longest_flow_give_way() {
+fn a_full_queue_evicts_from_the_longest_flow_of_the_lowest_rank() {
     let mut fixture = Fixture::new(limits(4));
     for id in 0..4 {
         fixture.offer(request(id, "flood", 1));
@@ -288,10 +291,10 @@
                     QueueEvent::Tick
                 }
             };
-            let mut steps = fixture.on(now, event);
+            let mut steps = fixture.handle(now, event);
             if let (Action::CapacityThenReturn, Some(QueueStep::Start(_))) = (&action, steps.last()) {
                 let Some(QueueStep::Start(request)) = steps.pop() else { unreachable!() };
-                steps.extend(fixture.on(now, QueueEvent::Returned(request)));
+                steps.extend(fixture.handle(now, QueueEvent::Returned(request)));
             }
             for step in steps {
                 let request = match step {
--- a/crates/cw_policy/tests/quota.rs
+++ b/crates/cw_policy/tests/quota.rs
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn an_entry_that_alone_has_demand_gets_almost_the_whole_quota() {
+fn the_only_entry_with_demand_gets_almost_the_whole_quota() {
     let settings = QuotaSettings::default();
     let count = 8;
     let mut fixture = Fixture::new(count, 1, PERIOD);
--- a/crates/cw_policy/tests/routing/filters.rs
+++ b/crates/cw_policy/tests/routing/filters.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn busy_targets_are_left_alone_until_they_may_be_tried_again() {
+fn busy_targets_are_not_chosen_until_their_retry_time() {
     let view = view(2);
     let mut rng = SmallRng::seed_from_u64(3);
     let mut dispatches = DispatchLog::default();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn spare_capacity_is_what_open_targets_have_free_and_at_least_one_while_any_is_open() {
+fn spare_capacity_is_the_free_slots_of_available_targets_and_at_least_one_while_any_is_available() {
     let mut view = view(3);
     for (number, running) in [(0, 10), (1, 16), (2, 20)] {
         view.targets.get_mut(&id(number)).unwrap().load.running = running;
@@ -134,16 +134,16 @@
         service: "loans".to_owned(),
     };
     let retry = Duration::from_millis(200);
-    let room = |dispatches: &DispatchLog, at| index.spare_capacity(at, &to, dispatches).unwrap();
-    let before = room(&dispatches, now());
+    let spare = |dispatches: &DispatchLog, at| index.spare_capacity(at, &to, dispatches).unwrap();
+    let before = spare(&dispatches, now());
     dispatches.record_refusal(now(), &id(0), retry);
-    let full = room(&dispatches, now());
+    let full = spare(&dispatches, now());
     dispatches.record_refusal(now(), &id(1), retry);
     dispatches.record_refusal(now(), &id(2), retry);
-    let closed = room(&dispatches, now());
+    let all_refused = spare(&dispatches, now());
 
     // The report of 6 free slots is 100 ms old and keeps nearly all of its weight.
     assert!((4..=6).contains(&before), "{before}");
-    assert_eq!((full, closed), (1, 0));
+    assert_eq!((full, all_refused), (1, 0));
     assert_eq!(index.spare_capacity(now(), &unknown, &dispatches), None);
 }
--- a/crates/cw_policy/tests/routing/load.rs
+++ b/crates/cw_policy/tests/routing/load.rs
@@ -1,4 +1,5 @@
-//! Tests of the policy's effect on all targets, in the simulation that the benchmark uses too.
+//! Tests of the routing policies' effect on all targets, in the simulation that the benchmark uses
+//! too.
 
 use std::time::Duration;
 
@@ -49,9 +50,9 @@
         ..Scenario::default()
     };
     let outcome = run(&scenario, Policy::default());
-    let two = run(&scenario, Policy::PowerOfTwo);
+    let power_of_two = run(&scenario, Policy::PowerOfTwo);
 
-    assert!(hit_rate(&outcome) >= 1.5 * hit_rate(&two));
+    assert!(hit_rate(&outcome) >= 1.5 * hit_rate(&power_of_two));
     for baseline in [
         Policy::RoundRobin,
         Policy::LeastReported,
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn streams_of_a_lost_availability_zone_go_on_in_time() {
+fn streams_of_a_lost_availability_zone_resume_in_time() {
     let scenario = Scenario {
         rate: 90.0,
         duration: Duration::from_secs(40),
--- a/crates/cw_policy/tests/routing/main.rs
+++ b/crates/cw_policy/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Tests of routing.
+//! Tests of the choice of a target for each attempt.
 
 #[path = "../../benches/rounds/engine.rs"]
 mod engine;
--- a/crates/cw_policy/tests/routing/preference.rs
+++ b/crates/cw_policy/tests/routing/preference.rs
@@ -97,10 +97,10 @@
     }
     // Prompts without tokens have no prefill cost, so that only load and distance count.
     let first = count_choices(&idle, 1, 0);
-    let away = count_choices(&loaded, 30, 0);
+    let under_load = count_choices(&loaded, 30, 0);
 
     assert_eq!(in_zone(&first), 1);
-    assert_eq!(in_zone(&away), 0);
+    assert_eq!(in_zone(&under_load), 0);
 }
 
 #[test]
@@ -124,7 +124,7 @@
 #[rstest]
 #[case(Recovery::Thrift, true)]
 #[case(Recovery::Latency, false)]
-fn a_resumed_attempt_goes_to_the_cache_or_to_the_soonest(
+fn a_resumed_attempt_goes_to_the_cache_or_to_the_target_that_starts_it_soonest(
     #[case] recovery: Recovery,
     #[case] to_cache: bool,
 ) {
--- a/crates/cw_policy/tests/slo.rs
+++ b/crates/cw_policy/tests/slo.rs
@@ -1,4 +1,4 @@
-//! Sliding windows, burn rates, and the limit on classes.
+//! Tests of sliding windows, burn rates and the limit on the number of classes.
 
 use std::time::Duration;
 
--- a/crates/cw_policy/tests/suspicion.rs
+++ b/crates/cw_policy/tests/suspicion.rs
@@ -84,8 +84,8 @@
     let table = table_after(&[(1, 0, (0..BATCH_SIZE).collect())]);
 
     for request in 0..BATCH_SIZE {
-        let verdict = table.assess(Fingerprint(request));
-        assert_eq!(verdict, CrashSuspicion::Suspected { crashes: 1 });
+        let suspicion = table.assess(Fingerprint(request));
+        assert_eq!(suspicion, CrashSuspicion::Suspected { crashes: 1 });
     }
     assert_eq!(
         table.assess(Fingerprint(BATCH_SIZE)),
@@ -94,7 +94,7 @@
 }
 
 #[rstest]
-fn a_poison_request_is_confirmed_after_two_crashes_and_no_bystander_is() {
+fn a_poison_request_is_confirmed_after_two_crashes_and_no_other_request_is() {
     let first: Vec<u64> = (0..BATCH_SIZE).collect();
     // The suspects are spread after the first crash, so the second target runs other requests
     // beside the poison request.
@@ -106,15 +106,15 @@
         table.assess(POISON),
         CrashSuspicion::Confirmed { crashes: 2 }
     );
-    let bystanders: BTreeSet<u64> = first.into_iter().chain(second).skip(1).collect();
-    for request in bystanders.into_iter().filter(|&request| request != 0) {
-        let verdict = table.assess(Fingerprint(request));
-        assert!(!matches!(verdict, CrashSuspicion::Confirmed { .. }));
+    let others: BTreeSet<u64> = first.into_iter().chain(second).skip(1).collect();
+    for request in others.into_iter().filter(|&request| request != 0) {
+        let suspicion = table.assess(Fingerprint(request));
+        assert!(!matches!(suspicion, CrashSuspicion::Confirmed { .. }));
     }
 }
 
 #[rstest]
-fn a_companion_at_both_crashes_is_told_apart_by_the_third() {
+fn a_request_in_flight_at_both_crashes_is_distinguished_by_the_third() {
     let pair = vec![0, 1, 2];
     let two = table_after(&[(1, 0, pair.clone()), (9, 1, vec![0, 1, 50])]);
     assert_eq!(two.assess(POISON), CrashSuspicion::Suspected { crashes: 2 });
@@ -201,9 +201,9 @@
 #[case(CrashSuspicion::Suspected { crashes: 1 }, 2)]
 #[case(CrashSuspicion::Suspected { crashes: 2 }, 1)]
 #[case(CrashSuspicion::Confirmed { crashes: 3 }, 1)]
-fn one_earlier_crash_does_not_judge_a_new_call_sooner(
-    #[case] verdict: CrashSuspicion,
+fn one_earlier_crash_does_not_reduce_the_crashes_left_to_a_new_call(
+    #[case] suspicion: CrashSuspicion,
     #[case] expected: u32,
 ) {
-    assert_eq!(verdict.crashes_left(2), expected);
+    assert_eq!(suspicion.crashes_left(2), expected);
 }
