--- a/crates/cyclamenwharf/tests/control/operators.rs
+++ b/crates/cyclamenwharf/tests/control/operators.rs
@@ -209,25 +209,34 @@
     let [rita, paul, anna] =
         ["rita", "paul", "anna"].map(|key| AdminClient::new(a.control.admin_address, key));
 
-    let stranger = AdminClient::new(a.control.admin_address, "nobody")
+    let by_unknown_key = AdminClient::new(a.control.admin_address, "nobody")
         .get::<serde_json::Value>("/v1/status")
         .await;
-    let secret = first.get::<serde_json::Value>("/v1/status").await;
+    let by_shared_secret = first.get::<serde_json::Value>("/v1/status").await;
     let by_reader = rita.propose("c1", vec![put_priority("p", 1)]).await;
-    let own = anna.propose("c2", vec![put_priority("p", 1)]).await;
-    let alone = anna.accept("c2").await;
+    let own_proposal = anna.propose("c2", vec![put_priority("p", 1)]).await;
+    let own_acceptance = anna.accept("c2").await;
     let by_proposer = paul.propose("c3", vec![put_priority("p", 1)]).await;
-    let to_accept = paul.accept("c3").await;
+    let accepted_by_proposer = paul.accept("c3").await;
     let accepted = anna.accept("c3").await;
 
     let kind = |error: cyclamenwharf::admin::ErrorMessage| error.kind;
-    assert_eq!(stranger.map_err(kind), Err(AdminErrorKind::Unauthorized));
-    assert_eq!(secret.map_err(kind), Err(AdminErrorKind::Unauthorized));
+    assert_eq!(
+        by_unknown_key.map_err(kind),
+        Err(AdminErrorKind::Unauthorized)
+    );
+    assert_eq!(
+        by_shared_secret.map_err(kind),
+        Err(AdminErrorKind::Unauthorized)
+    );
     assert_eq!(by_reader.map_err(kind), Err(AdminErrorKind::Forbidden));
-    assert!(own.is_ok());
-    assert_eq!(alone.map_err(kind), Err(AdminErrorKind::Forbidden));
+    assert!(own_proposal.is_ok());
+    assert_eq!(own_acceptance.map_err(kind), Err(AdminErrorKind::Forbidden));
     assert!(by_proposer.is_ok());
-    assert_eq!(to_accept.map_err(kind), Err(AdminErrorKind::Forbidden));
+    assert_eq!(
+        accepted_by_proposer.map_err(kind),
+        Err(AdminErrorKind::Forbidden)
+    );
     let change = accepted.expect("an acceptance");
     assert_eq!(
         (change.proposer.as_str(), change.accepter.as_str()),
@@ -270,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn earlier_body_comes_back_as_a_new_revision() {
+async fn roll_forward_restores_an_earlier_body_as_a_new_revision() {
     let (_platform, a, _b) = start_two_entries().await;
     let operator = AdminClient::bootstrap(a.control.admin_address);
     for (id, rank) in [("c1", 1), ("c2", 2)] {
@@ -318,7 +327,7 @@
 }
 
 #[tokio::test]
-async fn schema_that_nobody_reads_is_refused_with_the_names_of_the_processes() {
+async fn schema_that_no_process_can_read_is_refused_with_the_names_of_the_processes() {
     let (_platform, a, _b) = start_two_entries().await;
     let operator = AdminClient::bootstrap(a.control.admin_address);
     let edit = match put_priority("p", 1) {
@@ -347,7 +356,7 @@
 }
 
 #[tokio::test]
-async fn entry_does_not_accept_on_top_of_another_history() {
+async fn entry_accepts_no_change_while_the_stored_history_has_diverged() {
     let (platform, a, _b) = start_two_entries().await;
     let operator = AdminClient::bootstrap(a.control.admin_address);
     let proposed = operator.propose("ours", vec![put_priority("p", 1)]).await;
--- a/crates/cyclamenwharf/tests/control/rolling_restart.rs
+++ b/crates/cyclamenwharf/tests/control/rolling_restart.rs
@@ -22,7 +22,7 @@
 const TOKENS: u64 = 40;
 
 /// The pause after the restart of an agent, in which old and new processes run side by side.
-const PAUSE: Duration = Duration::from_millis(1500);
+const RESTART_PAUSE: Duration = Duration::from_millis(1500);
 
 /// The limit after which the restart counts as hung, far above what it takes.
 const HANG_TIMEOUT: Duration = Duration::from_secs(120);
@@ -33,20 +33,21 @@
     rig: Arc<Rig>,
     number: u64,
     stop: Arc<AtomicBool>,
-    balancer: Arc<AtomicUsize>,
+    available_entry: Arc<AtomicUsize>,
 ) -> usize {
     let mut answers = 0;
     while !stop.load(Ordering::SeqCst) {
         answers += 1;
         let seed = number * 1_000_000 + answers as u64;
         let ask = Ask::new(ROUTE_LATENCY, "a digest", TOKENS).with_seed(seed);
-        let entry = balancer.load(Ordering::SeqCst);
+        let entry = available_entry.load(Ordering::SeqCst);
         let mut outcome = rig.caller(entry).ask(&ask).await;
         if outcome
             .as_ref()
             .is_err_and(|e| e.code() == Some("not_ready"))
         {
-            // The load balancer does not know yet that the entry is not ready, and retries at another.
+            // The load balancer does not know yet that the entry is not ready, and retries at
+            // another.
             let other = (entry + 1) % rig.entries.len();
             outcome = rig.caller(other).ask(&ask).await;
         }
@@ -62,22 +63,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn rolling_restart_of_every_process_cuts_loses_and_doubles_nothing() {
+async fn rolling_restart_of_every_process_truncates_loses_and_repeats_nothing() {
     let rig = Arc::new(Rig::start(RigSpec::default()).await.expect("a deployment"));
-    let (stop, balancer) = (Arc::new(AtomicBool::new(false)), Arc::default());
+    let (stop, available_entry) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let load: Vec<_> = (0..CALLERS)
-        .map(|n| send_until_stopped(rig.clone(), n, Arc::clone(&stop), Arc::clone(&balancer)))
+        .map(|n| {
+            send_until_stopped(
+                rig.clone(),
+                n,
+                Arc::clone(&stop),
+                Arc::clone(&available_entry),
+            )
+        })
         .map(tokio::spawn)
         .collect();
 
-    let work = async {
+    let restarts = async {
         for agent in rig.agents.iter().chain(&rig.service_agents) {
             agent.drain().await;
             agent.restart().await.expect("the ports are free");
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RESTART_PAUSE).await;
         }
         for (index, entry) in rig.entries.iter().enumerate() {
-            balancer.store((index + 1) % rig.entries.len(), Ordering::SeqCst);
+            available_entry.store((index + 1) % rig.entries.len(), Ordering::SeqCst);
             entry.drain().await;
             entry.restart().await.expect("the ports are free");
             let settings = &entry.settings;
@@ -93,7 +101,7 @@
             }
         }
     };
-    let done = tokio::time::timeout(HANG_TIMEOUT, work).await;
+    let done = tokio::time::timeout(HANG_TIMEOUT, restarts).await;
     stop.store(true, Ordering::SeqCst);
     let mut answers = 0;
     for task in load {
--- a/crates/cyclamenwharf/tests/control/version_change.rs
+++ b/crates/cyclamenwharf/tests/control/version_change.rs
@@ -84,7 +84,7 @@
         .collect();
     let engines = rig.engines.len();
 
-    let work = async {
+    let change = async {
         let version = json!({
             "model": MODEL, "version": "v2", "weights": "settlement-v1", "targets": engines,
         });
@@ -109,7 +109,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let done = tokio::time::timeout(HANG_TIMEOUT, work).await;
+    let done = tokio::time::timeout(HANG_TIMEOUT, change).await;
     stop.store(true, Ordering::SeqCst);
     for task in load {
         task.await.expect("every answer is complete");
--- a/crates/cyclamenwharf/tests/entry.rs
+++ b/crates/cyclamenwharf/tests/entry.rs
@@ -17,7 +17,7 @@
 use rstest::rstest;
 
 const STREAM_BODY: &str = r#"{"model":"chat","prompt":"hi","max_tokens":20,"stream":true}"#;
-const WHOLE_BODY: &str =
+const UNSTREAMED_BODY: &str =
     r#"{"model":"chat","prompt":"hi","max_tokens":20,"return_token_ids":true}"#;
 
 #[rstest]
@@ -35,11 +35,11 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_whole_answer_carries_text_and_token_ids() {
+async fn an_answer_without_streaming_carries_text_and_token_ids() {
     let setup = Setup::engines(1, &[Script::Run]);
     let entry = setup.entry();
 
-    let reply = complete(&entry, &[], WHOLE_BODY).await;
+    let reply = complete(&entry, &[], UNSTREAMED_BODY).await;
 
     let json = reply.json();
     assert_eq!(json["choices"][0]["text"], text(20));
@@ -112,7 +112,7 @@
     &[AUTH], r#"{"model":"chat","prompt":"x","output_so_far":[1]}"#, 422, "bad_request"
 )]
 #[tokio::test]
-async fn a_bad_request_gets_a_clear_refusal(
+async fn an_invalid_request_is_refused_with_its_status_and_error_code(
     #[case] headers: &[(&str, &str)],
     #[case] body: &str,
     #[case] status: u16,
@@ -266,15 +266,15 @@
     }
     call.abort();
     wait(setup).await;
-    cancels(setup)
+    cancel_count(setup)
 }
 
-fn cancels(setup: &Setup) -> usize {
+fn cancel_count(setup: &Setup) -> usize {
     let state = setup.engines[0].state.lock().expect("no test panics here");
     state.cancels.len()
 }
 
-fn setup_with_open_output(idempotent: bool) -> Setup {
+fn setup_with_unfinished_output(idempotent: bool) -> Setup {
     let mut setup = Setup::engines(1, &[Script::HeartbeatAfter(5)]);
     setup.idempotent = idempotent;
     setup.absence = Duration::from_millis(100);
@@ -284,27 +284,28 @@
 #[rstest]
 #[tokio::test]
 async fn a_generation_whose_caller_stays_disconnected_is_cancelled() {
-    let setup = setup_with_open_output(true);
+    let setup = setup_with_unfinished_output(true);
     let until_cancelled = async |setup: &Setup| {
-        while cancels(setup) == 0 {
+        while cancel_count(setup) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
 
-    let cancels = cancels_after_disconnect(&setup, until_cancelled).await;
+    let cancel_count = cancels_after_disconnect(&setup, until_cancelled).await;
 
-    assert_eq!(cancels, 1);
+    assert_eq!(cancel_count, 1);
 }
 
 #[rstest]
 #[tokio::test]
 async fn non_idempotent_work_continues_without_its_caller() {
-    let setup = setup_with_open_output(false);
-    let a_while = async |_: &Setup| tokio::time::sleep(Duration::from_millis(600)).await;
+    let setup = setup_with_unfinished_output(false);
+    let longer_than_absence =
+        async |_: &Setup| tokio::time::sleep(Duration::from_millis(600)).await;
 
-    let cancels = cancels_after_disconnect(&setup, a_while).await;
+    let cancel_count = cancels_after_disconnect(&setup, longer_than_absence).await;
 
-    assert_eq!((cancels, setup.dispatched()), (0, 1));
+    assert_eq!((cancel_count, setup.dispatched()), (0, 1));
 }
 
 #[rstest]
--- a/crates/cyclamenwharf/tests/entry_claims.rs
+++ b/crates/cyclamenwharf/tests/entry_claims.rs
@@ -186,7 +186,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_idempotent_request_with_a_key_is_joined_in_the_same_entry() {
+async fn a_repeated_idempotent_request_with_a_key_shares_the_first_run_in_the_same_entry() {
     let setup = Setup::engines(2, &[Script::Run]);
     let entry = setup.entry();
     let body = r#"{"model":"chat","prompt":"hi","max_tokens":20,"stream":true}"#;
--- a/crates/cyclamenwharf/tests/settings.rs
+++ b/crates/cyclamenwharf/tests/settings.rs
@@ -63,9 +63,12 @@
 fn entry_error(text: &str) -> String {
     let file = settings_file(text);
     let name = file.path().display().to_string();
-    let error = EntrySettings::read(file.path()).expect_err("the settings are wrong");
+    let error = EntrySettings::read(file.path()).expect_err("the settings are invalid");
     let message = error.to_string();
-    assert!(message.contains(&name), "names the file: {message}");
+    assert!(
+        message.contains(&name),
+        "the error does not name the file: {message}"
+    );
     message
 }
 
@@ -93,9 +96,9 @@
 #[rstest]
 fn a_complete_file_is_read() {
     let entry =
-        EntrySettings::read(settings_file(ENTRY).path()).expect("the entry's settings are right");
+        EntrySettings::read(settings_file(ENTRY).path()).expect("the entry's settings are valid");
     let agent =
-        AgentSettings::read(settings_file(AGENT).path()).expect("the agent's settings are right");
+        AgentSettings::read(settings_file(AGENT).path()).expect("the agent's settings are valid");
 
     assert_eq!(entry.host.to_string(), "entry-1");
     assert_eq!(agent.target.id.to_string(), "engine-1");
@@ -107,10 +110,13 @@
 #[case("limits = { body = \"4\" }\n", "64KiB")]
 #[case("limits = { absence = \"30\" }\n", "250ms")]
 #[case("recovery = { attempts = 0 }\n", "recovery.attempts")]
-fn a_wrong_value_is_named_with_what_is_expected(#[case] line: &str, #[case] named: &str) {
+fn the_error_of_an_invalid_value_contains_its_key_its_text_or_an_example(
+    #[case] line: &str,
+    #[case] expected: &str,
+) {
     let message = entry_error(&format!("{line}{ENTRY}"));
 
-    assert!(message.contains(named), "{message}");
+    assert!(message.contains(expected), "{message}");
 }
 
 #[rstest]
@@ -121,7 +127,7 @@
 }
 
 #[rstest]
-fn no_secret_is_refused() {
+fn an_empty_list_of_secrets_is_refused() {
     let message = entry_error(&ENTRY.replace("[\"one\"]", "[]"));
 
     assert!(message.contains("secrets.peers"), "{message}");
@@ -130,9 +136,9 @@
 #[rstest]
 fn the_documentation_lists_each_setting_and_no_other() {
     let entry =
-        EntrySettings::read(settings_file(ENTRY).path()).expect("the entry's settings are right");
+        EntrySettings::read(settings_file(ENTRY).path()).expect("the entry's settings are valid");
     let agent =
-        AgentSettings::read(settings_file(AGENT).path()).expect("the agent's settings are right");
+        AgentSettings::read(settings_file(AGENT).path()).expect("the agent's settings are valid");
     let (mut entry_keys, mut agent_keys) = (BTreeSet::new(), BTreeSet::new());
 
     collect_keys("", &Table::try_from(entry).expect("TOML"), &mut entry_keys);
