--- a/crates/cw_testkit/src/caller/client.rs
+++ b/crates/cw_testkit/src/caller/client.rs
@@ -21,12 +21,12 @@
 use serde_json::Value;
 use snafu::Snafu;
 
-use super::Answer;
-use super::Ask;
-use super::Reading;
+use super::Completion;
+use super::CompletionReader;
+use super::CompletionRequest;
 
 /// Where completions are asked for.
-const COMPLETIONS: &str = "/v1/completions";
+const COMPLETIONS_PATH: &str = "/v1/completions";
 
 /// A call that did not end in an answer.
 #[derive(Debug, Snafu)]
@@ -45,7 +45,7 @@
         /// The body.
         body: Value,
         /// `Retry-After`, where it is given.
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
     },
 }
 
@@ -74,7 +74,7 @@
 
 /// A whole answer of any kind.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
+pub struct CallResponse {
     /// The HTTP status.
     pub status: StatusCode,
     /// The headers.
@@ -83,7 +83,7 @@
     pub body: Bytes,
 }
 
-impl Reply {
+impl CallResponse {
     /// Returns the body as JSON, or null.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
@@ -97,18 +97,18 @@
     /// The entry.
     pub entry: SocketAddr,
     /// The API key.
-    pub key: String,
+    pub api_key: String,
 }
 
 impl Caller {
     /// Returns a caller with connections of its own.
-    pub fn new(entry: SocketAddr, key: &str) -> Self {
+    pub fn new(entry: SocketAddr, api_key: &str) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
             entry,
-            key: key.to_owned(),
+            api_key: api_key.to_owned(),
         }
     }
 
@@ -125,24 +125,24 @@
     /// # Errors
     ///
     /// See [`CallError`].
-    pub async fn ask(&self, ask: &Ask) -> Result<Answer, CallError> {
-        if ask.stream {
-            return self.open(ask).await?.finish().await;
+    pub async fn complete(&self, request: &CompletionRequest) -> Result<Completion, CallError> {
+        if request.stream {
+            return self.open_stream(request).await?.finish().await;
         }
-        let response = self.post(&ask.headers, &ask.body()).await?;
+        let response = self.post(&request.headers, &request.body()).await?;
         let body = response
             .into_body()
             .collect()
             .await
             .map_err(CallError::broken)?;
         let value: Value = serde_json::from_slice(&body.to_bytes()).map_err(CallError::broken)?;
-        let mut answer = Answer {
+        let mut completion = Completion {
             closed: true,
             error: value.get("error").cloned(),
-            ..Answer::default()
+            ..Completion::default()
         };
-        answer.take(&value);
-        Ok(answer)
+        completion.append(&value);
+        Ok(completion)
     }
 
     /// Asks for a generation and returns its stream.
@@ -150,9 +150,12 @@
     /// # Errors
     ///
     /// See [`CallError`].
-    pub async fn open(&self, ask: &Ask) -> Result<Reading, CallError> {
-        let response = self.post(&ask.headers, &ask.body()).await?;
-        Ok(Reading::new(response.into_body()))
+    pub async fn open_stream(
+        &self,
+        request: &CompletionRequest,
+    ) -> Result<CompletionReader, CallError> {
+        let response = self.post(&request.headers, &request.body()).await?;
+        Ok(CompletionReader::new(response.into_body()))
     }
 
     /// Asks for a generation with a body of one's own and returns its stream.
@@ -160,9 +163,9 @@
     /// # Errors
     ///
     /// See [`CallError`].
-    pub async fn open_body(&self, body: &Value) -> Result<Reading, CallError> {
+    pub async fn open_stream_with_body(&self, body: &Value) -> Result<CompletionReader, CallError> {
         let response = self.post(&BTreeMap::new(), body).await?;
-        Ok(Reading::new(response.into_body()))
+        Ok(CompletionReader::new(response.into_body()))
     }
 
     /// Makes any call and reads the whole answer, whatever its status.
@@ -176,11 +179,11 @@
         path: &str,
         headers: &BTreeMap<String, String>,
         body: impl Into<Bytes>,
-    ) -> Result<Reply, CallError> {
+    ) -> Result<CallResponse, CallError> {
         let response = self.send(method, path, headers, body.into()).await?;
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(CallError::broken)?;
-        Ok(Reply {
+        Ok(CallResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
@@ -193,7 +196,9 @@
         body: &Value,
     ) -> Result<Response<Incoming>, CallError> {
         let body = Bytes::from(body.to_string());
-        let response = self.send(Method::POST, COMPLETIONS, headers, body).await?;
+        let response = self
+            .send(Method::POST, COMPLETIONS_PATH, headers, body)
+            .await?;
         match response.status() {
             StatusCode::OK => Ok(response),
             status => refusal(status, response).await,
@@ -210,7 +215,7 @@
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.entry))
-            .header(AUTHORIZATION, format!("Bearer {}", self.key))
+            .header(AUTHORIZATION, format!("Bearer {}", self.api_key))
             .header(CONTENT_TYPE, "application/json");
         for (name, value) in headers {
             request = request.header(name, value);
@@ -237,6 +242,6 @@
     Err(CallError::Refused {
         status,
         body: serde_json::from_slice(&body.to_bytes()).unwrap_or_default(),
-        retry: seconds.map(Duration::from_secs),
+        retry_after: seconds.map(Duration::from_secs),
     })
 }
--- a/crates/cw_testkit/src/caller/answer.rs
+++ b/crates/cw_testkit/src/caller/completion.rs
@@ -21,7 +21,7 @@
 
 /// What a caller has received of one generation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct Completion {
     /// The tokens.
     pub ids: Vec<TokenId>,
     /// The text.
@@ -29,24 +29,24 @@
     /// When tokens came.
     pub arrivals: Vec<Arrival>,
     /// The id of the last event.
-    pub last_id: Option<String>,
+    pub last_event_id: Option<String>,
     /// How the output ended, if it is whole.
-    pub finish: Option<String>,
+    pub finish_reason: Option<String>,
     /// Whether the stream was closed as it should be.
     pub closed: bool,
     /// The error that ended the stream.
     pub error: Option<Value>,
 }
 
-impl Answer {
+impl Completion {
     /// Returns whether the whole answer came.
-    pub fn is_whole(&self) -> bool {
-        self.finish.is_some() && self.closed && self.error.is_none()
+    pub fn is_complete(&self) -> bool {
+        self.finish_reason.is_some() && self.closed && self.error.is_none()
     }
 
     /// Adds an event of a stream.
     pub fn push(&mut self, event: &Event) {
-        self.last_id = event.id.clone().or(self.last_id.take());
+        self.last_event_id = event.id.clone().or(self.last_event_id.take());
         let Some(data) = &event.data else {
             self.closed = true;
             return;
@@ -55,7 +55,7 @@
             self.error = Some(error.clone());
             return;
         }
-        self.take(data);
+        self.append(data);
         if !self.ids.is_empty() && self.arrivals.last().map(|a| a.tokens) != Some(self.ids.len()) {
             self.arrivals.push(Arrival {
                 at: event.at,
@@ -66,7 +66,7 @@
     }
 
     /// Adds what a body or an event holds.
-    pub fn take(&mut self, data: &Value) {
+    pub fn append(&mut self, data: &Value) {
         let choice = &data["choices"][0];
         let ids = choice["token_ids"].as_array().into_iter().flatten();
         let id = |value: &Value| u32::try_from(value.as_u64()?).ok().map(TokenId);
@@ -77,13 +77,13 @@
             .or(message)
             .or(choice["message"]["content"].as_str());
         self.text.push_str(text.unwrap_or_default());
-        if let Some(finish) = choice["finish_reason"].as_str() {
-            self.finish = Some(finish.to_owned());
+        if let Some(reason) = choice["finish_reason"].as_str() {
+            self.finish_reason = Some(reason.to_owned());
         }
     }
 
     /// Returns when the first token came.
-    pub fn first_at(&self) -> Option<Instant> {
+    pub fn first_token_at(&self) -> Option<Instant> {
         self.arrivals.first().map(|arrival| arrival.at)
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Returns how long after a fault the stream went on: the end of its longest gap since.
-    pub fn resumed_after(&self, fault: Instant) -> Option<Duration> {
+    pub fn resume_latency(&self, fault: Instant) -> Option<Duration> {
         let start = self.arrivals.iter().rposition(|a| a.at <= fault)?;
         let gap = |pair: &&[Arrival]| pair[1].at - pair[0].at;
         let longest = self.arrivals[start..].windows(2).max_by_key(gap)?;
--- a/crates/cw_testkit/src/caller/reading.rs
+++ b/crates/cw_testkit/src/caller/completion_reader.rs
@@ -8,11 +8,11 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-use super::Answer;
 use super::CallError;
+use super::Completion;
 
 /// The end of a stream.
-const DONE: &[u8] = b"[DONE]";
+const END_OF_STREAM: &[u8] = b"[DONE]";
 
 /// One server-sent event.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,20 +27,20 @@
 
 /// A stream that is being read.
 #[derive(Debug)]
-pub struct Reading {
+pub struct CompletionReader {
     body: Incoming,
     buffer: BytesMut,
     /// What has been read so far.
-    pub answer: Answer,
+    pub completion: Completion,
 }
 
-impl Reading {
+impl CompletionReader {
     /// Starts to read a body.
     pub(super) fn new(body: Incoming) -> Self {
         Self {
             body,
             buffer: BytesMut::new(),
-            answer: Answer::default(),
+            completion: Completion::default(),
         }
     }
 
@@ -51,8 +51,8 @@
     /// Fails when the connection breaks or an event is not one.
     pub async fn next(&mut self) -> Result<Option<Event>, CallError> {
         loop {
-            if let Some(event) = self.take_event()? {
-                self.answer.push(&event);
+            if let Some(event) = self.next_buffered_event()? {
+                self.completion.push(&event);
                 return Ok(Some(event));
             }
             let Some(frame) = self.body.frame().await else {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Reads until the answer has `tokens` tokens or the stream ends.
+    /// Reads until the completion has `tokens` tokens or the stream ends.
     ///
     /// # Errors
     ///
-    /// See [`Reading::next`].
+    /// See [`CompletionReader::next`].
     pub async fn read_tokens(&mut self, tokens: usize) -> Result<(), CallError> {
-        while self.answer.ids.len() < tokens && self.next().await?.is_some() {}
+        while self.completion.ids.len() < tokens && self.next().await?.is_some() {}
         Ok(())
     }
 
@@ -77,20 +77,20 @@
     ///
     /// # Errors
     ///
-    /// See [`Reading::next`].
-    pub async fn finish(mut self) -> Result<Answer, CallError> {
+    /// See [`CompletionReader::next`].
+    pub async fn finish(mut self) -> Result<Completion, CallError> {
         while self.next().await?.is_some() {}
-        Ok(self.answer)
+        Ok(self.completion)
     }
 
-    fn take_event(&mut self) -> Result<Option<Event>, CallError> {
+    fn next_buffered_event(&mut self) -> Result<Option<Event>, CallError> {
         loop {
             let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") else {
                 return Ok(None);
             };
             let block = self.buffer.split_to(end);
             self.buffer.advance(2);
-            if let Some(event) = parse(&block)? {
+            if let Some(event) = parse_event(&block)? {
                 return Ok(Some(event));
             }
         }
@@ -98,7 +98,7 @@
 }
 
 /// Reads one block of lines; one without data is a comment.
-fn parse(block: &[u8]) -> Result<Option<Event>, CallError> {
+fn parse_event(block: &[u8]) -> Result<Option<Event>, CallError> {
     let mut id = None;
     let mut data = None;
     for line in block.split(|byte| *byte == b'\n') {
@@ -113,7 +113,7 @@
         return Ok(None);
     };
     let data = match data {
-        DONE => None,
+        END_OF_STREAM => None,
         data => Some(serde_json::from_slice(data).map_err(CallError::broken)?),
     };
     let at = Instant::now();
--- a/crates/cw_testkit/src/caller/ask.rs
+++ b/crates/cw_testkit/src/caller/completion_request.rs
@@ -12,40 +12,40 @@
 
 /// One request for a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct CompletionRequest {
     /// The route.
     pub model: String,
     /// The prompt.
     pub prompt: String,
     /// The most tokens of the output.
-    pub tokens: u64,
+    pub max_tokens: u64,
     /// The seed.
     pub seed: u64,
     /// Whether the answer is a stream of events.
     pub stream: bool,
     /// The output that the caller holds already.
-    pub so_far: Vec<TokenId>,
+    pub output_so_far: Vec<TokenId>,
     /// Further headers.
     pub headers: BTreeMap<String, String>,
 }
 
-impl Ask {
+impl CompletionRequest {
     /// Returns a request for a stream.
-    pub fn new(model: &str, prompt: &str, tokens: u64) -> Self {
+    pub fn new(model: &str, prompt: &str, max_tokens: u64) -> Self {
         Self {
             model: model.to_owned(),
             prompt: prompt.to_owned(),
-            tokens,
+            max_tokens,
             seed: 7,
             stream: true,
-            so_far: Vec::new(),
+            output_so_far: Vec::new(),
             headers: BTreeMap::new(),
         }
     }
 
     /// Asks for the whole answer in one piece.
     #[must_use]
-    pub fn whole(mut self) -> Self {
+    pub fn non_streaming(mut self) -> Self {
         self.stream = false;
         self
     }
@@ -66,15 +66,15 @@
 
     /// Says which tokens the caller holds already.
     #[must_use]
-    pub fn with_so_far(mut self, tokens: Vec<TokenId>) -> Self {
-        self.so_far = tokens;
+    pub fn with_output_so_far(mut self, tokens: Vec<TokenId>) -> Self {
+        self.output_so_far = tokens;
         self
     }
 
     /// Returns the output that the stand-in engine produces for this request.
     pub fn expected(&self, model: &str, version: &str) -> Vec<TokenId> {
         let prompt = prompt_ids(&Prompt::Text(self.prompt.clone()));
-        TokenSource::new(&prompt, [model, version, ""], self.seed).ids(self.tokens)
+        TokenSource::new(&prompt, [model, version, ""], self.seed).ids(self.max_tokens)
     }
 
     /// Returns the request's body.
@@ -82,13 +82,13 @@
         let mut body = json!({
             "model": self.model,
             "prompt": self.prompt,
-            "max_tokens": self.tokens,
+            "max_tokens": self.max_tokens,
             "seed": self.seed,
             "stream": self.stream,
             "return_token_ids": true,
         });
-        if !self.so_far.is_empty() {
-            body["output_so_far"] = json!(self.so_far);
+        if !self.output_so_far.is_empty() {
+            body["output_so_far"] = json!(self.output_so_far);
         }
         body
     }
--- a/crates/cw_testkit/src/caller/mod.rs
+++ b/crates/cw_testkit/src/caller/mod.rs
@@ -1,15 +1,15 @@
 //! A small client of the callers' interface.
 
-mod answer;
-mod ask;
 mod client;
-mod reading;
+mod completion;
+mod completion_reader;
+mod completion_request;
 
-pub use answer::Answer;
-pub use answer::Arrival;
-pub use ask::Ask;
 pub use client::CallError;
+pub use client::CallResponse;
 pub use client::Caller;
-pub use client::Reply;
-pub use reading::Event;
-pub use reading::Reading;
+pub use completion::Arrival;
+pub use completion::Completion;
+pub use completion_reader::CompletionReader;
+pub use completion_reader::Event;
+pub use completion_request::CompletionRequest;
--- a/crates/cw_testkit/src/deployment/rig_spec.rs
+++ b/crates/cw_testkit/src/deployment/deployment_spec.rs
@@ -28,7 +28,7 @@
 
 /// How large a deployment is, and how its parts are set.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RigSpec {
+pub struct DeploymentSpec {
     /// The number of entries.
     pub entries: usize,
     /// The number of engines.
@@ -46,7 +46,7 @@
     /// How fast engines are.
     pub timings: EngineTimings,
     /// The agents' limits.
-    pub agent: EngineSettings,
+    pub engine: EngineSettings,
     /// The entries' limits.
     pub limits: LimitSettings,
     /// How entries notice lost attempts.
@@ -56,12 +56,12 @@
     /// How entries choose targets.
     pub routing: RoutingSettings,
     /// Whether entries reach each agent through a [`crate::Forwarder`].
-    pub forwarded: bool,
+    pub with_forwarders: bool,
     /// Whether the agents of plain services start only after everything else.
     pub late_services: bool,
 }
 
-impl Default for RigSpec {
+impl Default for DeploymentSpec {
     fn default() -> Self {
         Self {
             entries: 2,
@@ -76,18 +76,18 @@
             },
             patience: Duration::from_secs(10),
             timings: EngineTimings::default(),
-            agent: EngineSettings::default(),
+            engine: EngineSettings::default(),
             limits: LimitSettings::default(),
             recovery: RecoverySettings::default(),
             trace: TraceSettings::default(),
             routing: RoutingSettings::default(),
-            forwarded: false,
+            with_forwarders: false,
             late_services: false,
         }
     }
 }
 
-impl RigSpec {
+impl DeploymentSpec {
     /// Sets the number of entries.
     #[must_use]
     pub fn with_entries(mut self, count: usize) -> Self {
@@ -140,7 +140,7 @@
     /// Puts a forwarder before each agent.
     #[must_use]
     pub fn with_forwarders(mut self) -> Self {
-        self.forwarded = true;
+        self.with_forwarders = true;
         self
     }
 
--- a/crates/cw_testkit/src/deployment/mod.rs
+++ b/crates/cw_testkit/src/deployment/mod.rs
@@ -1,21 +1,21 @@
 //! A whole small deployment in one process, on loopback.
 
+mod deployment_spec;
 mod node;
 mod records;
-mod rig;
-mod rig_spec;
 mod settings_files;
+mod test_deployment;
 
+pub use deployment_spec::DeploymentSpec;
+pub use deployment_spec::MODEL;
+pub use deployment_spec::ROUTE_LATENCY;
+pub use deployment_spec::ROUTE_THRIFT;
+pub use deployment_spec::SERVICE;
+pub use deployment_spec::SERVICE_ONCE;
+pub use deployment_spec::VERSION;
 pub use node::EntryNode;
 pub use node::TargetNode;
 pub use records::api_key;
-pub use rig::Rig;
-pub use rig::RigError;
-pub use rig_spec::MODEL;
-pub use rig_spec::ROUTE_LATENCY;
-pub use rig_spec::ROUTE_THRIFT;
-pub use rig_spec::RigSpec;
-pub use rig_spec::SERVICE;
-pub use rig_spec::SERVICE_ONCE;
-pub use rig_spec::VERSION;
 pub use settings_files::write_settings;
+pub use test_deployment::DeploymentError;
+pub use test_deployment::TestDeployment;
--- a/crates/cw_testkit/src/deployment/node.rs
+++ b/crates/cw_testkit/src/deployment/node.rs
@@ -12,7 +12,7 @@
 use cyclamenwharf::EntrySettings;
 use tokio::sync::Mutex;
 
-use super::RigError;
+use super::DeploymentError;
 
 /// An entry that can be killed and started again where it was.
 #[derive(Debug)]
@@ -24,10 +24,10 @@
 
 impl EntryNode {
     /// Starts an entry.
-    pub(super) async fn start(mut settings: EntrySettings) -> Result<Self, RigError> {
+    pub(super) async fn start(mut settings: EntrySettings) -> Result<Self, DeploymentError> {
         let handle = Entry::start(settings.clone())
             .await
-            .map_err(RigError::new)?;
+            .map_err(DeploymentError::new)?;
         settings.listen.callers = handle.callers;
         settings.listen.peers = handle.peers;
         settings.listen.admin = handle.admin;
@@ -38,7 +38,7 @@
     }
 
     /// Returns where callers reach it.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn caller_address(&self) -> SocketAddr {
         self.settings.listen.callers
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Returns the targets that it takes to be alive.
-    pub async fn alive(&self) -> BTreeSet<TargetId> {
+    pub async fn live_targets(&self) -> BTreeSet<TargetId> {
         let handle = self.handle.lock().await;
         handle.as_ref().map_or(BTreeSet::new(), EntryHandle::alive)
     }
@@ -73,11 +73,11 @@
     /// # Errors
     ///
     /// Fails when its ports were taken meanwhile.
-    pub async fn restart(&self) -> Result<(), RigError> {
+    pub async fn restart(&self) -> Result<(), DeploymentError> {
         self.kill().await;
-        let mut place = self.handle.lock().await;
+        let mut slot = self.handle.lock().await;
         let handle = Entry::start(self.settings.clone()).await;
-        *place = Some(handle.map_err(RigError::new)?);
+        *slot = Some(handle.map_err(DeploymentError::new)?);
         Ok(())
     }
 }
@@ -92,10 +92,10 @@
 
 impl TargetNode {
     /// Starts an agent.
-    pub(super) async fn start(mut settings: AgentSettings) -> Result<Self, RigError> {
+    pub(super) async fn start(mut settings: AgentSettings) -> Result<Self, DeploymentError> {
         let handle = Agent::start(settings.clone())
             .await
-            .map_err(RigError::new)?;
+            .map_err(DeploymentError::new)?;
         settings.listen.peers = handle.peers;
         settings.listen.admin = handle.admin;
         Ok(Self {
@@ -123,11 +123,11 @@
     /// # Errors
     ///
     /// Fails when its ports were taken meanwhile.
-    pub async fn restart(&self) -> Result<(), RigError> {
+    pub async fn restart(&self) -> Result<(), DeploymentError> {
         self.kill().await;
-        let mut place = self.handle.lock().await;
+        let mut slot = self.handle.lock().await;
         let handle = Agent::start(self.settings.clone()).await;
-        *place = Some(handle.map_err(RigError::new)?);
+        *slot = Some(handle.map_err(DeploymentError::new)?);
         Ok(())
     }
 }
--- a/crates/cw_testkit/src/deployment/records.rs
+++ b/crates/cw_testkit/src/deployment/records.rs
@@ -21,18 +21,18 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use super::rig_spec::MODEL;
-use super::rig_spec::ROUTE_LATENCY;
-use super::rig_spec::ROUTE_THRIFT;
-use super::rig_spec::RigSpec;
-use super::rig_spec::SERVICE;
-use super::rig_spec::SERVICE_ONCE;
-use super::rig_spec::VERSION;
+use super::deployment_spec::DeploymentSpec;
+use super::deployment_spec::MODEL;
+use super::deployment_spec::ROUTE_LATENCY;
+use super::deployment_spec::ROUTE_THRIFT;
+use super::deployment_spec::SERVICE;
+use super::deployment_spec::SERVICE_ONCE;
+use super::deployment_spec::VERSION;
 
 /// The priority of all routes.
-const PRIORITY: &str = "normal";
+const NORMAL_PRIORITY: &str = "normal";
 /// The priority above it.
-const PRIORITY_HIGH: &str = "high";
+const HIGH_PRIORITY: &str = "high";
 
 /// Returns the API key of a workspace.
 pub fn api_key(workspace: usize) -> String {
@@ -40,34 +40,42 @@
 }
 
 /// Returns all records of a deployment with these targets.
-pub(super) fn snapshot(spec: &RigSpec, targets: BTreeMap<TargetId, Target>) -> Snapshot {
+pub(super) fn snapshot(spec: &DeploymentSpec, targets: BTreeMap<TargetId, Target>) -> Snapshot {
     let mut records = vec![
-        record(RecordKind::Priority, PRIORITY, &Priority { rank: 1 }),
-        record(RecordKind::Priority, PRIORITY_HIGH, &Priority { rank: 2 }),
-        record(RecordKind::ModelVersion, "settlement-v1", &version(spec)),
+        record(RecordKind::Priority, NORMAL_PRIORITY, &Priority { rank: 1 }),
+        record(RecordKind::Priority, HIGH_PRIORITY, &Priority { rank: 2 }),
+        record(
+            RecordKind::ModelVersion,
+            "settlement-v1",
+            &model_version(spec),
+        ),
         record(
             RecordKind::Route,
             ROUTE_LATENCY,
-            &model(spec, Recovery::Latency),
+            &model_route(spec, Recovery::Latency),
         ),
         record(
             RecordKind::Route,
             ROUTE_THRIFT,
-            &model(spec, Recovery::Thrift),
+            &model_route(spec, Recovery::Thrift),
+        ),
+        record(
+            RecordKind::Route,
+            SERVICE,
+            &service_route(spec, SERVICE, true),
         ),
-        record(RecordKind::Route, SERVICE, &service(spec, SERVICE, true)),
         record(
             RecordKind::Route,
             SERVICE_ONCE,
-            &service(spec, SERVICE_ONCE, false),
+            &service_route(spec, SERVICE_ONCE, false),
         ),
     ];
-    for number in 0..spec.workspaces {
-        let name = format!("workspace-{number}");
+    for index in 0..spec.workspaces {
+        let name = format!("workspace-{index}");
         records.push(record(
             RecordKind::Workspace,
             &name,
-            &workspace(spec, number),
+            &workspace(spec, index),
         ));
     }
     for (id, target) in targets {
@@ -84,7 +92,7 @@
     }
 }
 
-fn version(spec: &RigSpec) -> ModelVersion {
+fn model_version(spec: &DeploymentSpec) -> ModelVersion {
     ModelVersion {
         model: MODEL.parse().expect("a valid name"),
         version: VERSION.parse().expect("a valid name"),
@@ -95,7 +103,7 @@
     }
 }
 
-fn model(spec: &RigSpec, recovery: Recovery) -> Route {
+fn model_route(spec: &DeploymentSpec, recovery: Recovery) -> Route {
     let to = RouteTarget::Model {
         model: MODEL.parse().expect("a valid name"),
         version: VERSION.parse().expect("a valid name"),
@@ -104,27 +112,27 @@
     route(spec, to, recovery, true)
 }
 
-fn service(spec: &RigSpec, name: &str, idempotent: bool) -> Route {
+fn service_route(spec: &DeploymentSpec, name: &str, idempotent: bool) -> Route {
     let to = RouteTarget::Service {
         service: name.to_owned(),
     };
     route(spec, to, Recovery::Latency, idempotent)
 }
 
-fn route(spec: &RigSpec, to: RouteTarget, recovery: Recovery, idempotent: bool) -> Route {
+fn route(spec: &DeploymentSpec, to: RouteTarget, recovery: Recovery, idempotent: bool) -> Route {
     Route {
         to,
         workspaces: BTreeSet::new(),
-        priority: PRIORITY.parse().expect("a valid name"),
+        priority: NORMAL_PRIORITY.parse().expect("a valid name"),
         recovery,
         idempotent,
         patience: spec.patience,
     }
 }
 
-fn workspace(spec: &RigSpec, number: usize) -> Workspace {
+fn workspace(spec: &DeploymentSpec, index: usize) -> Workspace {
     Workspace {
-        keys: vec![KeyHash::of(&api_key(number))],
+        keys: vec![KeyHash::of(&api_key(index))],
         quota: spec.quota.clone(),
         weight: 1,
     }
--- a/crates/cw_testkit/src/deployment/settings_files.rs
+++ b/crates/cw_testkit/src/deployment/settings_files.rs
@@ -3,19 +3,19 @@
 use std::io;
 use std::path::Path;
 
-use super::Rig;
+use super::TestDeployment;
 
 /// Writes one settings file for each process of a deployment, and the key of its first caller.
 ///
 /// # Errors
 ///
 /// Fails when a file cannot be written.
-pub fn write_settings(rig: &Rig, directory: &Path) -> io::Result<()> {
+pub fn write_settings(deployment: &TestDeployment, directory: &Path) -> io::Result<()> {
     std::fs::create_dir_all(directory)?;
-    for entry in &rig.entries {
+    for entry in &deployment.entries {
         write(directory, entry.settings.host.as_str(), &entry.settings)?;
     }
-    for node in rig.agents.iter().chain(&rig.service_agents) {
+    for node in deployment.agents.iter().chain(&deployment.service_agents) {
         write(directory, node.settings.target.id.as_str(), &node.settings)?;
     }
     Ok(())
--- a/crates/cw_testkit/src/deployment/rig.rs
+++ b/crates/cw_testkit/src/deployment/test_deployment.rs
@@ -28,49 +28,49 @@
 use futures::future::try_join_all;
 use snafu::Snafu;
 
-use crate::Ask;
 use crate::Caller;
-use crate::Engine;
+use crate::CompletionRequest;
 use crate::EngineSpec;
+use crate::FakeEngine;
+use crate::FakeEtcd;
+use crate::FakeHostList;
+use crate::FakeService;
+use crate::FakeWeightStore;
 use crate::Forwarder;
-use crate::HostList;
-use crate::KeyValue;
-use crate::PlainService;
-use crate::WeightStore;
 
+use super::DeploymentSpec;
 use super::EntryNode;
-use super::RigSpec;
 use super::TargetNode;
+use super::deployment_spec::MODEL;
+use super::deployment_spec::ROUTE_LATENCY;
+use super::deployment_spec::SERVICE;
+use super::deployment_spec::SERVICE_ONCE;
+use super::deployment_spec::VERSION;
 use super::records::api_key;
 use super::records::snapshot;
-use super::rig_spec::MODEL;
-use super::rig_spec::ROUTE_LATENCY;
-use super::rig_spec::SERVICE;
-use super::rig_spec::SERVICE_ONCE;
-use super::rig_spec::VERSION;
 
 /// The key of the configuration.
 const CONFIG_KEY: &str = "cyclamenwharf/config";
 /// The region of everything.
 const REGION: &str = "region-0";
 /// The secret of all processes.
-const SECRET: &str = "a-secret-for-a-look";
+const PEER_SECRET: &str = "a-secret-for-a-look";
 /// How long a deployment may take until every target serves.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long after everything else late services start: well after the first request is answered.
-const LATE_PAUSE: Duration = Duration::from_millis(500);
+const LATE_SERVICE_DELAY: Duration = Duration::from_millis(500);
 /// The pause between two looks whether it does.
-const READY_PAUSE: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A deployment that does not start.
 #[derive(Debug, Snafu)]
 #[snafu(display("{message}"))]
-pub struct RigError {
+pub struct DeploymentError {
     /// What happened.
     pub message: String,
 }
 
-impl RigError {
+impl DeploymentError {
     pub(super) fn new(error: impl std::fmt::Display) -> Self {
         let message = error.to_string();
         Self { message }
@@ -79,60 +79,61 @@
 
 /// A whole small deployment in one process, on loopback.
 #[derive(Debug)]
-pub struct Rig {
+pub struct TestDeployment {
     /// What it was built from.
-    pub spec: RigSpec,
+    pub spec: DeploymentSpec,
     /// The key-value service.
-    pub key_value: KeyValue,
+    pub key_value: FakeEtcd,
     /// The host list.
-    pub host_list: HostList,
+    pub host_list: FakeHostList,
     /// The weight store.
-    pub weight_store: WeightStore,
+    pub weight_store: FakeWeightStore,
     /// The engines.
-    pub engines: Vec<Engine>,
+    pub engines: Vec<FakeEngine>,
     /// The agents of the engines, in the same order.
     pub agents: Vec<TargetNode>,
     /// The forwarders before the agents of the engines, if asked for, in the same order.
     pub forwarders: Vec<Forwarder>,
     /// The plain services.
-    pub services: Vec<PlainService>,
+    pub services: Vec<FakeService>,
     /// The agents of the services, in the same order.
     pub service_agents: Vec<TargetNode>,
     /// The entries.
     pub entries: Vec<EntryNode>,
 }
 
-impl Rig {
+impl TestDeployment {
     /// Starts a deployment and returns when it answers callers.
     ///
     /// # Errors
     ///
     /// Fails when a part does not start.
-    pub async fn start(spec: RigSpec) -> Result<Self, RigError> {
-        let mut rig = Self::platform(spec).await?;
-        rig.start_entries().await?;
-        rig.start_targets().await?;
-        rig.start_forwarders().await?;
-        if rig.spec.late_services {
-            rig.stop_services().await;
+    pub async fn start(spec: DeploymentSpec) -> Result<Self, DeploymentError> {
+        let mut deployment = Self::start_platform(spec).await?;
+        deployment.start_entries().await?;
+        deployment.start_targets().await?;
+        deployment.start_forwarders().await?;
+        if deployment.spec.late_services {
+            deployment.stop_services().await;
         }
-        rig.write_records()?;
-        let (ready, started) = join(rig.wait_ready(), rig.start_late()).await;
+        deployment.write_config()?;
+        let (ready, started) =
+            join(deployment.wait_ready(), deployment.start_late_services()).await;
         started.and(ready)?;
-        Ok(rig)
+        Ok(deployment)
     }
 
     /// Returns a caller of an entry, with the API key of the first workspace.
     pub fn caller(&self, entry: usize) -> Caller {
-        Caller::new(self.entries[entry].callers(), &api_key(0))
+        Caller::new(self.entries[entry].caller_address(), &api_key(0))
     }
 
-    /// Returns the number of the engine of this name.
+    /// Returns the index of the engine of this name.
     ///
     /// # Panics
     ///
     /// Panics when no engine has this name.
-    pub fn engine_number(&self, name: &str) -> usize {
+    pub fn engine_index(&self, name: &str) -> usize {
         let is_named = |node: &TargetNode| node.settings.target.id.as_str() == name;
         let found = self.agents.iter().position(is_named);
         found.expect("the name is of an engine of this deployment")
@@ -162,13 +163,13 @@
 
     // ---- Parts
 
-    async fn platform(spec: RigSpec) -> Result<Self, RigError> {
+    async fn start_platform(spec: DeploymentSpec) -> Result<Self, DeploymentError> {
         let weights = BTreeMap::from([("settlement-v1".to_owned(), ByteSize::mib(64))]);
-        let weight_store = WeightStore::start(weights, ByteSize::mib(256)).await;
+        let weight_store = FakeWeightStore::start(weights, ByteSize::mib(256)).await;
         Ok(Self {
-            key_value: KeyValue::start().await.map_err(RigError::new)?,
-            host_list: HostList::start().await.map_err(RigError::new)?,
-            weight_store: weight_store.map_err(RigError::new)?,
+            key_value: FakeEtcd::start().await.map_err(DeploymentError::new)?,
+            host_list: FakeHostList::start().await.map_err(DeploymentError::new)?,
+            weight_store: weight_store.map_err(DeploymentError::new)?,
             engines: Vec::new(),
             agents: Vec::new(),
             forwarders: Vec::new(),
@@ -179,9 +180,9 @@
         })
     }
 
-    async fn start_entries(&mut self) -> Result<(), RigError> {
+    async fn start_entries(&mut self) -> Result<(), DeploymentError> {
         let settings: Vec<_> = (0..self.spec.entries)
-            .map(|n| self.entry_settings(n))
+            .map(|index| self.entry_settings(index))
             .collect();
         let starts = settings.into_iter().map(EntryNode::start);
         self.entries = try_join_all(starts).await?;
@@ -194,7 +195,7 @@
         Ok(())
     }
 
-    async fn start_targets(&mut self) -> Result<(), RigError> {
+    async fn start_targets(&mut self) -> Result<(), DeploymentError> {
         let engine = EngineSpec {
             fenced: true,
             weights: Some(self.weight_store.address),
@@ -203,31 +204,31 @@
         let engine = engine
             .with_version(MODEL, VERSION)
             .with_timings(self.spec.timings.clone());
-        let engines = (0..self.spec.engines).map(|_| Engine::start(engine.clone()));
-        self.engines = try_join_all(engines).await.map_err(RigError::new)?;
-        let services = (0..self.spec.services).map(|_| PlainService::start());
-        self.services = try_join_all(services).await.map_err(RigError::new)?;
+        let engines = (0..self.spec.engines).map(|_| FakeEngine::start(engine.clone()));
+        self.engines = try_join_all(engines).await.map_err(DeploymentError::new)?;
+        let services = (0..self.spec.services).map(|_| FakeService::start());
+        self.services = try_join_all(services).await.map_err(DeploymentError::new)?;
         let settings: Vec<_> = (0..self.spec.engines)
-            .map(|n| self.engine_target(n))
+            .map(|index| self.engine_agent_settings(index))
             .collect();
         self.agents = try_join_all(settings.into_iter().map(TargetNode::start)).await?;
         let settings: Vec<_> = (0..self.spec.services)
-            .map(|n| self.service_target(n))
+            .map(|index| self.service_agent_settings(index))
             .collect();
         self.service_agents = try_join_all(settings.into_iter().map(TargetNode::start)).await?;
         let hosts: Vec<Host> = self
-            .targets()
+            .all_agents()
             .map(|node| target_host(&node.settings))
             .collect();
         self.host_list.update(|list| list.extend(hosts));
         Ok(())
     }
 
-    async fn start_forwarders(&mut self) -> Result<(), RigError> {
-        if self.spec.forwarded {
+    async fn start_forwarders(&mut self) -> Result<(), DeploymentError> {
+        if self.spec.with_forwarders {
             let peers = self.agents.iter().map(|node| node.settings.listen.peers);
             let forwarders = try_join_all(peers.map(Forwarder::start)).await;
-            self.forwarders = forwarders.map_err(RigError::new)?;
+            self.forwarders = forwarders.map_err(DeploymentError::new)?;
         }
         Ok(())
     }
@@ -238,21 +239,21 @@
         }
     }
 
-    async fn start_late(&self) -> Result<(), RigError> {
+    async fn start_late_services(&self) -> Result<(), DeploymentError> {
         if self.spec.late_services {
-            tokio::time::sleep(LATE_PAUSE).await;
+            tokio::time::sleep(LATE_SERVICE_DELAY).await;
             try_join_all(self.service_agents.iter().map(TargetNode::restart)).await?;
         }
         Ok(())
     }
 
-    fn targets(&self) -> impl Iterator<Item = &TargetNode> {
+    fn all_agents(&self) -> impl Iterator<Item = &TargetNode> {
         self.agents.iter().chain(&self.service_agents)
     }
 
-    fn write_records(&self) -> Result<(), RigError> {
+    fn write_config(&self) -> Result<(), DeploymentError> {
         let mut targets: BTreeMap<TargetId, Target> = self
-            .targets()
+            .all_agents()
             .map(|node| {
                 (
                     node.settings.target.id.clone(),
@@ -266,7 +267,7 @@
             }
         }
         let snapshot = snapshot(&self.spec, targets);
-        let bytes = serde_json::to_vec(&snapshot).map_err(RigError::new)?;
+        let bytes = serde_json::to_vec(&snapshot).map_err(DeploymentError::new)?;
         self.key_value.put(CONFIG_KEY, bytes);
         Ok(())
     }
@@ -274,25 +275,25 @@
     // ---- Readiness
 
     /// Waits until every entry takes every target to be alive, and answers a short request.
-    async fn wait_ready(&self) -> Result<(), RigError> {
+    async fn wait_ready(&self) -> Result<(), DeploymentError> {
         let all: BTreeSet<TargetId> = self
-            .targets()
+            .all_agents()
             .map(|node| node.settings.target.id.clone())
             .collect();
         let ready = async {
             for entry in 0..self.entries.len() {
-                while self.entries[entry].alive().await != all {
-                    tokio::time::sleep(READY_PAUSE).await;
+                while self.entries[entry].live_targets().await != all {
+                    tokio::time::sleep(READY_POLL_INTERVAL).await;
                 }
                 let caller = self.caller(entry);
-                let ask = Ask::new(ROUTE_LATENCY, "ready?", 1).whole();
-                while self.spec.engines > 0 && caller.ask(&ask).await.is_err() {
-                    tokio::time::sleep(READY_PAUSE).await;
+                let request = CompletionRequest::new(ROUTE_LATENCY, "ready?", 1).non_streaming();
+                while self.spec.engines > 0 && caller.complete(&request).await.is_err() {
+                    tokio::time::sleep(READY_POLL_INTERVAL).await;
                 }
             }
         };
-        let limit = tokio::time::timeout(READY_LIMIT, ready).await;
-        limit.map_err(|_| RigError::new("the deployment does not answer"))
+        let result = tokio::time::timeout(READY_TIMEOUT, ready).await;
+        result.map_err(|_| DeploymentError::new("the deployment does not answer"))
     }
 
     // ---- Settings
@@ -305,23 +306,23 @@
         }
     }
 
-    fn zone(&self, number: usize) -> ZoneId {
-        let name = format!("zone-{}", number % self.spec.zones);
+    fn zone(&self, index: usize) -> ZoneId {
+        let name = format!("zone-{}", index % self.spec.zones);
         name.parse().expect("a valid name")
     }
 
-    fn entry_settings(&self, number: usize) -> EntrySettings {
+    fn entry_settings(&self, index: usize) -> EntrySettings {
         EntrySettings {
-            host: format!("entry-{number}").parse().expect("a valid name"),
-            zone: self.zone(number),
+            host: format!("entry-{index}").parse().expect("a valid name"),
+            zone: self.zone(index),
             region: REGION.parse().expect("a valid name"),
             listen: EntryListen {
-                callers: any_port(),
-                peers: any_port(),
-                admin: any_port(),
+                callers: any_loopback_port(),
+                peers: any_loopback_port(),
+                admin: any_loopback_port(),
             },
             platform: self.platform_settings(),
-            secrets: secrets(),
+            secrets: peer_secret(),
             limits: self.spec.limits.clone(),
             recovery: self.spec.recovery.clone(),
             routing: self.spec.routing,
@@ -331,42 +332,42 @@
         }
     }
 
-    fn engine_target(&self, number: usize) -> AgentSettings {
-        let address = self.engines[number].address;
+    fn engine_agent_settings(&self, index: usize) -> AgentSettings {
+        let address = self.engines[index].address;
         self.agent_settings(
-            number,
-            &format!("engine-{number}"),
+            index,
+            &format!("engine-{index}"),
             TargetKind::Engine,
             address,
         )
     }
 
-    fn service_target(&self, number: usize) -> AgentSettings {
-        let service = match number % 2 {
+    fn service_agent_settings(&self, index: usize) -> AgentSettings {
+        let service = match index % 2 {
             0 => SERVICE,
             _ => SERVICE_ONCE,
         };
         let kind = TargetKind::Service {
             service: service.to_owned(),
         };
-        let address = self.services[number].address;
-        self.agent_settings(number, &format!("service-{number}"), kind, address)
+        let address = self.services[index].address;
+        self.agent_settings(index, &format!("service-{index}"), kind, address)
     }
 
     fn agent_settings(
         &self,
-        number: usize,
+        index: usize,
         name: &str,
         kind: TargetKind,
         address: SocketAddr,
     ) -> AgentSettings {
         AgentSettings {
             host: format!("host-of-{name}").parse().expect("a valid name"),
-            zone: self.zone(number),
+            zone: self.zone(index),
             region: REGION.parse().expect("a valid name"),
             listen: AgentListen {
-                peers: any_port(),
-                admin: any_port(),
+                peers: any_loopback_port(),
+                admin: any_loopback_port(),
             },
             target: TargetSettings {
                 id: name.parse().expect("a valid name"),
@@ -374,39 +375,39 @@
                 address,
             },
             platform: self.platform_settings(),
-            secrets: secrets(),
-            engine: self.spec.agent.clone(),
+            secrets: peer_secret(),
+            engine: self.spec.engine.clone(),
             log: LogSettings::default(),
         }
     }
 }
 
-fn any_port() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-fn secrets() -> SecretSettings {
+fn peer_secret() -> SecretSettings {
     SecretSettings {
-        peers: vec![SECRET.to_owned()],
+        peers: vec![PEER_SECRET.to_owned()],
     }
 }
 
 fn entry_host(settings: &EntrySettings) -> Host {
-    let place = (
+    let location = (
         settings.host.clone(),
         settings.zone.clone(),
         settings.region.clone(),
     );
-    host(place, HostRole::Entry, settings.listen.peers)
+    host(location, HostRole::Entry, settings.listen.peers)
 }
 
 fn target_host(settings: &AgentSettings) -> Host {
-    let place = (
+    let location = (
         settings.host.clone(),
         settings.zone.clone(),
         settings.region.clone(),
     );
-    host(place, HostRole::Target, settings.listen.peers)
+    host(location, HostRole::Target, settings.listen.peers)
 }
 
 fn host(
--- a/crates/cw_testkit/src/etcd/api.rs
+++ b/crates/cw_testkit/src/etcd/api.rs
@@ -9,13 +9,13 @@
 use serde_with::base64::Base64;
 use serde_with::serde_as;
 
-use super::tree::Change;
-use super::tree::Entry;
-use super::tree::Field;
-use super::tree::Tree;
+use super::etcd_store::Change;
+use super::etcd_store::Comparison;
+use super::etcd_store::Entry;
+use super::etcd_store::EtcdStore;
 
 /// Reads a 64-bit number that is written as a string or as a number.
-fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
+fn integer_or_string<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
     let value = Value::deserialize(deserializer)?;
     let parsed = match &value {
         Value::String(text) => text.parse().ok(),
@@ -44,7 +44,7 @@
     #[serde_as(as = "Base64")]
     #[serde(default)]
     pub(super) value: Vec<u8>,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer_or_string")]
     pub(super) lease: i64,
 }
 
@@ -55,34 +55,34 @@
     #[serde_as(as = "Base64")]
     pub(super) key: Vec<u8>,
     target: String,
-    #[serde(default = "equal")]
+    #[serde(default = "default_result")]
     result: String,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer_or_string")]
     version: i64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer_or_string")]
     create_revision: i64,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer_or_string")]
     mod_revision: i64,
     #[serde_as(as = "Base64")]
     #[serde(default)]
     value: Vec<u8>,
 }
 
-fn equal() -> String {
+fn default_result() -> String {
     "EQUAL".to_owned()
 }
 
 impl CompareBody {
     /// Returns what is compared; only equality is served.
-    pub(super) fn field(&self) -> Option<Field> {
+    pub(super) fn comparison(&self) -> Option<Comparison> {
         if self.result != "EQUAL" {
             return None;
         }
         match self.target.as_str() {
-            "VERSION" => Some(Field::Version(self.version)),
-            "CREATE" => Some(Field::Created(self.create_revision)),
-            "MOD" => Some(Field::Modified(self.mod_revision)),
-            "VALUE" => Some(Field::Value(Bytes::from(self.value.clone()))),
+            "VERSION" => Some(Comparison::Version(self.version)),
+            "CREATE" => Some(Comparison::Created(self.create_revision)),
+            "MOD" => Some(Comparison::Modified(self.mod_revision)),
+            "VALUE" => Some(Comparison::Value(Bytes::from(self.value.clone()))),
             _ => None,
         }
     }
@@ -113,14 +113,14 @@
 /// A lease to be granted.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct GrantBody {
-    #[serde(rename = "TTL", deserialize_with = "number")]
+    #[serde(rename = "TTL", deserialize_with = "integer_or_string")]
     pub(super) ttl: i64,
 }
 
 /// A lease that exists.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct LeaseBody {
-    #[serde(rename = "ID", deserialize_with = "number")]
+    #[serde(rename = "ID", deserialize_with = "integer_or_string")]
     pub(super) id: i64,
 }
 
@@ -133,7 +133,7 @@
     #[serde_as(as = "Base64")]
     #[serde(default)]
     pub(super) range_end: Vec<u8>,
-    #[serde(default, deserialize_with = "number")]
+    #[serde(default, deserialize_with = "integer_or_string")]
     pub(super) start_revision: i64,
     #[serde(default)]
     pub(super) progress_notify: bool,
@@ -148,23 +148,23 @@
 // ---- Answers
 
 /// Returns the header of every answer.
-pub(super) fn header(tree: &Tree) -> Value {
+pub(super) fn header_json(store: &EtcdStore) -> Value {
     json!({
         "cluster_id": "1",
         "member_id": "1",
-        "revision": tree.revision.to_string(),
+        "revision": store.revision.to_string(),
         "raft_term": "1",
     })
 }
 
 /// Returns a key with its value.
-pub(super) fn pair(key: &[u8], entry: &Entry) -> Value {
+pub(super) fn key_value_json(key: &[u8], entry: &Entry) -> Value {
     let mut value = json!({
-        "key": encode(key),
+        "key": encode_base64(key),
         "create_revision": entry.created.to_string(),
         "mod_revision": entry.modified.to_string(),
         "version": entry.version.to_string(),
-        "value": encode(&entry.value),
+        "value": encode_base64(&entry.value),
     });
     if entry.lease != 0 {
         value["lease"] = entry.lease.to_string().into();
@@ -173,12 +173,12 @@
 }
 
 /// Returns a change as a watch tells it.
-pub(super) fn event(change: &Change) -> Value {
+pub(super) fn event_json(change: &Change) -> Value {
     match &change.entry {
-        Some(entry) => json!({ "kv": pair(&change.key, entry) }),
+        Some(entry) => json!({ "kv": key_value_json(&change.key, entry) }),
         None => {
             let kv = json!({
-                "key": encode(&change.key),
+                "key": encode_base64(&change.key),
                 "mod_revision": change.revision.to_string(),
             });
             json!({ "type": "DELETE", "kv": kv })
@@ -186,7 +186,7 @@
     }
 }
 
-fn encode(bytes: &[u8]) -> String {
+fn encode_base64(bytes: &[u8]) -> String {
     use base64::Engine;
     base64::engine::general_purpose::STANDARD.encode(bytes)
 }
@@ -195,13 +195,13 @@
 
 impl RangeBody {
     /// Answers a read.
-    pub(super) fn read(&self, tree: &Tree) -> Value {
-        let pairs: Vec<Value> = tree
+    pub(super) fn read(&self, store: &EtcdStore) -> Value {
+        let pairs: Vec<Value> = store
             .range(&self.key, &self.range_end)
             .iter()
-            .map(|(key, entry)| pair(key, entry))
+            .map(|(key, entry)| key_value_json(key, entry))
             .collect();
-        let mut answer = json!({ "header": header(tree) });
+        let mut answer = json!({ "header": header_json(store) });
         if !pairs.is_empty() {
             answer["count"] = pairs.len().to_string().into();
             answer["kvs"] = pairs.into();
@@ -210,9 +210,9 @@
     }
 
     /// Carries out a removal.
-    pub(super) fn delete(&self, tree: &mut Tree) -> Value {
-        let deleted = tree.delete(&self.key, &self.range_end);
-        let mut answer = json!({ "header": header(tree) });
+    pub(super) fn delete(&self, store: &mut EtcdStore) -> Value {
+        let deleted = store.delete(&self.key, &self.range_end);
+        let mut answer = json!({ "header": header_json(store) });
         if deleted > 0 {
             answer["deleted"] = deleted.to_string().into();
         }
@@ -222,18 +222,18 @@
 
 impl PutBody {
     /// Carries out a write, if its lease exists.
-    pub(super) fn write(self, tree: &mut Tree) -> Option<Value> {
-        let written = tree.put(Bytes::from(self.key), Bytes::from(self.value), self.lease);
-        written.then(|| json!({ "header": header(tree) }))
+    pub(super) fn write(self, store: &mut EtcdStore) -> Option<Value> {
+        let written = store.put(Bytes::from(self.key), Bytes::from(self.value), self.lease);
+        written.then(|| json!({ "header": header_json(store) }))
     }
 }
 
 impl TxnBody {
     /// Carries out a transaction; `None` when a lease or a comparison is not known.
-    pub(super) fn run(self, tree: &mut Tree) -> Option<Value> {
+    pub(super) fn run(self, store: &mut EtcdStore) -> Option<Value> {
         let mut succeeded = true;
         for compare in &self.compare {
-            succeeded &= tree.matches(&compare.key, &compare.field()?);
+            succeeded &= store.matches(&compare.key, &compare.comparison()?);
         }
         let operations = match succeeded {
             true => self.success,
@@ -242,14 +242,14 @@
         let mut responses = Vec::new();
         for operation in operations {
             responses.push(match operation {
-                OperationBody::Range(range) => json!({ "response_range": range.read(tree) }),
-                OperationBody::Put(put) => json!({ "response_put": put.write(tree)? }),
+                OperationBody::Range(range) => json!({ "response_range": range.read(store) }),
+                OperationBody::Put(put) => json!({ "response_put": put.write(store)? }),
                 OperationBody::Delete(range) => {
-                    json!({ "response_delete_range": range.delete(tree) })
+                    json!({ "response_delete_range": range.delete(store) })
                 }
             });
         }
-        let mut answer = json!({ "header": header(tree), "responses": responses });
+        let mut answer = json!({ "header": header_json(store), "responses": responses });
         if succeeded {
             answer["succeeded"] = true.into();
         }
@@ -259,9 +259,11 @@
 
 impl LeaseBody {
     /// Answers a keep-alive; a lease that has lapsed has no time left.
-    pub(super) fn keep_alive(&self, tree: &mut Tree, now: Time) -> Value {
-        let ttl = tree.keep_alive(now, self.id).map_or(0, |ttl| ttl.as_secs());
-        let mut result = json!({ "header": header(tree), "ID": self.id.to_string() });
+    pub(super) fn keep_alive(&self, store: &mut EtcdStore, now: Time) -> Value {
+        let ttl = store
+            .keep_alive(now, self.id)
+            .map_or(0, |ttl| ttl.as_secs());
+        let mut result = json!({ "header": header_json(store), "ID": self.id.to_string() });
         if ttl > 0 {
             result["TTL"] = ttl.to_string().into();
         }
--- a/crates/cw_testkit/src/etcd/faults.rs
+++ b/crates/cw_testkit/src/etcd/etcd_faults.rs
@@ -4,13 +4,13 @@
 
 /// Faults that are switched on and off.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StoreFaults {
+pub struct EtcdFaults {
     /// Whether every call is refused as unavailable.
-    pub down: bool,
+    pub unavailable: bool,
     /// How much longer each call takes.
-    pub slow: Duration,
+    pub delay: Duration,
     /// How many of the next writes take effect and lose their answer.
-    pub lost: u32,
+    pub lost_responses: u32,
     /// Whether watches say nothing.
-    pub silent: bool,
+    pub silent_watches: bool,
 }
--- a/crates/cw_testkit/src/etcd/tree.rs
+++ b/crates/cw_testkit/src/etcd/etcd_store.rs
@@ -27,7 +27,7 @@
 
 /// What a key must be for a transaction to succeed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Field {
+pub(super) enum Comparison {
     Version(i64),
     Created(i64),
     Modified(i64),
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Lease {
     ttl: Duration,
-    end: Time,
+    expires_at: Time,
 }
 
 /// The whole state at some moment, to restore it later.
@@ -49,7 +49,7 @@
 
 /// Keys, revisions and leases.
 #[derive(Debug)]
-pub(super) struct Tree {
+pub(super) struct EtcdStore {
     entries: BTreeMap<Bytes, Entry>,
     pub(super) revision: i64,
     leases: BTreeMap<i64, Lease>,
@@ -57,7 +57,7 @@
     history: Vec<Change>,
 }
 
-impl Default for Tree {
+impl Default for EtcdStore {
     fn default() -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -70,7 +70,7 @@
 }
 
 /// Returns whether `key` is within a range as etcd writes it.
-pub(super) fn covers(from: &[u8], end: &[u8], key: &[u8]) -> bool {
+pub(super) fn range_contains(from: &[u8], end: &[u8], key: &[u8]) -> bool {
     match end {
         [] => key == from,
         [0] => key >= from,
@@ -78,26 +78,26 @@
     }
 }
 
-impl Tree {
+impl EtcdStore {
     // ---- Keys
 
     /// Returns the entries of a range, in order.
     pub(super) fn range(&self, from: &[u8], end: &[u8]) -> Vec<(Bytes, Entry)> {
         self.entries
             .iter()
-            .filter(|(key, _)| covers(from, end, key))
+            .filter(|(key, _)| range_contains(from, end, key))
             .map(|(key, entry)| (key.clone(), entry.clone()))
             .collect()
     }
 
     /// Returns whether a key is as expected; a missing key has zeros in all its numbers.
-    pub(super) fn matches(&self, key: &[u8], field: &Field) -> bool {
+    pub(super) fn matches(&self, key: &[u8], comparison: &Comparison) -> bool {
         let entry = self.entries.get(key);
-        match field {
-            Field::Version(n) => entry.map_or(0, |entry| entry.version) == *n,
-            Field::Created(n) => entry.map_or(0, |entry| entry.created) == *n,
-            Field::Modified(n) => entry.map_or(0, |entry| entry.modified) == *n,
-            Field::Value(value) => entry.is_some_and(|entry| entry.value == *value),
+        match comparison {
+            Comparison::Version(n) => entry.map_or(0, |entry| entry.version) == *n,
+            Comparison::Created(n) => entry.map_or(0, |entry| entry.created) == *n,
+            Comparison::Modified(n) => entry.map_or(0, |entry| entry.modified) == *n,
+            Comparison::Value(value) => entry.is_some_and(|entry| entry.value == *value),
         }
     }
 
@@ -116,7 +116,7 @@
             lease,
         };
         self.entries.insert(key.clone(), entry.clone());
-        self.note(key, Some(entry));
+        self.record(key, Some(entry));
         true
     }
 
@@ -132,7 +132,7 @@
         }
         for key in &keys {
             self.entries.remove(key);
-            self.note(key.clone(), None);
+            self.record(key.clone(), None);
         }
         keys.len()
     }
@@ -141,12 +141,12 @@
     pub(super) fn changes(&self, from: &[u8], end: &[u8], since: i64) -> Vec<Change> {
         self.history
             .iter()
-            .filter(|change| change.revision >= since && covers(from, end, &change.key))
+            .filter(|change| change.revision >= since && range_contains(from, end, &change.key))
             .cloned()
             .collect()
     }
 
-    fn note(&mut self, key: Bytes, entry: Option<Entry>) {
+    fn record(&mut self, key: Bytes, entry: Option<Entry>) {
         let revision = self.revision;
         self.history.push(Change {
             revision,
@@ -161,15 +161,15 @@
     pub(super) fn grant(&mut self, now: Time, ttl: Duration) -> i64 {
         let id = self.next_lease;
         self.next_lease += 1;
-        let end = now + ttl;
-        self.leases.insert(id, Lease { ttl, end });
+        let expires_at = now + ttl;
+        self.leases.insert(id, Lease { ttl, expires_at });
         id
     }
 
     /// Keeps a lease alive, and returns its time to live if it has not lapsed.
     pub(super) fn keep_alive(&mut self, now: Time, id: i64) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
-        lease.end = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
@@ -189,8 +189,8 @@
 
     /// Ends the leases whose time is over; returns whether there were any.
     pub(super) fn expire(&mut self, now: Time) -> bool {
-        let over = |(id, lease): (&i64, &Lease)| (lease.end <= now).then_some(*id);
-        let ids: Vec<i64> = self.leases.iter().filter_map(over).collect();
+        let expired = |(id, lease): (&i64, &Lease)| (lease.expires_at <= now).then_some(*id);
+        let ids: Vec<i64> = self.leases.iter().filter_map(expired).collect();
         ids.iter().for_each(|id| {
             self.revoke(*id);
         });
--- a/crates/cw_testkit/src/etcd/key_value.rs
+++ b/crates/cw_testkit/src/etcd/fake_etcd.rs
@@ -16,25 +16,25 @@
 use crate::server::HttpServer;
 
 use super::Backup;
-use super::StoreFaults;
-use super::tree::Tree;
+use super::EtcdFaults;
+use super::etcd_store::EtcdStore;
 
 /// What the server and the handle share.
 #[derive(Debug)]
-pub(super) struct Shared {
+pub(super) struct EtcdState {
     pub(super) clock: Clock,
     pub(super) changed: watch::Sender<u64>,
-    tree: Mutex<Tree>,
-    faults: Mutex<StoreFaults>,
+    store: Mutex<EtcdStore>,
+    faults: Mutex<EtcdFaults>,
     calls: Mutex<BTreeMap<String, u64>>,
 }
 
-impl Shared {
-    pub(super) fn tree(&self) -> MutexGuard<'_, Tree> {
-        self.tree.lock().expect("no panic under this lock")
+impl EtcdState {
+    pub(super) fn store(&self) -> MutexGuard<'_, EtcdStore> {
+        self.store.lock().expect("no panic under this lock")
     }
 
-    pub(super) fn faults(&self) -> MutexGuard<'_, StoreFaults> {
+    pub(super) fn faults(&self) -> MutexGuard<'_, EtcdFaults> {
         self.faults.lock().expect("no panic under this lock")
     }
 
@@ -44,44 +44,44 @@
     }
 
     /// Returns whether the answer of a write is lost now.
-    pub(super) fn take_lost(&self) -> bool {
+    pub(super) fn take_lost_response(&self) -> bool {
         let mut faults = self.faults();
-        let due = faults.lost > 0;
-        faults.lost = faults.lost.saturating_sub(1);
+        let due = faults.lost_responses > 0;
+        faults.lost_responses = faults.lost_responses.saturating_sub(1);
         due
     }
 }
 
 /// A stand-in for the key-value service.
 #[derive(Debug)]
-pub struct KeyValue {
+pub struct FakeEtcd {
     /// Where it listens.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<EtcdState>,
     gate: Gate,
     _server: HttpServer,
 }
 
-impl KeyValue {
+impl FakeEtcd {
     /// Starts an empty service.
     ///
     /// # Errors
     ///
     /// Fails when no port is free.
     pub async fn start() -> io::Result<Self> {
-        let shared = Arc::new(Shared {
+        let state = Arc::new(EtcdState {
             clock: Clock::default(),
             changed: watch::Sender::new(0),
-            tree: Mutex::default(),
+            store: Mutex::default(),
             faults: Mutex::default(),
             calls: Mutex::default(),
         });
         let gate = Gate::default();
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let server = HttpServer::start(address, gate.clone(), Arc::clone(&shared)).await?;
+        let server = HttpServer::start(address, gate.clone(), Arc::clone(&state)).await?;
         Ok(Self {
             address: server.address,
-            shared,
+            state,
             gate,
             _server: server,
         })
@@ -92,21 +92,21 @@
     /// Writes a key, whatever it holds.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) {
         let key = Bytes::copy_from_slice(key.as_bytes());
-        self.shared.tree().put(key, value.into(), 0);
-        self.shared.changed.send_modify(|count| *count += 1);
+        self.state.store().put(key, value.into(), 0);
+        self.state.changed.send_modify(|count| *count += 1);
     }
 
     /// Reads a key.
     pub fn get(&self, key: &str) -> Option<Bytes> {
-        let found = self.shared.tree().range(key.as_bytes(), &[]);
+        let found = self.state.store().range(key.as_bytes(), &[]);
         found.into_iter().next().map(|(_, entry)| entry.value)
     }
 
     // ---- Faults
 
     /// Changes what goes wrong.
-    pub fn set_faults(&self, faults: StoreFaults) {
-        *self.shared.faults() = faults;
+    pub fn set_faults(&self, faults: EtcdFaults) {
+        *self.state.faults() = faults;
     }
 
     /// Returns the switch that makes the service answer nothing.
@@ -116,20 +116,20 @@
 
     /// Returns a copy of the keys.
     pub fn backup(&self) -> Backup {
-        self.shared.tree().backup()
+        self.state.store().backup()
     }
 
     /// Goes back to an older state, as a service that is restored from a backup does.
     pub fn restore(&self, backup: &Backup) {
-        self.shared.tree().restore(backup);
-        self.shared.changed.send_modify(|count| *count += 1);
+        self.state.store().restore(backup);
+        self.state.changed.send_modify(|count| *count += 1);
     }
 
     // ---- Observation
 
     /// Returns the number of calls by path; a watch counts once.
     pub fn calls(&self) -> BTreeMap<String, u64> {
-        let calls = self.shared.calls.lock();
+        let calls = self.state.calls.lock();
         calls.expect("no panic under this lock").clone()
     }
 }
--- a/crates/cw_testkit/src/etcd/mod.rs
+++ b/crates/cw_testkit/src/etcd/mod.rs
@@ -1,11 +1,11 @@
 //! A stand-in for the key-value service: the part of the etcd v3 JSON gateway that is used.
 
 mod api;
-mod faults;
-mod key_value;
+mod etcd_faults;
+mod etcd_store;
+mod fake_etcd;
 mod routes;
-mod tree;
 
-pub use faults::StoreFaults;
-pub use key_value::KeyValue;
-pub use tree::Backup;
+pub use etcd_faults::EtcdFaults;
+pub use etcd_store::Backup;
+pub use fake_etcd::FakeEtcd;
--- a/crates/cw_testkit/src/etcd/routes.rs
+++ b/crates/cw_testkit/src/etcd/routes.rs
@@ -16,12 +16,12 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::server::Cut;
 use crate::server::Handler;
-use crate::server::Reply;
-use crate::server::json as json_reply;
+use crate::server::HttpResponse;
+use crate::server::NoResponse;
+use crate::server::json_response;
 use crate::server::read_bytes;
-use crate::server::stream;
+use crate::server::stream_response;
 
 use super::api::CreateBody;
 use super::api::GrantBody;
@@ -30,68 +30,75 @@
 use super::api::RangeBody;
 use super::api::TxnBody;
 use super::api::WatchBody;
-use super::api::event;
-use super::api::header;
-use super::key_value::Shared;
-use super::tree::Tree;
+use super::api::event_json;
+use super::api::header_json;
+use super::etcd_store::EtcdStore;
+use super::fake_etcd::EtcdState;
 
 /// How often a watch that asked for it is told that it lives.
-const PROGRESS: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// gRPC's numbers for the errors that the gateway passes on.
-const INVALID: u32 = 3;
-const NOT_FOUND: u32 = 5;
-const UNAVAILABLE: u32 = 14;
+const GRPC_INVALID_ARGUMENT: u32 = 3;
+const GRPC_NOT_FOUND: u32 = 5;
+const GRPC_UNAVAILABLE: u32 = 14;
 
 /// The outcome of a call that is not a watch.
-enum Outcome {
+enum CallOutcome {
     Read(Value),
     Written(Value),
     Failed(StatusCode, u32, &'static str),
 }
 
-impl Handler for Shared {
+impl Handler for EtcdState {
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Reply, Cut>> {
-        self.answer(request).boxed()
+    ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>> {
+        self.route(request).boxed()
     }
 }
 
-impl Shared {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Reply, Cut> {
+impl EtcdState {
+    async fn route(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, NoResponse> {
         let path = request.uri().path().to_owned();
         let body = read_bytes(request).await?;
         self.count(&path);
         let faults = self.faults().clone();
-        tokio::time::sleep(faults.slow).await;
-        if faults.down {
+        tokio::time::sleep(faults.delay).await;
+        if faults.unavailable {
             let unavailable = StatusCode::SERVICE_UNAVAILABLE;
-            return Ok(fail(unavailable, UNAVAILABLE, "the service is down"));
+            return Ok(error_response(
+                unavailable,
+                GRPC_UNAVAILABLE,
+                "the service is down",
+            ));
         }
         if path == "/v3/watch" {
             return Ok(self.watch(&body));
         }
         match self.call(&path, &body) {
-            Outcome::Read(value) => Ok(json_reply(StatusCode::OK, &value)),
-            Outcome::Written(_) if self.take_lost() => Err(Cut),
-            Outcome::Written(value) => Ok(json_reply(StatusCode::OK, &value)),
-            Outcome::Failed(status, code, message) => Ok(fail(status, code, message)),
+            CallOutcome::Read(value) => Ok(json_response(StatusCode::OK, &value)),
+            CallOutcome::Written(_) if self.take_lost_response() => Err(NoResponse),
+            CallOutcome::Written(value) => Ok(json_response(StatusCode::OK, &value)),
+            CallOutcome::Failed(status, code, message) => Ok(error_response(status, code, message)),
         }
     }
 
-    fn call(&self, path: &str, body: &[u8]) -> Outcome {
+    fn call(&self, path: &str, body: &[u8]) -> CallOutcome {
         let now = self.clock.now();
-        let mut tree = self.tree();
-        tree.expire(now);
-        let outcome = run(&mut tree, now, path, body).unwrap_or(Outcome::Failed(
+        let mut store = self.store();
+        store.expire(now);
+        let outcome = execute(&mut store, now, path, body).unwrap_or(CallOutcome::Failed(
             StatusCode::BAD_REQUEST,
-            INVALID,
+            GRPC_INVALID_ARGUMENT,
             "the body cannot be read",
         ));
-        drop(tree);
-        if matches!(outcome, Outcome::Written(_)) {
+        drop(store);
+        if matches!(outcome, CallOutcome::Written(_)) {
             self.changed.send_modify(|count| *count += 1);
         }
         outcome
@@ -99,20 +106,24 @@
 
     // ---- Watches
 
-    fn watch(self: Arc<Self>, body: &[u8]) -> Reply {
+    fn watch(self: Arc<Self>, body: &[u8]) -> HttpResponse {
         let Ok(WatchBody { create_request }) = serde_json::from_slice(body) else {
-            return fail(StatusCode::BAD_REQUEST, INVALID, "the body cannot be read");
+            return error_response(
+                StatusCode::BAD_REQUEST,
+                GRPC_INVALID_ARGUMENT,
+                "the body cannot be read",
+            );
         };
-        stream("application/json", Arc::clone(&self).events(create_request))
+        stream_response("application/json", Arc::clone(&self).events(create_request))
     }
 
     fn events(self: Arc<Self>, body: CreateBody) -> impl Stream<Item = Bytes> + Send {
-        let present = self.tree().revision;
+        let present = self.store().revision;
         let next = match body.start_revision {
             0 => present + 1,
             revision => revision,
         };
-        let created = json!({ "header": header(&self.tree()), "created": true });
+        let created = json!({ "header": header_json(&self.store()), "created": true });
         let watch = Watch {
             changed: self.changed.subscribe(),
             shared: self,
@@ -130,7 +141,7 @@
 }
 
 struct Watch {
-    shared: Arc<Shared>,
+    shared: Arc<EtcdState>,
     changed: tokio::sync::watch::Receiver<u64>,
     body: CreateBody,
     next: i64,
@@ -147,68 +158,70 @@
             if let Some(value) = self.poll() {
                 return value;
             }
-            match tokio::time::timeout(PROGRESS, self.changed.changed()).await {
+            match tokio::time::timeout(PROGRESS_INTERVAL, self.changed.changed()).await {
                 Ok(_) => {}
-                Err(_) if !self.body.progress_notify || self.shared.faults().silent => {}
-                Err(_) => return json!({ "header": header(&self.shared.tree()) }),
+                Err(_) if !self.body.progress_notify || self.shared.faults().silent_watches => {}
+                Err(_) => return json!({ "header": header_json(&self.shared.store()) }),
             }
         }
     }
 
     fn poll(&mut self) -> Option<Value> {
-        if self.shared.faults().silent {
+        if self.shared.faults().silent_watches {
             return None;
         }
-        let mut tree = self.shared.tree();
-        tree.expire(self.shared.clock.now());
+        let mut store = self.shared.store();
+        store.expire(self.shared.clock.now());
         let body = &self.body;
-        let changes = tree.changes(&body.key, &body.range_end, self.next);
+        let changes = store.changes(&body.key, &body.range_end, self.next);
         let last = changes.last()?;
         self.next = last.revision + 1;
-        let events: Vec<Value> = changes.iter().map(event).collect();
-        Some(json!({ "header": header(&tree), "events": events }))
+        let events: Vec<Value> = changes.iter().map(event_json).collect();
+        Some(json!({ "header": header_json(&store), "events": events }))
     }
 }
 
 // ---- Calls
 
-fn run(tree: &mut Tree, now: Time, path: &str, body: &[u8]) -> Option<Outcome> {
-    let missing = Outcome::Failed(StatusCode::NOT_FOUND, NOT_FOUND, "lease not found");
+fn execute(store: &mut EtcdStore, now: Time, path: &str, body: &[u8]) -> Option<CallOutcome> {
+    let missing = CallOutcome::Failed(StatusCode::NOT_FOUND, GRPC_NOT_FOUND, "lease not found");
     Some(match path {
-        "/v3/kv/range" => Outcome::Read(parse::<RangeBody>(body)?.read(tree)),
-        "/v3/kv/put" => match parse::<PutBody>(body)?.write(tree) {
-            Some(value) => Outcome::Written(value),
+        "/v3/kv/range" => CallOutcome::Read(parse::<RangeBody>(body)?.read(store)),
+        "/v3/kv/put" => match parse::<PutBody>(body)?.write(store) {
+            Some(value) => CallOutcome::Written(value),
             None => missing,
         },
-        "/v3/kv/deleterange" => Outcome::Written(parse::<RangeBody>(body)?.delete(tree)),
-        "/v3/kv/txn" => match parse::<TxnBody>(body)?.run(tree) {
-            Some(value) => Outcome::Written(value),
+        "/v3/kv/deleterange" => CallOutcome::Written(parse::<RangeBody>(body)?.delete(store)),
+        "/v3/kv/txn" => match parse::<TxnBody>(body)?.run(store) {
+            Some(value) => CallOutcome::Written(value),
             None => missing,
         },
-        "/v3/lease/grant" => Outcome::Written(grant(tree, now, &parse(body)?)),
-        "/v3/lease/keepalive" => Outcome::Read(parse::<LeaseBody>(body)?.keep_alive(tree, now)),
+        "/v3/lease/grant" => CallOutcome::Written(grant(store, now, &parse(body)?)),
+        "/v3/lease/keepalive" => {
+            CallOutcome::Read(parse::<LeaseBody>(body)?.keep_alive(store, now))
+        }
         "/v3/lease/revoke" | "/v3/kv/lease/revoke" => {
-            match tree.revoke(parse::<LeaseBody>(body)?.id) {
-                true => Outcome::Written(json!({ "header": header(tree) })),
+            match store.revoke(parse::<LeaseBody>(body)?.id) {
+                true => CallOutcome::Written(json!({ "header": header_json(store) })),
                 false => missing,
             }
         }
-        _ => Outcome::Failed(StatusCode::NOT_FOUND, NOT_FOUND, "Not Found"),
+        _ => CallOutcome::Failed(StatusCode::NOT_FOUND, GRPC_NOT_FOUND, "Not Found"),
     })
 }
 
-fn grant(tree: &mut Tree, now: Time, body: &GrantBody) -> Value {
+fn grant(store: &mut EtcdStore, now: Time, body: &GrantBody) -> Value {
     let seconds = u64::try_from(body.ttl).unwrap_or(1).max(1);
-    let id = tree.grant(now, Duration::from_secs(seconds));
-    json!({ "header": header(tree), "ID": id.to_string(), "TTL": seconds.to_string() })
+    let id = store.grant(now, Duration::from_secs(seconds));
+    json!({ "header": header_json(store), "ID": id.to_string(), "TTL": seconds.to_string() })
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     serde_json::from_slice(body).ok()
 }
 
-fn fail(status: StatusCode, code: u32, message: &str) -> Reply {
-    json_reply(
+fn error_response(status: StatusCode, code: u32, message: &str) -> HttpResponse {
+    json_response(
         status,
         &json!({ "error": message, "code": code, "message": message }),
     )
--- a/crates/cw_testkit/src/experiment/capacity/calls.rs
+++ b/crates/cw_testkit/src/experiment/capacity/calls.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::HostList;
-use crate::KeyValue;
-use crate::WeightStore;
+use crate::FakeEtcd;
+use crate::FakeHostList;
+use crate::FakeWeightStore;
 use cw_store::Host;
 use cw_store::HostRole;
 use cw_store::HostState;
@@ -37,10 +37,10 @@
 /// Entries' control states around stand-ins of the platform.
 pub(super) struct Place {
     pub(super) controls: Vec<Control>,
-    pub(super) key_value: KeyValue,
+    pub(super) key_value: FakeEtcd,
     supervisor: Supervisor,
-    _host_list: HostList,
-    _weight_store: WeightStore,
+    _host_list: FakeHostList,
+    _weight_store: FakeWeightStore,
 }
 
 /// Calls at one number of entries.
@@ -85,10 +85,10 @@
 
     /// Starts so many entries' control states.
     pub(super) async fn start(count: usize) -> Self {
-        let key_value = KeyValue::start().await.expect("a port");
-        let host_list = HostList::start().await.expect("a port");
+        let key_value = FakeEtcd::start().await.expect("a port");
+        let host_list = FakeHostList::start().await.expect("a port");
         let weights = [].into();
-        let weight_store = WeightStore::start(weights, ByteSize::mib(1)).await;
+        let weight_store = FakeWeightStore::start(weights, ByteSize::mib(1)).await;
         let weight_store = weight_store.expect("a port");
         let snapshot = serde_json::to_vec(&Snapshot::default()).expect("JSON");
         key_value.put("cyclamenwharf/config", snapshot);
--- a/crates/cw_testkit/src/experiment/capacity/in_force.rs
+++ b/crates/cw_testkit/src/experiment/capacity/in_force.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::StoreFaults;
+use crate::EtcdFaults;
 use bytes::Bytes;
 use cyclamenwharf::admin::EditMessage;
 use cyclamenwharf::admin::ProposeMessage;
@@ -47,24 +47,27 @@
 pub(super) async fn measure() -> Vec<InForceTimes> {
     let place = Place::start(ENTRIES).await;
     tokio::time::sleep(SETTLING).await;
-    let none = StoreFaults::default;
+    let none = EtcdFaults::default;
     let cases = [
         ("healthy", none()),
         (
             "answers 200 ms slower",
-            StoreFaults {
-                slow: SLOW,
+            EtcdFaults {
+                delay: SLOW,
                 ..none()
             },
         ),
         (
             "the acceptance's answer lost",
-            StoreFaults { lost: 2, ..none() },
+            EtcdFaults {
+                lost_responses: 2,
+                ..none()
+            },
         ),
         (
             "all watches silent",
-            StoreFaults {
-                silent: true,
+            EtcdFaults {
+                silent_watches: true,
                 ..none()
             },
         ),
@@ -76,12 +79,12 @@
     found
 }
 
-async fn measure_case(place: &Place, case: &'static str, faults: &StoreFaults) -> InForceTimes {
+async fn measure_case(place: &Place, case: &'static str, faults: &EtcdFaults) -> InForceTimes {
     let mut times = Vec::new();
     for n in 0..ACCEPTED {
         let before = place.controls[0].view.load().config.revision;
         let id = format!("change-{}-{n}", before.0);
-        place.key_value.set_faults(StoreFaults::default());
+        place.key_value.set_faults(EtcdFaults::default());
         let proposal = ProposeMessage {
             id: id.clone(),
             reason: String::new(),
@@ -100,7 +103,7 @@
         }
         times.push(start.elapsed().as_millis());
     }
-    place.key_value.set_faults(StoreFaults::default());
+    place.key_value.set_faults(EtcdFaults::default());
     times.sort_unstable();
     InForceTimes {
         case,
--- a/crates/cw_testkit/src/experiment/drive.rs
+++ b/crates/cw_testkit/src/experiment/drive.rs
@@ -5,10 +5,10 @@
 
 use tokio::task::JoinSet;
 
-use crate::Answer;
-use crate::Ask;
 use crate::CallError;
 use crate::Caller;
+use crate::Completion;
+use crate::CompletionRequest;
 
 use super::Tally;
 
@@ -18,13 +18,13 @@
     /// The API key.
     pub(super) key: String,
     /// The request.
-    pub(super) ask: Ask,
+    pub(super) ask: CompletionRequest,
     /// When it was sent.
     pub(super) sent: Instant,
     /// When its outcome was known.
     pub(super) ended: Instant,
     /// What became of it.
-    pub(super) outcome: Result<Answer, CallError>,
+    pub(super) outcome: Result<Completion, CallError>,
 }
 
 /// Requests that run side by side.
@@ -35,12 +35,12 @@
 
 impl Drive {
     /// Sends one more request.
-    pub(super) fn send(&mut self, caller: Caller, ask: Ask) {
+    pub(super) fn send(&mut self, caller: Caller, ask: CompletionRequest) {
         self.tasks.spawn(async move {
             let sent = Instant::now();
-            let outcome = caller.ask(&ask).await;
+            let outcome = caller.complete(&ask).await;
             Stream {
-                key: caller.key,
+                key: caller.api_key,
                 ask,
                 sent,
                 ended: Instant::now(),
@@ -59,7 +59,7 @@
     /// Returns how long the first token took, if it came.
     pub(super) fn first_token(&self) -> Option<Duration> {
         let answer = self.outcome.as_ref().ok()?;
-        Some(answer.first_at()? - self.sent)
+        Some(answer.first_token_at()? - self.sent)
     }
 }
 
--- a/crates/cw_testkit/src/experiment/engine_death.rs
+++ b/crates/cw_testkit/src/experiment/engine_death.rs
@@ -4,8 +4,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::Rig;
-use crate::RigSpec;
+use crate::DeploymentSpec;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Report;
@@ -63,14 +63,16 @@
     faults: &[Fault],
     rounds: usize,
 ) -> Result<(), ExperimentError> {
-    let spec = RigSpec::default()
+    let spec = DeploymentSpec::default()
         .with_engines(engines)
         .with_services(services)
         .with_zones(zones)
         .with_entries(ENTRIES)
         .with_timings(timings())
         .with_forwarders();
-    let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
+    let rig = TestDeployment::start(spec)
+        .await
+        .map_err(ExperimentError::new)?;
     for &fault in faults {
         for recovery in RECOVERIES {
             report.push(&measure(&rig, fault, recovery, rounds).await?);
--- a/crates/cw_testkit/src/experiment/fault.rs
+++ b/crates/cw_testkit/src/experiment/fault.rs
@@ -4,7 +4,7 @@
 
 use cw_macro::data;
 
-use crate::Rig;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 
@@ -40,7 +40,7 @@
 
 impl Fault {
     /// Returns the engines that are hit in a round: a sixth of them, or the one that runs most.
-    pub(super) async fn victims(self, rig: &Rig, round: usize) -> Vec<usize> {
+    pub(super) async fn victims(self, rig: &TestDeployment, round: usize) -> Vec<usize> {
         let engines = rig.engines.len();
         if self == Fault::SixthLost {
             return (0..engines)
@@ -49,7 +49,7 @@
         }
         let mut busiest = (0, 0);
         for (number, engine) in rig.engines.iter().enumerate() {
-            busiest = busiest.max((engine.busy().await, number));
+            busiest = busiest.max((engine.request_count().await, number));
         }
         vec![busiest.1]
     }
@@ -63,13 +63,13 @@
     }
 
     /// Causes the fault.
-    pub(super) async fn cause(self, rig: &Rig, victims: &[usize]) {
+    pub(super) async fn cause(self, rig: &TestDeployment, victims: &[usize]) {
         for &victim in victims {
             match self {
                 Fault::EngineKilled => rig.engines[victim].kill().await,
                 Fault::HostLost | Fault::SixthLost => rig.kill_host(victim).await,
                 Fault::ShortPause | Fault::LongPause => rig.engines[victim].pause(),
-                Fault::ConnectionSilent => rig.forwarders[victim].silence(),
+                Fault::ConnectionSilent => rig.forwarders[victim].stall_connections(),
             }
         }
     }
@@ -84,7 +84,11 @@
     }
 
     /// Ends the fault.
-    pub(super) async fn end(self, rig: &Rig, victims: &[usize]) -> Result<(), ExperimentError> {
+    pub(super) async fn end(
+        self,
+        rig: &TestDeployment,
+        victims: &[usize],
+    ) -> Result<(), ExperimentError> {
         for &victim in victims {
             let engine = &rig.engines[victim];
             match self {
@@ -94,7 +98,7 @@
                     let agent = &rig.agents[victim];
                     agent.restart().await.map_err(ExperimentError::new)?;
                 }
-                Fault::ShortPause | Fault::LongPause => engine.wake(),
+                Fault::ShortPause | Fault::LongPause => engine.resume(),
                 Fault::ConnectionSilent => {}
             }
         }
--- a/crates/cw_testkit/src/experiment/load.rs
+++ b/crates/cw_testkit/src/experiment/load.rs
@@ -10,12 +10,12 @@
 use rand::rngs::StdRng;
 use tokio::time::Instant;
 
-use crate::Answer;
-use crate::Ask;
 use crate::Caller;
-use crate::Engine;
+use crate::Completion;
+use crate::CompletionRequest;
+use crate::FakeEngine;
 use crate::ROUTE_LATENCY;
-use crate::Rig;
+use crate::TestDeployment;
 use crate::api_key;
 
 use super::Summary;
@@ -67,12 +67,12 @@
 
 impl Demand {
     /// Sends the requests and returns what became of them.
-    pub(super) async fn run(&self, rig: &Rig) -> LoadRow {
+    pub(super) async fn run(&self, rig: &TestDeployment) -> LoadRow {
         self.run_streams(rig).await.0
     }
 
     /// Sends the requests and returns what became of them, all together and one by one.
-    pub(super) async fn run_streams(&self, rig: &Rig) -> (LoadRow, Vec<Stream>) {
+    pub(super) async fn run_streams(&self, rig: &TestDeployment) -> (LoadRow, Vec<Stream>) {
         let mut random = StdRng::seed_from_u64(self.seed);
         let before = Work::of(&rig.engines);
         let known = requests(&rig.engines);
@@ -94,15 +94,15 @@
     }
 
     /// Draws one request: few documents are asked for often, many seldom.
-    fn request(&self, rig: &Rig, random: &mut StdRng) -> (Caller, Ask) {
+    fn request(&self, rig: &TestDeployment, random: &mut StdRng) -> (Caller, CompletionRequest) {
         let share: f64 = random.random();
         let document = (self.documents as f64 * share * share * share) as usize;
         let mut caller = rig.caller(random.random_range(0..rig.entries.len()));
-        caller.key = api_key(document % self.workspaces);
+        caller.api_key = api_key(document % self.workspaces);
         let words = format!("row-of-{document} ").repeat(self.words);
         let question: u32 = random.random();
         let prompt = format!("{words} question {question}");
-        let ask = Ask::new(ROUTE_LATENCY, &prompt, self.tokens);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, &prompt, self.tokens);
         (caller, ask.with_seed(u64::from(question)))
     }
 
@@ -133,7 +133,7 @@
 
 /// Returns whether a whole answer came, its first token in time.
 fn is_good(stream: &Stream) -> bool {
-    let whole = stream.outcome.as_ref().is_ok_and(Answer::is_whole);
+    let whole = stream.outcome.as_ref().is_ok_and(Completion::is_complete);
     whole && stream.first_token().is_some_and(|time| time <= FIRST_TOKEN)
 }
 
@@ -175,12 +175,12 @@
 }
 
 /// Returns the ids of all requests, for each engine.
-fn requests(engines: &[Engine]) -> Vec<BTreeSet<String>> {
-    let ids = |engine: &Engine| engine.counters().requests.into_keys().collect();
+fn requests(engines: &[FakeEngine]) -> Vec<BTreeSet<String>> {
+    let ids = |engine: &FakeEngine| engine.counters().requests.into_keys().collect();
     engines.iter().map(ids).collect()
 }
 
-fn ran(engines: &[Engine], known: &[BTreeSet<String>]) -> Ran {
+fn ran(engines: &[FakeEngine], known: &[BTreeSet<String>]) -> Ran {
     let mut generations = BTreeSet::new();
     let mut counts = Vec::new();
     for (now, before) in requests(engines).iter().zip(known) {
--- a/crates/cw_testkit/src/experiment/overhead.rs
+++ b/crates/cw_testkit/src/experiment/overhead.rs
@@ -11,15 +11,15 @@
 use serde_json::json;
 use tokio::task::JoinSet;
 
-use crate::Ask;
 use crate::Caller;
+use crate::CompletionReader;
+use crate::CompletionRequest;
+use crate::DeploymentSpec;
 use crate::EngineFaults;
 use crate::EngineTimings;
 use crate::MODEL;
 use crate::ROUTE_LATENCY;
-use crate::Reading;
-use crate::Rig;
-use crate::RigSpec;
+use crate::TestDeployment;
 use crate::VERSION;
 
 use super::ExperimentError;
@@ -112,23 +112,23 @@
 fn timings(step: Duration) -> EngineTimings {
     EngineTimings {
         step,
-        sequence: Duration::ZERO,
-        prefill: Duration::ZERO,
-        batch: 1024,
-        queue: 1024,
-        capacity: 1 << 40,
+        per_sequence: Duration::ZERO,
+        per_token: Duration::ZERO,
+        max_batch: 1024,
+        max_queue: 1024,
+        cache_tokens: 1 << 40,
         ..EngineTimings::default()
     }
 }
 
-fn spec(engines: usize, step: Duration) -> RigSpec {
-    let mut spec = RigSpec::default()
+fn spec(engines: usize, step: Duration) -> DeploymentSpec {
+    let mut spec = DeploymentSpec::default()
         .with_entries(1)
         .with_engines(engines)
         .with_services(0)
         .with_timings(timings(step));
-    spec.agent.running = 1024;
-    spec.agent.step = NEVER;
+    spec.engine.running = 1024;
+    spec.engine.step = NEVER;
     spec.recovery.stall = NEVER;
     spec.recovery.latency_stall = NEVER;
     spec
@@ -156,13 +156,13 @@
     let (mut direct_times, mut through_times) = (Vec::new(), Vec::new());
     for number in 0..SAMPLES {
         let sent = Instant::now();
-        let mut reading = engine.open_body(&direct(number, 1)).await?;
+        let mut reading = engine.open_stream_with_body(&direct(number, 1)).await?;
         reading.read_tokens(1).await?;
         direct_times.push(sent.elapsed());
         reading.finish().await?;
-        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), 1);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, &format!("ledger {number}"), 1);
         let sent = Instant::now();
-        let mut reading = entry.open(&ask).await?;
+        let mut reading = entry.open_stream(&ask).await?;
         reading.read_tokens(1).await?;
         through_times.push(sent.elapsed());
         reading.finish().await?;
@@ -188,7 +188,7 @@
     let counted = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
     for number in 0..STREAMS {
-        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), ENDLESS);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, &format!("ledger {number}"), ENDLESS);
         tasks.spawn(count(rig.caller(0), ask, Arc::clone(&counted)));
     }
     tokio::time::sleep(WARM_UP).await;
@@ -217,13 +217,13 @@
     (Instant::now(), tokens, cpu_of_threads(ENTRY_THREAD))
 }
 
-async fn count(caller: Caller, ask: Ask, counted: Arc<AtomicU64>) {
-    let Ok(mut reading) = caller.open(&ask).await else {
+async fn count(caller: Caller, ask: CompletionRequest, counted: Arc<AtomicU64>) {
+    let Ok(mut reading) = caller.open_stream(&ask).await else {
         return;
     };
     let mut before = 0;
     while let Ok(Some(_)) = reading.next().await {
-        let tokens = reading.answer.ids.len();
+        let tokens = reading.completion.ids.len();
         counted.fetch_add((tokens - before) as u64, Ordering::Relaxed);
         before = tokens;
     }
@@ -235,7 +235,7 @@
     let rig = start(spec(4, Duration::from_millis(10))).await?;
     for engine in &rig.engines {
         engine.set_faults(EngineFaults {
-            hold: Some(OPEN_TOKENS as u64),
+            stall_after: Some(OPEN_TOKENS as u64),
             ..EngineFaults::default()
         });
     }
@@ -244,14 +244,18 @@
     for number in 0..OPEN {
         let engine = &rig.engines[(number % 4) as usize];
         let caller = Caller::new(engine.address, "-");
-        direct_readings.push(caller.open_body(&direct(number, ENDLESS)).await?);
+        direct_readings.push(
+            caller
+                .open_stream_with_body(&direct(number, ENDLESS))
+                .await?,
+        );
     }
     read_all(&mut direct_readings).await?;
     let after_direct = resident();
     let mut readings = Vec::new();
     for number in 0..OPEN {
-        let ask = Ask::new(ROUTE_LATENCY, &format!("ledger {number}"), ENDLESS);
-        readings.push(rig.caller(0).open(&ask).await?);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, &format!("ledger {number}"), ENDLESS);
+        readings.push(rig.caller(0).open_stream(&ask).await?);
     }
     read_all(&mut readings).await?;
     let after_through = resident();
@@ -271,13 +275,15 @@
     })
 }
 
-async fn read_all(readings: &mut [Reading]) -> Result<(), ExperimentError> {
+async fn read_all(readings: &mut [CompletionReader]) -> Result<(), ExperimentError> {
     for reading in readings {
         reading.read_tokens(OPEN_TOKENS).await?;
     }
     Ok(())
 }
 
-async fn start(spec: RigSpec) -> Result<Rig, ExperimentError> {
-    Rig::start(spec).await.map_err(ExperimentError::new)
+async fn start(spec: DeploymentSpec) -> Result<TestDeployment, ExperimentError> {
+    TestDeployment::start(spec)
+        .await
+        .map_err(ExperimentError::new)
 }
--- a/crates/cw_testkit/src/experiment/overload.rs
+++ b/crates/cw_testkit/src/experiment/overload.rs
@@ -8,9 +8,9 @@
 use cw_types::ByteSize;
 use serde_json::json;
 
-use crate::Answer;
-use crate::Rig;
-use crate::RigSpec;
+use crate::Completion;
+use crate::DeploymentSpec;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Report;
@@ -81,13 +81,13 @@
 
 /// Finds how many requests a second the engines answer when they are full.
 async fn capacity() -> Result<f64, ExperimentError> {
-    let rig = Rig::start(spec(Policy::Affinity)).await;
+    let rig = TestDeployment::start(spec(Policy::Affinity)).await;
     let rig = rig.map_err(ExperimentError::new)?;
     let start = Instant::now();
     let (_, streams) = demand(SATURATION, SPAN).run_streams(&rig).await;
     rig.stop().await;
     let counted = (start + WARM_UP)..(start + SPAN);
-    let is_whole = |stream: &&Stream| stream.outcome.as_ref().is_ok_and(Answer::is_whole);
+    let is_whole = |stream: &&Stream| stream.outcome.as_ref().is_ok_and(Completion::is_complete);
     let whole = streams.iter().filter(is_whole);
     let count = whole
         .filter(|stream| counted.contains(&stream.ended))
@@ -105,18 +105,20 @@
     if admission == Admission::None {
         spec = without_admission(spec);
     }
-    let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
+    let rig = TestDeployment::start(spec)
+        .await
+        .map_err(ExperimentError::new)?;
     let row = demand.run(&rig).await;
     rig.stop().await;
     Ok(row)
 }
 
-fn without_admission(mut spec: RigSpec) -> RigSpec {
-    spec.agent.running = UNLIMITED;
-    spec.agent.waiting = UNLIMITED;
-    spec.agent.step = Duration::from_secs(3600);
+fn without_admission(mut spec: DeploymentSpec) -> DeploymentSpec {
+    spec.engine.running = UNLIMITED;
+    spec.engine.waiting = UNLIMITED;
+    spec.engine.step = Duration::from_secs(3600);
     spec.limits.queue = UNLIMITED;
     spec.limits.queue_bytes = ByteSize::mib(4096);
-    spec.timings.queue = UNLIMITED as usize;
+    spec.timings.max_queue = UNLIMITED as usize;
     spec
 }
--- a/crates/cw_testkit/src/experiment/record.rs
+++ b/crates/cw_testkit/src/experiment/record.rs
@@ -11,14 +11,14 @@
 use cyclamenwharf::TraceSettings;
 use http::Method;
 
-use crate::Ask;
+use crate::CompletionReader;
+use crate::CompletionRequest;
+use crate::DeploymentSpec;
 use crate::EngineTimings;
 use crate::ROUTE_LATENCY;
 use crate::ROUTE_THRIFT;
-use crate::Reading;
-use crate::Rig;
-use crate::RigSpec;
 use crate::SERVICE_ONCE;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::fault::Fault;
@@ -61,7 +61,7 @@
     write(directory, "call-once-lost", &call_once_lost().await?)
 }
 
-async fn rig() -> Result<Rig, ExperimentError> {
+async fn rig() -> Result<TestDeployment, ExperimentError> {
     let timings = EngineTimings {
         step: Duration::from_millis(5),
         ..EngineTimings::default()
@@ -70,18 +70,20 @@
         kept: ByteSize::mib(8),
         bodies: false,
     };
-    let spec = RigSpec::default()
+    let spec = DeploymentSpec::default()
         .with_entries(1)
         .with_timings(timings)
         .with_trace(trace)
         .with_forwarders();
-    Rig::start(spec).await.map_err(ExperimentError::new)
+    TestDeployment::start(spec)
+        .await
+        .map_err(ExperimentError::new)
 }
 
 /// Opens a stream and reads its beginning.
-async fn begun(rig: &Rig, route: &str) -> Result<Reading, ExperimentError> {
-    let ask = Ask::new(route, "a ledger", TOKENS);
-    let mut reading = rig.caller(0).open(&ask).await?;
+async fn begun(rig: &TestDeployment, route: &str) -> Result<CompletionReader, ExperimentError> {
+    let ask = CompletionRequest::new(route, "a ledger", TOKENS);
+    let mut reading = rig.caller(0).open_stream(&ask).await?;
     reading.read_tokens(BEFORE).await?;
     Ok(reading)
 }
@@ -89,8 +91,8 @@
 async fn broken_stream(route: &str, fault: Fault) -> Result<String, ExperimentError> {
     let rig = rig().await?;
     let reading = begun(&rig, route).await?;
-    let target = reading.answer.target_at(std::time::Instant::now());
-    let victim = rig.engine_number(target.unwrap_or_default());
+    let target = reading.completion.target_at(std::time::Instant::now());
+    let victim = rig.engine_index(target.unwrap_or_default());
     fault.cause(&rig, &[victim]).await;
     reading.finish().await.map_err(ExperimentError::new)?;
     fault.end(&rig, &[victim]).await?;
@@ -128,7 +130,7 @@
 }
 
 /// Waits for the one trace that the entry keeps.
-async fn kept(rig: &Rig) -> Result<String, ExperimentError> {
+async fn kept(rig: &TestDeployment) -> Result<String, ExperimentError> {
     let tries = PATIENCE.as_millis() / PAUSE.as_millis();
     for _ in 0..tries {
         if let Some(trace) = rig.entries[0].traces().await.pop() {
--- a/crates/cw_testkit/src/experiment/recovery.rs
+++ b/crates/cw_testkit/src/experiment/recovery.rs
@@ -6,11 +6,11 @@
 use cw_macro::data;
 use cw_types::Recovery;
 
-use crate::Ask;
+use crate::CompletionRequest;
 use crate::EngineTimings;
 use crate::ROUTE_LATENCY;
 use crate::ROUTE_THRIFT;
-use crate::Rig;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Summary;
@@ -70,15 +70,15 @@
 pub(super) fn timings() -> EngineTimings {
     EngineTimings {
         step: Duration::from_millis(15),
-        sequence: Duration::from_micros(200),
-        prefill: Duration::from_micros(100),
+        per_sequence: Duration::from_micros(200),
+        per_token: Duration::from_micros(100),
         ..EngineTimings::default()
     }
 }
 
 /// Causes a fault under load, again and again.
 pub(super) async fn measure(
-    rig: &Rig,
+    rig: &TestDeployment,
     fault: Fault,
     recovery: Recovery,
     rounds: usize,
@@ -115,7 +115,7 @@
 }
 
 async fn run_round(
-    rig: &Rig,
+    rig: &TestDeployment,
     fault: Fault,
     recovery: Recovery,
     round: usize,
@@ -148,15 +148,15 @@
     let answer = stream.outcome.as_ref().ok()?;
     let target = answer.target_at(moment)?;
     let hit = victims.iter().any(|name| name == target);
-    hit.then(|| answer.resumed_after(moment)).flatten()
+    hit.then(|| answer.resume_latency(moment)).flatten()
 }
 
 /// Returns one request of a round; each has a prompt of its own.
-fn ask(recovery: Recovery, round: usize, number: usize) -> Ask {
+fn ask(recovery: Recovery, round: usize, number: usize) -> CompletionRequest {
     let route = match recovery {
         Recovery::Latency => ROUTE_LATENCY,
         Recovery::Thrift => ROUTE_THRIFT,
     };
     let prompt = format!("ledger {round} of group {number} ").repeat(SENTENCES);
-    Ask::new(route, &prompt, TOKENS).with_seed(number as u64)
+    CompletionRequest::new(route, &prompt, TOKENS).with_seed(number as u64)
 }
--- a/crates/cw_testkit/src/experiment/routing.rs
+++ b/crates/cw_testkit/src/experiment/routing.rs
@@ -6,9 +6,9 @@
 use cw_policy::routing::Policy;
 use serde_json::json;
 
+use crate::DeploymentSpec;
 use crate::EngineTimings;
-use crate::Rig;
-use crate::RigSpec;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Report;
@@ -57,15 +57,17 @@
             "prompt_words": demand.words,
             "tokens": demand.tokens,
             "span_s": SPAN.as_secs(),
-            "batch": timings().batch,
-            "cache_tokens": timings().capacity,
+            "batch": timings().max_batch,
+            "cache_tokens": timings().cache_tokens,
         }),
     );
     for (entries, lag) in [(3, 500), (8, 1000)] {
         for policy in POLICIES {
             let mut spec = spec(policy).with_entries(entries);
             spec.timings.report_lag = Duration::from_millis(lag);
-            let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
+            let rig = TestDeployment::start(spec)
+                .await
+                .map_err(ExperimentError::new)?;
             let load = demand.run(&rig).await;
             rig.stop().await;
             report.push(&RoutingRow {
@@ -80,8 +82,8 @@
 }
 
 /// Returns a deployment of the users' size.
-pub(super) fn spec(policy: Policy) -> RigSpec {
-    let mut spec = RigSpec::default()
+pub(super) fn spec(policy: Policy) -> DeploymentSpec {
+    let mut spec = DeploymentSpec::default()
         .with_engines(SIZE.0)
         .with_services(SIZE.1)
         .with_zones(SIZE.2)
@@ -96,11 +98,11 @@
 pub(super) fn timings() -> EngineTimings {
     EngineTimings {
         step: Duration::from_millis(20),
-        sequence: Duration::from_millis(1),
-        prefill: Duration::from_micros(80),
-        batch: 8,
-        queue: 16,
-        capacity: 24 << 10,
+        per_sequence: Duration::from_millis(1),
+        per_token: Duration::from_micros(80),
+        max_batch: 8,
+        max_queue: 16,
+        cache_tokens: 24 << 10,
         ..EngineTimings::default()
     }
 }
--- a/crates/cw_testkit/src/experiment/tally.rs
+++ b/crates/cw_testkit/src/experiment/tally.rs
@@ -3,9 +3,9 @@
 use cw_macro::data;
 use cw_types::TokenId;
 
-use crate::Answer;
-use crate::Ask;
 use crate::CallError;
+use crate::Completion;
+use crate::CompletionRequest;
 use crate::MODEL;
 use crate::VERSION;
 
@@ -33,7 +33,7 @@
 
 impl Tally {
     /// Adds the outcome of one request.
-    pub fn add(&mut self, ask: &Ask, outcome: &Result<Answer, CallError>) {
+    pub fn add(&mut self, ask: &CompletionRequest, outcome: &Result<Completion, CallError>) {
         match outcome {
             Ok(answer) => self.add_answer(ask, answer),
             Err(error) if error.ran() == Some("no") => self.refused += 1,
@@ -46,11 +46,11 @@
         self.lost + self.missing + self.repeated + self.mixed == 0
     }
 
-    fn add_answer(&mut self, ask: &Ask, answer: &Answer) {
+    fn add_answer(&mut self, ask: &CompletionRequest, answer: &Completion) {
         self.delivered += answer.ids.len() as u64;
         let expected = ask.expected(MODEL, VERSION);
         let reached = self.compare(&expected, &answer.ids);
-        match answer.is_whole() {
+        match answer.is_complete() {
             true => {
                 self.whole += 1;
                 self.missing += (expected.len() - reached) as u64;
--- a/crates/cw_testkit/src/experiment/work.rs
+++ b/crates/cw_testkit/src/experiment/work.rs
@@ -4,7 +4,7 @@
 
 use cw_macro::data;
 
-use crate::Engine;
+use crate::FakeEngine;
 
 /// The pause between two looks whether the engines are idle.
 const IDLE_PAUSE: Duration = Duration::from_millis(20);
@@ -28,16 +28,16 @@
 
 impl Work {
     /// Adds up what engines have computed since they started.
-    pub(super) fn of(engines: &[Engine]) -> Self {
+    pub(super) fn of(engines: &[FakeEngine]) -> Self {
         let mut work = Self::default();
         for engine in engines {
             let counters = engine.counters();
-            work.output += counters.output;
-            work.prompt += counters.prompt;
-            work.cached += counters.cached;
-            work.wrong += counters.wrong;
+            work.output += counters.output_tokens;
+            work.prompt += counters.prompt_tokens;
+            work.cached += counters.cached_tokens;
+            work.wrong += counters.output_mismatches;
             let later = counters.requests.iter().filter(|(id, _)| is_later(id));
-            work.again += later.map(|(_, request)| request.prompt).sum::<u64>();
+            work.again += later.map(|(_, request)| request.prompt_tokens).sum::<u64>();
         }
         work
     }
@@ -62,10 +62,10 @@
 }
 
 /// Waits until no engine has anything to do, so that its counters are whole.
-pub(super) async fn wait_idle(engines: &[Engine]) {
+pub(super) async fn wait_idle(engines: &[FakeEngine]) {
     let idle = async {
         for engine in engines {
-            while engine.busy().await > 0 {
+            while engine.request_count().await > 0 {
                 tokio::time::sleep(IDLE_PAUSE).await;
             }
         }
--- a/crates/cw_testkit/src/experiment/zone_loss.rs
+++ b/crates/cw_testkit/src/experiment/zone_loss.rs
@@ -7,7 +7,7 @@
 use cw_policy::routing::Policy;
 use serde_json::json;
 
-use crate::Rig;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Report;
@@ -48,7 +48,7 @@
 }
 
 async fn run(policy: Policy) -> Result<ZoneLossRow, ExperimentError> {
-    let rig = Rig::start(spec(policy))
+    let rig = TestDeployment::start(spec(policy))
         .await
         .map_err(ExperimentError::new)?;
     let demand = Demand {
@@ -71,9 +71,9 @@
     let gaps = streams.iter().filter_map(|stream| {
         let answer = stream.outcome.as_ref().ok()?;
         let target = answer.target_at(moment)?;
-        let number = rig.engine_number(target);
+        let number = rig.engine_index(target);
         lost.contains(&number)
-            .then(|| answer.resumed_after(moment))?
+            .then(|| answer.resume_latency(moment))?
     });
     Ok(ZoneLossRow {
         policy,
--- a/crates/cw_testkit/src/host_list.rs
+++ b/crates/cw_testkit/src/fake_host_list.rs
@@ -13,20 +13,20 @@
 use http::StatusCode;
 use hyper::body::Incoming;
 
-use crate::server::Cut;
 use crate::server::Gate;
 use crate::server::Handler;
+use crate::server::HttpResponse;
 use crate::server::HttpServer;
-use crate::server::Reply;
-use crate::server::empty;
-use crate::server::json;
+use crate::server::NoResponse;
+use crate::server::empty_response;
+use crate::server::json_response;
 
 #[derive(Debug, Default)]
 struct Hosts(Mutex<Vec<Host>>);
 
 /// A stand-in for the list of hosts, which says what it is told.
 #[derive(Debug)]
-pub struct HostList {
+pub struct FakeHostList {
     /// Where it listens.
     pub address: SocketAddr,
     hosts: Arc<Hosts>,
@@ -34,7 +34,7 @@
     _server: HttpServer,
 }
 
-impl HostList {
+impl FakeHostList {
     /// Starts an empty list.
     ///
     /// # Errors
@@ -68,11 +68,11 @@
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Reply, Cut>> {
+    ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>> {
         let hosts = self.0.lock().expect("no panic under this lock").clone();
         let reply = match request.uri().path() {
-            "/v1/hosts" => json(StatusCode::OK, &hosts),
-            _ => empty(StatusCode::NOT_FOUND),
+            "/v1/hosts" => json_response(StatusCode::OK, &hosts),
+            _ => empty_response(StatusCode::NOT_FOUND),
         };
         async move { Ok(reply) }.boxed()
     }
--- a/crates/cw_testkit/src/plain_service.rs
+++ b/crates/cw_testkit/src/fake_service.rs
@@ -16,61 +16,61 @@
 use hyper::body::Incoming;
 use serde_json::json;
 
-use crate::server::Cut;
 use crate::server::Gate;
 use crate::server::Handler;
+use crate::server::HttpResponse;
 use crate::server::HttpServer;
-use crate::server::Reply;
-use crate::server::json as json_reply;
+use crate::server::NoResponse;
+use crate::server::json_response;
 use crate::server::read_bytes;
 
 #[derive(Debug, Default)]
-struct State {
+struct Calls {
     runs: BTreeMap<String, u64>,
     delay: Duration,
 }
 
 #[derive(Debug, Default)]
-struct Shared(Mutex<State>);
+struct ServiceState(Mutex<Calls>);
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl ServiceState {
+    fn lock(&self) -> MutexGuard<'_, Calls> {
         self.0.lock().expect("no panic under this lock")
     }
 
     /// Counts the call before its delay: once begun, it has had its effect.
-    fn begin(&self, body: &str) -> (u64, Duration) {
-        let mut state = self.lock();
-        let runs = state.runs.entry(body.to_owned()).or_default();
+    fn count_run(&self, body: &str) -> (u64, Duration) {
+        let mut calls = self.lock();
+        let runs = calls.runs.entry(body.to_owned()).or_default();
         *runs += 1;
-        (*runs, state.delay)
+        (*runs, calls.delay)
     }
 }
 
 /// A service that answers each call with its own method, path and body, and counts calls by body.
 #[derive(Debug)]
-pub struct PlainService {
+pub struct FakeService {
     /// Where it listens.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<ServiceState>,
     gate: Gate,
     server: tokio::sync::Mutex<Option<HttpServer>>,
 }
 
-impl PlainService {
+impl FakeService {
     /// Starts a service.
     ///
     /// # Errors
     ///
     /// Fails when no port is free.
     pub async fn start() -> io::Result<Self> {
-        let shared = Arc::<Shared>::default();
+        let state = Arc::<ServiceState>::default();
         let gate = Gate::default();
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let server = HttpServer::start(address, gate.clone(), Arc::clone(&shared)).await?;
+        let server = HttpServer::start(address, gate.clone(), Arc::clone(&state)).await?;
         Ok(Self {
             address: server.address,
-            shared,
+            state,
             gate,
             server: tokio::sync::Mutex::new(Some(server)),
         })
@@ -78,12 +78,12 @@
 
     /// Sets how long each call takes after it has had its effect.
     pub fn set_delay(&self, delay: Duration) {
-        self.shared.lock().delay = delay;
+        self.state.lock().delay = delay;
     }
 
     /// Returns how many times each body was executed.
     pub fn runs(&self) -> BTreeMap<String, u64> {
-        self.shared.lock().runs.clone()
+        self.state.lock().runs.clone()
     }
 
     /// Returns the switch that pauses the service.
@@ -105,27 +105,27 @@
     /// Fails when its port was taken meanwhile.
     pub async fn restart(&self) -> io::Result<()> {
         self.kill().await;
-        let shared = Arc::clone(&self.shared);
-        let server = HttpServer::start(self.address, self.gate.clone(), shared).await?;
+        let state = Arc::clone(&self.state);
+        let server = HttpServer::start(self.address, self.gate.clone(), state).await?;
         *self.server.lock().await = Some(server);
         Ok(())
     }
 }
 
-impl Handler for Shared {
+impl Handler for ServiceState {
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Reply, Cut>> {
+    ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>> {
         async move {
             let method = request.method().to_string();
             let path = request.uri().to_string();
             let bytes = read_bytes(request).await?;
             let body = String::from_utf8_lossy(&bytes).into_owned();
-            let (run, delay) = self.begin(&body);
+            let (run, delay) = self.count_run(&body);
             tokio::time::sleep(delay).await;
-            let answer = json!({ "method": method, "path": path, "body": body, "run": run });
-            Ok(json_reply(StatusCode::OK, &answer))
+            let body_json = json!({ "method": method, "path": path, "body": body, "run": run });
+            Ok(json_response(StatusCode::OK, &body_json))
         }
         .boxed()
     }
--- a/crates/cw_testkit/src/weight_store.rs
+++ b/crates/cw_testkit/src/fake_weight_store.rs
@@ -21,65 +21,65 @@
 use hyper_util::rt::TokioExecutor;
 use tokio::time::Instant;
 
-use crate::server::Cut;
 use crate::server::Gate;
 use crate::server::Handler;
+use crate::server::HttpResponse;
 use crate::server::HttpServer;
-use crate::server::Reply;
-use crate::server::empty;
-use crate::server::json;
+use crate::server::NoResponse;
+use crate::server::empty_response;
+use crate::server::json_response;
 
 /// Where weights are below their store.
-const PREFIX: &str = "/v1/weights/";
+const WEIGHTS_PATH: &str = "/v1/weights/";
 /// What an engine reads below a set of weights.
-const BYTES: &str = "/bytes";
+const BYTES_SUFFIX: &str = "/bytes";
 
 #[derive(Debug)]
-struct Shelf {
+struct Weights {
     sizes: BTreeMap<String, ByteSize>,
     rate: ByteSize,
-    free: Mutex<Instant>,
+    idle_at: Mutex<Instant>,
 }
 
-impl Shelf {
-    fn describe(&self, name: &str) -> Option<WeightInfo> {
+impl Weights {
+    fn info(&self, name: &str) -> Option<WeightInfo> {
         let size = *self.sizes.get(name)?;
         let rate = self.rate;
         Some(WeightInfo { size, rate })
     }
 
     /// Returns when a reader that asks now has read everything; readers take turns.
-    fn due(&self, name: &str) -> Option<Instant> {
-        let info = self.describe(name)?;
+    fn read_end(&self, name: &str) -> Option<Instant> {
+        let info = self.info(name)?;
         let seconds = info.size.0 as f64 / info.rate.0.max(1) as f64;
-        let mut free = self.free.lock().expect("no panic under this lock");
-        *free = (*free).max(Instant::now()) + Duration::from_secs_f64(seconds);
-        Some(*free)
+        let mut idle_at = self.idle_at.lock().expect("no panic under this lock");
+        *idle_at = (*idle_at).max(Instant::now()) + Duration::from_secs_f64(seconds);
+        Some(*idle_at)
     }
 }
 
 /// A stand-in for the store of model weights.
 #[derive(Debug)]
-pub struct WeightStore {
+pub struct FakeWeightStore {
     /// Where it listens.
     pub address: SocketAddr,
     _server: HttpServer,
 }
 
-impl WeightStore {
+impl FakeWeightStore {
     /// Starts a store that gives out `rate` bytes a second to all readers together.
     ///
     /// # Errors
     ///
     /// Fails when no port is free.
     pub async fn start(sizes: BTreeMap<String, ByteSize>, rate: ByteSize) -> io::Result<Self> {
-        let shelf = Shelf {
+        let weights = Weights {
             sizes,
             rate,
-            free: Mutex::new(Instant::now()),
+            idle_at: Mutex::new(Instant::now()),
         };
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let server = HttpServer::start(address, Gate::default(), Arc::new(shelf)).await?;
+        let server = HttpServer::start(address, Gate::default(), Arc::new(weights)).await?;
         Ok(Self {
             address: server.address,
             _server: server,
@@ -87,26 +87,26 @@
     }
 }
 
-impl Handler for Shelf {
+impl Handler for Weights {
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Reply, Cut>> {
+    ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>> {
         async move {
-            let missing = Ok(empty(StatusCode::NOT_FOUND));
-            let Some(name) = request.uri().path().strip_prefix(PREFIX) else {
-                return missing;
+            let not_found = Ok(empty_response(StatusCode::NOT_FOUND));
+            let Some(name) = request.uri().path().strip_prefix(WEIGHTS_PATH) else {
+                return not_found;
             };
-            if let Some(name) = name.strip_suffix(BYTES) {
-                let Some(due) = self.due(name) else {
-                    return missing;
+            if let Some(name) = name.strip_suffix(BYTES_SUFFIX) {
+                let Some(read_end) = self.read_end(name) else {
+                    return not_found;
                 };
-                tokio::time::sleep_until(due).await;
-                return Ok(empty(StatusCode::OK));
+                tokio::time::sleep_until(read_end).await;
+                return Ok(empty_response(StatusCode::OK));
             }
-            match self.describe(name) {
-                Some(info) => Ok(json(StatusCode::OK, &info)),
-                None => missing,
+            match self.info(name) {
+                Some(info) => Ok(json_response(StatusCode::OK, &info)),
+                None => not_found,
             }
         }
         .boxed()
@@ -114,9 +114,9 @@
 }
 
 /// Reads a set of weights, which takes as long as the store needs; returns whether it is there.
-pub(crate) async fn read(store: SocketAddr, name: &str) -> bool {
+pub(crate) async fn read_weights(store: SocketAddr, name: &str) -> bool {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
-    let Ok(uri) = format!("http://{store}{PREFIX}{name}{BYTES}").parse() else {
+    let Ok(uri) = format!("http://{store}{WEIGHTS_PATH}{name}{BYTES_SUFFIX}").parse() else {
         return false;
     };
     client
--- a/crates/cw_testkit/src/forwarder.rs
+++ b/crates/cw_testkit/src/forwarder.rs
@@ -14,7 +14,7 @@
 use crate::server::GatedIo;
 
 #[derive(Debug, Default)]
-struct Path {
+struct ForwarderState {
     gates: Mutex<Vec<Gate>>,
     stop: CancellationToken,
 }
@@ -24,7 +24,7 @@
 pub struct Forwarder {
     /// Where it listens.
     pub address: SocketAddr,
-    path: Arc<Path>,
+    state: Arc<ForwarderState>,
 }
 
 impl Forwarder {
@@ -36,56 +36,56 @@
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let path = Arc::<Path>::default();
-        tokio::spawn(accept(listener, target, Arc::clone(&path)));
-        Ok(Self { address, path })
+        let state = Arc::<ForwarderState>::default();
+        tokio::spawn(accept(listener, target, Arc::clone(&state)));
+        Ok(Self { address, state })
     }
 
     /// Silences every open connection for good; new ones work.
-    pub fn silence(&self) {
-        let mut gates = self.path.gates.lock().expect("no panic under this lock");
+    pub fn stall_connections(&self) {
+        let mut gates = self.state.gates.lock().expect("no panic under this lock");
         gates.drain(..).for_each(|gate| gate.close());
     }
 }
 
 impl Drop for Forwarder {
     fn drop(&mut self) {
-        self.path.stop.cancel();
+        self.state.stop.cancel();
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, path: Arc<Path>) {
+async fn accept(listener: TcpListener, target: SocketAddr, state: Arc<ForwarderState>) {
     loop {
         let accepted = tokio::select! {
-            () = path.stop.cancelled() => return,
+            () = state.stop.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
-        let Ok((near, _)) = accepted else {
+        let Ok((client_stream, _)) = accepted else {
             continue;
         };
         let gate = Gate::default();
-        let mut gates = path.gates.lock().expect("no panic under this lock");
+        let mut gates = state.gates.lock().expect("no panic under this lock");
         gates.push(gate.clone());
         drop(gates);
-        let stop = path.stop.clone();
+        let stop = state.stop.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = forward(near, target, gate) => {}
+                () = forward(client_stream, target, gate) => {}
             }
         });
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddr, gate: Gate) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward(client_stream: TcpStream, target: SocketAddr, gate: Gate) {
+    let Ok(target_stream) = TcpStream::connect(target).await else {
         return;
     };
     // Small frames must leave at once, and a socket that cannot do so still works.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let mut near = GatedIo::new(near, gate.clone());
-    let mut far = GatedIo::new(far, gate);
+    let _ = client_stream.set_nodelay(true);
+    let _ = target_stream.set_nodelay(true);
+    let mut client_stream = GatedIo::new(client_stream, gate.clone());
+    let mut target_stream = GatedIo::new(target_stream, gate);
     // The ends notice by themselves that a connection has broken.
-    let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+    let _ = tokio::io::copy_bidirectional(&mut client_stream, &mut target_stream).await;
 }
--- a/crates/cw_testkit/src/main.rs
+++ b/crates/cw_testkit/src/main.rs
@@ -7,9 +7,9 @@
 use clap::ArgMatches;
 use clap::Command;
 use clap::value_parser;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::ROUTE_LATENCY;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cw_testkit::api_key;
 use cw_testkit::experiment;
 use cw_testkit::experiment::Report;
@@ -92,7 +92,7 @@
         .default_value("12")
         .value_parser(value_parser!(usize))
         .help("How often each fault is caused");
-    let one = |(name, about, in_rounds): (&'static str, &'static str, bool)| {
+    let subcommand = |(name, about, in_rounds): (&'static str, &'static str, bool)| {
         let command = Command::new(name).about(about).arg(json.clone());
         match in_rounds {
             true => command.arg(rounds.clone()),
@@ -102,7 +102,7 @@
     Command::new("experiment")
         .about("Measures a deployment on loopback")
         .subcommand_required(true)
-        .subcommands(EXPERIMENTS.map(one))
+        .subcommands(EXPERIMENTS.map(subcommand))
         .subcommand(all_command())
         .subcommand(tables_command())
 }
@@ -117,7 +117,7 @@
     Command::new("all")
         .about("Runs all experiments and writes their tables")
         .arg(directory)
-        .arg(page())
+        .arg(page_arg())
 }
 
 fn tables_command() -> Command {
@@ -130,10 +130,10 @@
     Command::new("tables")
         .about("Writes the tables of reports that exist")
         .arg(reports)
-        .arg(page())
+        .arg(page_arg())
 }
 
-fn page() -> Arg {
+fn page_arg() -> Arg {
     Arg::new("page")
         .long("page")
         .value_name("FILE")
@@ -150,7 +150,7 @@
             Some(("up", _)) => up().await,
             Some(("settings", args)) => settings(args).await,
             Some(("record", args)) => record(args).await,
-            Some(("experiment", args)) => measure(args).await,
+            Some(("experiment", args)) => run_experiment(args).await,
             _ => Err("unknown command".to_owned()),
         }
     });
@@ -169,32 +169,37 @@
     recorded.map_err(|error| error.to_string())
 }
 
-fn small() -> RigSpec {
-    RigSpec::default().with_services(1)
+fn small_deployment() -> DeploymentSpec {
+    DeploymentSpec::default().with_services(1)
 }
 
 async fn up() -> Result<(), String> {
-    let rig = Rig::start(small()).await.map_err(|e| e.to_string())?;
+    let deployment = TestDeployment::start(small_deployment())
+        .await
+        .map_err(|e| e.to_string())?;
     println!("This deployment is for a look, not for use: everything runs in one process,");
     println!("the engines are stand-ins, and nothing is kept.");
     println!();
-    for entry in &rig.entries {
-        println!("callers:  http://{}", entry.callers());
+    for entry in &deployment.entries {
+        println!("callers:  http://{}", entry.caller_address());
     }
-    println!("admin:    http://{}", rig.entries[0].settings.listen.admin);
+    println!(
+        "admin:    http://{}",
+        deployment.entries[0].settings.listen.admin
+    );
     println!("API key:  {}", api_key(0));
     println!();
-    println!("{}", curl(&rig));
+    println!("{}", curl_command(&deployment));
     println!();
     println!("Ctrl-C stops it.");
     tokio::signal::ctrl_c().await.map_err(|e| e.to_string())?;
-    rig.stop().await;
+    deployment.stop().await;
     println!("stopped");
     Ok(())
 }
 
-fn curl(rig: &Rig) -> String {
-    let entry = rig.entries[0].callers();
+fn curl_command(deployment: &TestDeployment) -> String {
+    let entry = deployment.entries[0].caller_address();
     let key = api_key(0);
     format!(
         "curl -N http://{entry}/v1/completions -H 'Authorization: Bearer {key}' \
@@ -206,34 +211,36 @@
 
 async fn settings(args: &ArgMatches) -> Result<(), String> {
     let directory: &PathBuf = args.get_one("directory").expect("clap requires it");
-    let rig = Rig::start(small()).await.map_err(|e| e.to_string())?;
-    let written = write_settings(&rig, directory).map_err(|e| e.to_string());
-    rig.stop().await;
+    let deployment = TestDeployment::start(small_deployment())
+        .await
+        .map_err(|e| e.to_string())?;
+    let written = write_settings(&deployment, directory).map_err(|e| e.to_string());
+    deployment.stop().await;
     written
 }
 
-async fn measure(args: &ArgMatches) -> Result<(), String> {
+async fn run_experiment(args: &ArgMatches) -> Result<(), String> {
     let (name, args) = args.subcommand().expect("clap requires it");
     match name {
-        "all" => return measure_all(args).await,
+        "all" => return run_all(args).await,
         "tables" => return write_tables(args),
         _ => {}
     }
     let file: &PathBuf = args.get_one("json").expect("clap requires it");
     let rounds = args.try_get_one("rounds").ok().flatten();
-    let report = run(name, rounds.copied().unwrap_or_default()).await?;
+    let report = experiment_report(name, rounds.copied().unwrap_or_default()).await?;
     report.write(file).map_err(|e| e.to_string())
 }
 
 /// How often `all` causes each fault.
 const ALL_ROUNDS: usize = 6;
 
-async fn measure_all(args: &ArgMatches) -> Result<(), String> {
+async fn run_all(args: &ArgMatches) -> Result<(), String> {
     let directory: &PathBuf = args.get_one("dir").expect("clap requires it");
     let page: &PathBuf = args.get_one("page").expect("it has a default");
     std::fs::create_dir_all(directory).map_err(|e| e.to_string())?;
     for (name, _, _) in EXPERIMENTS {
-        let report = run(name, ALL_ROUNDS).await?;
+        let report = experiment_report(name, ALL_ROUNDS).await?;
         let file = directory.join(format!("{name}.json"));
         report.write(&file).map_err(|e| e.to_string())?;
         experiment::write_table(page, &report).map_err(|e| e.to_string())?;
@@ -251,7 +258,7 @@
     Ok(())
 }
 
-async fn run(name: &str, rounds: usize) -> Result<Report, String> {
+async fn experiment_report(name: &str, rounds: usize) -> Result<Report, String> {
     match name {
         "engine-death" => experiment::engine_death(rounds).await,
         "faults" => experiment::faults(rounds).await,
--- a/crates/cw_testkit/src/model_engine/batch.rs
+++ b/crates/cw_testkit/src/model_engine/batch.rs
@@ -23,13 +23,13 @@
 }
 
 /// A priority, with lower numbers first, and the order of arrival within it.
-type Turn = (i64, u64);
+type QueueKey = (i64, u64);
 
 /// The waiting and the running requests of one engine.
 #[derive(Debug)]
 pub(super) struct Batch {
     timings: EngineTimings,
-    waiting: BTreeMap<Turn, Job>,
+    waiting: BTreeMap<QueueKey, Job>,
     running: Vec<Job>,
     cache: PrefixCache,
     changes: Vec<CacheChange>,
@@ -55,7 +55,7 @@
 
     /// Takes a request, unless the queue is full.
     pub(super) fn push(&mut self, job: Job, priority: i64) -> bool {
-        if self.waiting.len() >= self.timings.queue || job.size() > self.timings.capacity {
+        if self.waiting.len() >= self.timings.max_queue || job.size() > self.timings.cache_tokens {
             return false;
         }
         self.arrivals += 1;
@@ -68,14 +68,14 @@
         self.remove(counters, |job| job.id == id);
     }
 
-    fn remove(&mut self, counters: &mut EngineCounters, mut gone: impl FnMut(&Job) -> bool) {
-        let waited = self.waiting.len();
-        self.waiting.retain(|_, job| !gone(job));
-        counters.cancelled += (waited - self.waiting.len()) as u64;
-        let ended: Vec<Job> = self.running.extract_if(.., |job| gone(job)).collect();
-        counters.cancelled += ended.len() as u64;
-        for job in ended {
-            self.end(job, counters);
+    fn remove(&mut self, counters: &mut EngineCounters, mut is_removed: impl FnMut(&Job) -> bool) {
+        let waiting_before = self.waiting.len();
+        self.waiting.retain(|_, job| !is_removed(job));
+        counters.cancelled += (waiting_before - self.waiting.len()) as u64;
+        let removed: Vec<Job> = self.running.extract_if(.., |job| is_removed(job)).collect();
+        counters.cancelled += removed.len() as u64;
+        for job in removed {
+            self.finish_job(job, counters);
         }
     }
 
@@ -85,7 +85,7 @@
     pub(super) fn begin(&mut self, counters: &mut EngineCounters) -> Step {
         self.remove(counters, Job::is_cancelled);
         let mut prefill = 0;
-        while let Some(job) = self.next_job() {
+        while let Some(job) = self.pop_admissible() {
             if job.poison {
                 counters.crashes += 1;
                 counters.count_run(&job.id, 0, 0);
@@ -98,8 +98,8 @@
             return Step::Idle;
         }
         let sequences = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
-        let decode = self.timings.step + self.timings.sequence * sequences;
-        self.step = decode + self.timings.prefill * u32::try_from(prefill).unwrap_or(u32::MAX);
+        let decode = self.timings.step + self.timings.per_sequence * sequences;
+        self.step = decode + self.timings.per_token * u32::try_from(prefill).unwrap_or(u32::MAX);
         Step::Compute(self.step)
     }
 
@@ -109,29 +109,33 @@
             return;
         }
         let last = self.running.len().saturating_sub(1);
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (index, mut job) in std::mem::take(&mut self.running).into_iter().enumerate() {
-            let held = faults.hold.is_some_and(|count| job.generated >= count);
-            let progress = match held || faults.reversed && index < last {
+            let stalled = faults
+                .stall_after
+                .is_some_and(|count| job.generated >= count);
+            let progress = match stalled || faults.reversed && index < last {
                 true => Progress::Blocked,
                 false => job.advance(),
             };
             match progress {
-                Progress::Over => over.push(job),
-                Progress::On | Progress::Blocked => self.running.push(job),
+                Progress::Finished => finished.push(job),
+                Progress::Running | Progress::Blocked => self.running.push(job),
             }
         }
-        for job in over {
-            self.end(job, counters);
+        for job in finished {
+            self.finish_job(job, counters);
         }
     }
 
-    fn next_job(&mut self) -> Option<Job> {
-        let (turn, job) = self.waiting.first_key_value()?;
-        let room = self.running.len() < self.timings.batch;
-        let fits = self.used() + job.size() <= self.timings.capacity;
-        let turn = *turn;
-        (room && fits).then(|| self.waiting.remove(&turn)).flatten()
+    fn pop_admissible(&mut self) -> Option<Job> {
+        let (key, job) = self.waiting.first_key_value()?;
+        let has_slot = self.running.len() < self.timings.max_batch;
+        let fits = self.running_tokens() + job.size() <= self.timings.cache_tokens;
+        let key = *key;
+        (has_slot && fits)
+            .then(|| self.waiting.remove(&key))
+            .flatten()
     }
 
     fn admit(&mut self, job: Job, counters: &mut EngineCounters) -> u64 {
@@ -139,24 +143,27 @@
         // The last token is always computed, for its output is the next one.
         let cached = self.cache.lookup(&job.tokens).min(total.saturating_sub(1));
         counters.count_run(&job.id, total - cached, cached);
-        let begun = (job.tokens.len() - job.prompt) as u64;
-        let expected = job.source.ids(begun);
+        let resumed = (job.tokens.len() - job.prompt) as u64;
+        let expected = job.source.ids(resumed);
         if job.tokens[job.prompt..] != expected {
-            counters.wrong += 1;
+            counters.output_mismatches += 1;
         }
-        self.keep(&job);
+        self.store_in_cache(&job);
         job.send_usage(cached);
         self.running.push(job);
         total - cached
     }
 
-    fn end(&mut self, job: Job, counters: &mut EngineCounters) {
+    fn finish_job(&mut self, job: Job, counters: &mut EngineCounters) {
         counters.count_output(&job.id, job.generated);
-        self.keep(&job);
+        self.store_in_cache(&job);
     }
 
-    fn keep(&mut self, job: &Job) {
-        let room = self.timings.capacity.saturating_sub(self.used());
+    fn store_in_cache(&mut self, job: &Job) {
+        let room = self
+            .timings
+            .cache_tokens
+            .saturating_sub(self.running_tokens());
         let changes = self.cache.store(&job.tokens, room);
         self.changes.extend(changes);
     }
@@ -164,7 +171,7 @@
     // ---- State
 
     /// Counts the output of everything that runs, because the engine dies.
-    pub(super) fn count_lost(&mut self, counters: &mut EngineCounters) {
+    pub(super) fn count_unfinished(&mut self, counters: &mut EngineCounters) {
         for job in self.running.drain(..) {
             counters.count_output(&job.id, job.generated);
         }
@@ -186,7 +193,7 @@
     }
 
     /// Returns the prompt tokens that wait.
-    pub(super) fn prefill(&self) -> u64 {
+    pub(super) fn waiting_prompt_tokens(&self) -> u64 {
         self.waiting
             .values()
             .map(|job| job.tokens.len() as u64)
@@ -194,8 +201,8 @@
     }
 
     /// Returns the tokens in the cache, those of running requests included.
-    pub(super) fn cached(&self) -> u64 {
-        (self.used() + self.cache.tokens()).min(self.timings.capacity)
+    pub(super) fn cached_tokens(&self) -> u64 {
+        (self.running_tokens() + self.cache.tokens()).min(self.timings.cache_tokens)
     }
 
     /// Returns the time of the last step.
@@ -203,7 +210,7 @@
         self.step
     }
 
-    fn used(&self) -> u64 {
+    fn running_tokens(&self) -> u64 {
         self.running.iter().map(Job::size).sum()
     }
 }
--- a/crates/cw_testkit/src/model_engine/faults.rs
+++ b/crates/cw_testkit/src/model_engine/engine_faults.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineFaults {
     /// How many of the next requests are answered with status 500.
-    pub errors: u32,
+    pub next_errors: u32,
     /// Whether requests are taken and produce nothing.
     pub stalled: bool,
     /// Whether the request that came last is finished first.
     pub reversed: bool,
     /// How many tokens each request gets before it stands still.
-    pub hold: Option<u64>,
+    pub stall_after: Option<u64>,
 }
--- a/crates/cw_testkit/src/model_engine/life.rs
+++ b/crates/cw_testkit/src/model_engine/engine_process.rs
@@ -18,13 +18,13 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc;
 
-use crate::server::Cut;
 use crate::server::Handler;
-use crate::server::Reply;
-use crate::server::empty;
-use crate::server::json as json_reply;
+use crate::server::HttpResponse;
+use crate::server::NoResponse;
+use crate::server::empty_response;
+use crate::server::json_response;
 use crate::server::read_json;
-use crate::server::stream;
+use crate::server::stream_response;
 
 use super::EngineSpec;
 use super::POISON;
@@ -35,12 +35,12 @@
 use super::api::OrderBody;
 use super::batch::Batch;
 use super::batch::Step;
-use super::engine::Lasting;
 use super::event_log::EventLog;
+use super::fake_engine::PersistentState;
 use super::job::Job;
-use super::orders::Loaded;
-use super::orders::OrderStep;
-use super::orders::VersionKey;
+use super::loaded_versions::LoadedVersions;
+use super::loaded_versions::OrderOutcome;
+use super::loaded_versions::VersionKey;
 use super::prompt_ids;
 
 /// The events of one stream that wait for their reader.
@@ -49,28 +49,28 @@
 #[derive(Debug)]
 struct State {
     batch: Batch,
-    loaded: Loaded,
+    loaded: LoadedVersions,
     events: EventLog,
     load: (Option<Time>, LoadBody),
 }
 
 /// One life of an engine.
 #[derive(Debug)]
-pub(super) struct Life {
+pub(super) struct EngineProcess {
     boot: u64,
     spec: EngineSpec,
     clock: Clock,
-    lasting: Arc<Lasting>,
+    persistent: Arc<PersistentState>,
     state: Mutex<State>,
-    work: Notify,
+    new_work: Notify,
 }
 
-impl Life {
+impl EngineProcess {
     /// Returns a new life.
-    pub(super) fn new(boot: u64, spec: EngineSpec, lasting: Arc<Lasting>) -> Self {
+    pub(super) fn new(boot: u64, spec: EngineSpec, persistent: Arc<PersistentState>) -> Self {
         let state = State {
             batch: Batch::new(spec.timings.clone()),
-            loaded: Loaded::new(spec.versions.clone()),
+            loaded: LoadedVersions::new(spec.versions.clone()),
             events: EventLog::default(),
             load: (None, LoadBody::default()),
         };
@@ -78,9 +78,9 @@
             boot,
             spec,
             clock: Clock::default(),
-            lasting,
+            persistent,
             state: Mutex::new(state),
-            work: Notify::new(),
+            new_work: Notify::new(),
         }
     }
 
@@ -88,11 +88,11 @@
     pub(super) async fn run(&self) {
         let mut due = tokio::time::Instant::now();
         loop {
-            self.lasting.gate.wait().await;
+            self.persistent.gate.wait_open().await;
             match self.begin() {
                 Step::Crash => return,
                 Step::Idle => {
-                    self.work.notified().await;
+                    self.new_work.notified().await;
                     due = tokio::time::Instant::now();
                 }
                 Step::Compute(span) => {
@@ -102,7 +102,7 @@
                         true => tokio::task::yield_now().await,
                         false => tokio::time::sleep_until(due).await,
                     }
-                    self.lasting.gate.wait().await;
+                    self.persistent.gate.wait_open().await;
                     self.finish();
                 }
             }
@@ -110,27 +110,29 @@
     }
 
     /// Counts what is lost with this life.
-    pub(super) fn end(&self) {
+    pub(super) fn count_unfinished(&self) {
         let mut state = self.state();
-        state.batch.count_lost(&mut self.lasting.counters());
+        state
+            .batch
+            .count_unfinished(&mut self.persistent.counters());
     }
 
     /// Returns how many requests run or wait.
-    pub(super) fn busy(&self) -> usize {
+    pub(super) fn request_count(&self) -> usize {
         let state = self.state();
         state.batch.running() + state.batch.waiting()
     }
 
     fn begin(&self) -> Step {
         let mut state = self.state();
-        state.batch.begin(&mut self.lasting.counters())
+        state.batch.begin(&mut self.persistent.counters())
     }
 
     fn finish(&self) {
         let now = self.clock.now();
         let mut state = self.state();
-        let faults = self.lasting.faults().clone();
-        state.batch.finish(&faults, &mut self.lasting.counters());
+        let faults = self.persistent.faults().clone();
+        state.batch.finish(&faults, &mut self.persistent.counters());
         for change in state.batch.take_changes() {
             state.events.push(now, change, self.spec.timings.event_loss);
         }
@@ -142,145 +144,150 @@
 
     // ---- Requests
 
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Result<Reply, Cut> {
+    async fn route(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, NoResponse> {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
-            (&Method::GET, "/health") => Ok(empty(StatusCode::OK)),
-            (&Method::GET, "/v1/load") => Ok(json_reply(StatusCode::OK, &self.load())),
+            (&Method::GET, "/health") => Ok(empty_response(StatusCode::OK)),
+            (&Method::GET, "/v1/load") => Ok(json_response(StatusCode::OK, &self.cached_load())),
             (&Method::GET, "/v1/cache/events") => Ok(self.cache_events(request.uri().query())),
             (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
                 Ok(match read_json(request).await? {
                     Ok(body) => self.complete(body),
-                    Err(reply) => reply,
+                    Err(response) => response,
                 })
             }
             (&Method::POST, "/v1/abort") => Ok(match read_json(request).await? {
                 Ok(body) => self.abort(&body),
-                Err(reply) => reply,
+                Err(response) => response,
             }),
             (&Method::POST, "/v1/orders") => Ok(match read_json(request).await? {
-                Ok(body) => self.order(body),
-                Err(reply) => reply,
+                Ok(body) => self.handle_order(body),
+                Err(response) => response,
             }),
-            _ => Ok(empty(StatusCode::NOT_FOUND)),
+            _ => Ok(empty_response(StatusCode::NOT_FOUND)),
         }
     }
 
-    fn complete(&self, mut body: CompletionBody) -> Reply {
+    fn complete(&self, mut body: CompletionBody) -> HttpResponse {
         let prompt = match body.prompt() {
             Ok(prompt) => prompt,
-            Err(message) => return refuse(StatusCode::UNPROCESSABLE_ENTITY, message),
+            Err(message) => return error_response(StatusCode::UNPROCESSABLE_ENTITY, message),
         };
-        if self.lasting.take_error() {
-            return refuse(StatusCode::INTERNAL_SERVER_ERROR, "a fault of the engine");
+        if self.persistent.take_next_error() {
+            return error_response(StatusCode::INTERNAL_SERVER_ERROR, "a fault of the engine");
         }
         let key = (body.model.clone(), body.version.clone());
         let mut state = self.state();
-        if !state.loaded.has(&key, body.adapter.as_ref()) {
-            return refuse(StatusCode::NOT_FOUND, "the version is not loaded");
+        if !state.loaded.can_serve(&key, body.adapter.as_ref()) {
+            return error_response(StatusCode::NOT_FOUND, "the version is not loaded");
         }
         let poison = serde_json::to_string(&prompt).is_ok_and(|text| text.contains(POISON));
         let (events, receiver) = mpsc::channel(STREAM_BUFFER);
-        let (priority, job) = job(body, &prompt_ids(&prompt), poison, events);
+        let (priority, job) = new_job(body, &prompt_ids(&prompt), poison, events);
         if !state.batch.push(job, priority) {
-            self.lasting.counters().refused += 1;
-            return refuse(StatusCode::SERVICE_UNAVAILABLE, "the engine is full");
+            self.persistent.counters().refused += 1;
+            return error_response(StatusCode::SERVICE_UNAVAILABLE, "the engine is full");
         }
-        self.work.notify_one();
-        stream("text/event-stream", received(receiver))
+        self.new_work.notify_one();
+        stream_response("text/event-stream", event_stream(receiver))
     }
 
-    fn abort(&self, body: &AbortBody) -> Reply {
+    fn abort(&self, body: &AbortBody) -> HttpResponse {
         let mut state = self.state();
-        let mut counters = self.lasting.counters();
+        let mut counters = self.persistent.counters();
         state.batch.abort(&body.request_id, &mut counters);
-        json_reply(StatusCode::OK, &json!({}))
+        json_response(StatusCode::OK, &json!({}))
     }
 
     // ---- Reports
 
-    fn load(&self) -> LoadBody {
+    fn cached_load(&self) -> LoadBody {
         let now = self.clock.now();
         let lag = self.spec.timings.report_lag;
         let mut state = self.state();
         if state.load.0.is_none_or(|taken| now.since(taken) >= lag) {
-            state.load = (Some(now), self.measure(&state));
+            state.load = (Some(now), self.measure_load(&state));
         }
         state.load.1.clone()
     }
 
-    fn measure(&self, state: &State) -> LoadBody {
+    fn measure_load(&self, state: &State) -> LoadBody {
         let micros = state.batch.step().as_micros();
         LoadBody {
             boot: self.boot,
             running: state.batch.running(),
             waiting: state.batch.waiting(),
-            cached_tokens: state.batch.cached(),
-            capacity_tokens: self.spec.timings.capacity,
-            prefill_tokens: state.batch.prefill(),
+            cached_tokens: state.batch.cached_tokens(),
+            capacity_tokens: self.spec.timings.cache_tokens,
+            prefill_tokens: state.batch.waiting_prompt_tokens(),
             step_micros: u64::try_from(micros).unwrap_or(u64::MAX),
             versions: state.loaded.versions.clone(),
         }
     }
 
-    fn cache_events(&self, query: Option<&str>) -> Reply {
+    fn cache_events(&self, query: Option<&str>) -> HttpResponse {
         let after = query
             .and_then(|query| query.strip_prefix("after="))
             .map_or(Ok(0), str::parse);
         let Ok(after) = after else {
-            return refuse(StatusCode::UNPROCESSABLE_ENTITY, "expected after=NUMBER");
+            return error_response(StatusCode::UNPROCESSABLE_ENTITY, "expected after=NUMBER");
         };
         let lag = self.spec.timings.event_lag;
         let page = self.state().events.page(self.clock.now(), after, lag);
-        json_reply(StatusCode::OK, &page)
+        json_response(StatusCode::OK, &page)
     }
 
     // ---- Orders
 
-    fn order(self: Arc<Self>, body: OrderBody) -> Reply {
+    fn handle_order(self: Arc<Self>, body: OrderBody) -> HttpResponse {
         let key = match &body.order {
             cw_wire::OrderKind::Load { model, version, .. } => (model.clone(), version.clone()),
             _ => ("-".parse().expect("valid"), "-".parse().expect("valid")),
         };
         let mut state = self.state();
-        let step = state
+        let outcome = state
             .loaded
-            .order(body.fencing, self.spec.fenced, body.order);
+            .apply(body.fencing, self.spec.fenced, body.order);
         drop(state);
-        match step {
-            OrderStep::Done => json_reply(StatusCode::OK, &json!({ "state": "done" })),
-            OrderStep::Begun => json_reply(StatusCode::OK, &json!({ "state": "begun" })),
-            OrderStep::Read(weights) => {
+        match outcome {
+            OrderOutcome::Done => json_response(StatusCode::OK, &json!({ "state": "done" })),
+            OrderOutcome::InProgress => json_response(StatusCode::OK, &json!({ "state": "begun" })),
+            OrderOutcome::ReadWeights(weights) => {
                 tokio::spawn(self.read_weights(key, weights));
-                json_reply(StatusCode::OK, &json!({ "state": "begun" }))
+                json_response(StatusCode::OK, &json!({ "state": "begun" }))
+            }
+            OrderOutcome::Fenced(highest) => {
+                self.persistent.counters().fenced_orders += 1;
+                json_response(StatusCode::CONFLICT, &json!({ "highest": highest }))
             }
-            OrderStep::Fenced(highest) => {
-                self.lasting.counters().fenced += 1;
-                json_reply(StatusCode::CONFLICT, &json!({ "highest": highest }))
+            OrderOutcome::Refused(message) => {
+                error_response(StatusCode::UNPROCESSABLE_ENTITY, &message)
             }
-            OrderStep::Refused(message) => refuse(StatusCode::UNPROCESSABLE_ENTITY, &message),
         }
     }
 
     async fn read_weights(self: Arc<Self>, key: VersionKey, weights: String) {
         let success = match self.spec.weights {
-            Some(store) => crate::weight_store::read(store, &weights).await,
+            Some(store) => crate::fake_weight_store::read_weights(store, &weights).await,
             None => true,
         };
-        self.state().loaded.finish(key, success);
+        self.state().loaded.finish_loading(key, success);
     }
 }
 
-impl Handler for Life {
+impl Handler for EngineProcess {
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Reply, Cut>> {
-        self.answer(request).boxed()
+    ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>> {
+        self.route(request).boxed()
     }
 }
 
-fn job(
+fn new_job(
     body: CompletionBody,
     prompt: &[cw_types::TokenId],
     poison: bool,
@@ -305,12 +312,12 @@
     (body.priority, job)
 }
 
-fn received(receiver: mpsc::Receiver<Bytes>) -> impl futures::Stream<Item = Bytes> {
+fn event_stream(receiver: mpsc::Receiver<Bytes>) -> impl futures::Stream<Item = Bytes> {
     unfold(receiver, async |mut receiver| {
         receiver.recv().await.map(|event| (event, receiver))
     })
 }
 
-fn refuse(status: StatusCode, message: &str) -> Reply {
-    json_reply(status, &json!({ "message": message }))
+fn error_response(status: StatusCode, message: &str) -> HttpResponse {
+    json_response(status, &json!({ "message": message }))
 }
--- a/crates/cw_testkit/src/model_engine/timings.rs
+++ b/crates/cw_testkit/src/model_engine/engine_timings.rs
@@ -8,15 +8,15 @@
     /// The time of one step of an empty batch.
     pub step: Duration,
     /// What each sequence in the batch adds to a step.
-    pub sequence: Duration,
+    pub per_sequence: Duration,
     /// What each uncached prompt token adds to the step that processes it.
-    pub prefill: Duration,
+    pub per_token: Duration,
     /// The most sequences in a batch.
-    pub batch: usize,
+    pub max_batch: usize,
     /// The most requests that wait before more are refused.
-    pub queue: usize,
+    pub max_queue: usize,
     /// The tokens that the cache holds, those of running sequences included.
-    pub capacity: u64,
+    pub cache_tokens: u64,
     /// How old a load report may be.
     pub report_lag: Duration,
     /// How late cache events come.
@@ -24,22 +24,22 @@
     /// Every so many cache events one is lost; zero for none.
     pub event_loss: u64,
     /// How long the engine takes to come back after it crashed by itself.
-    pub restart: Duration,
+    pub restart_delay: Duration,
 }
 
 impl Default for EngineTimings {
     fn default() -> Self {
         Self {
             step: Duration::from_millis(10),
-            sequence: Duration::from_micros(100),
-            prefill: Duration::from_micros(20),
-            batch: 32,
-            queue: 64,
-            capacity: 64 << 10,
+            per_sequence: Duration::from_micros(100),
+            per_token: Duration::from_micros(20),
+            max_batch: 32,
+            max_queue: 64,
+            cache_tokens: 64 << 10,
             report_lag: Duration::from_millis(500),
             event_lag: Duration::from_millis(500),
             event_loss: 50,
-            restart: Duration::from_secs(2),
+            restart_delay: Duration::from_secs(2),
         }
     }
 }
--- a/crates/cw_testkit/src/model_engine/event_log.rs
+++ b/crates/cw_testkit/src/model_engine/event_log.rs
@@ -9,9 +9,9 @@
 use super::prefix_cache::CacheChange;
 
 /// The most events kept.
-const KEPT: usize = 4096;
+const MAX_KEPT_EVENTS: usize = 4096;
 /// The most events in one answer.
-const PAGE: usize = 512;
+const MAX_PAGE_EVENTS: usize = 512;
 
 /// One event.
 #[derive(Clone, Debug, Serialize)]
@@ -37,10 +37,10 @@
 }
 
 impl EventLog {
-    /// Notes a change; every `loss`-th is lost.
-    pub(super) fn push(&mut self, now: Time, change: CacheChange, loss: u64) {
+    /// Notes a change; every `loss_interval`-th is lost.
+    pub(super) fn push(&mut self, now: Time, change: CacheChange, loss_interval: u64) {
         self.last += 1;
-        if loss > 0 && self.last.is_multiple_of(loss) {
+        if loss_interval > 0 && self.last.is_multiple_of(loss_interval) {
             return;
         }
         let (kind, blocks) = match change {
@@ -54,7 +54,7 @@
             blocks,
         };
         self.events.push_back((now, event));
-        if self.events.len() > KEPT {
+        if self.events.len() > MAX_KEPT_EVENTS {
             self.events.pop_front();
         }
     }
@@ -66,13 +66,13 @@
             .iter()
             .filter(|(at, event)| event.sequence > after && now.since(*at) >= lag)
             .map(|(_, event)| event.clone())
-            .take(PAGE)
+            .take(MAX_PAGE_EVENTS)
             .collect();
         let expected = after + 1..;
-        let whole = expected.zip(&events).all(|(n, event)| event.sequence == n);
+        let contiguous = expected.zip(&events).all(|(n, event)| event.sequence == n);
         CachePage {
             next: events.last().map_or(after, |event| event.sequence),
-            gap: !whole || after > self.last,
+            gap: !contiguous || after > self.last,
             events,
         }
     }
--- a/crates/cw_testkit/src/model_engine/engine.rs
+++ b/crates/cw_testkit/src/model_engine/fake_engine.rs
@@ -18,7 +18,7 @@
 use super::EngineFaults;
 use super::EngineTimings;
 use super::api::Versions;
-use super::life::Life;
+use super::engine_process::EngineProcess;
 
 /// What a stand-in engine is like.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -57,13 +57,13 @@
 
 /// What outlives an engine's death, for those who watch it.
 #[derive(Debug, Default)]
-pub(super) struct Lasting {
+pub(super) struct PersistentState {
     pub(super) gate: Gate,
     counters: Mutex<EngineCounters>,
     faults: Mutex<EngineFaults>,
 }
 
-impl Lasting {
+impl PersistentState {
     pub(super) fn counters(&self) -> MutexGuard<'_, EngineCounters> {
         self.counters.lock().expect("no panic under this lock")
     }
@@ -72,38 +72,38 @@
         self.faults.lock().expect("no panic under this lock")
     }
 
-    pub(super) fn take_error(&self) -> bool {
+    pub(super) fn take_next_error(&self) -> bool {
         let mut faults = self.faults();
-        let due = faults.errors > 0;
-        faults.errors = faults.errors.saturating_sub(1);
+        let due = faults.next_errors > 0;
+        faults.next_errors = faults.next_errors.saturating_sub(1);
         due
     }
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningProcess {
     server: HttpServer,
-    life: Arc<Life>,
+    process: Arc<EngineProcess>,
     stop: CancellationToken,
 }
 
 #[derive(Debug, Default)]
-struct Lives {
+struct ProcessSlot {
     boot: u64,
-    running: Option<Running>,
+    running: Option<RunningProcess>,
 }
 
 /// A stand-in engine; clones are handles to the same one.
 #[derive(Clone, Debug)]
-pub struct Engine {
-    /// Where it listens, in all its lives.
+pub struct FakeEngine {
+    /// Where it listens, in all its slot.
     pub address: SocketAddr,
     spec: EngineSpec,
-    lasting: Arc<Lasting>,
-    lives: Arc<tokio::sync::Mutex<Lives>>,
+    persistent: Arc<PersistentState>,
+    slot: Arc<tokio::sync::Mutex<ProcessSlot>>,
 }
 
-impl Engine {
+impl FakeEngine {
     /// Starts an engine on a free port of the loopback address.
     ///
     /// # Errors
@@ -113,10 +113,10 @@
         let mut engine = Self {
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             spec,
-            lasting: Arc::default(),
-            lives: Arc::default(),
+            persistent: Arc::default(),
+            slot: Arc::default(),
         };
-        engine.address = engine.begin().await?;
+        engine.address = engine.start_process().await?;
         Ok(engine)
     }
 
@@ -124,13 +124,13 @@
 
     /// Kills the engine: its port closes and every connection breaks.
     pub async fn kill(&self) {
-        let Some(running) = self.lives.lock().await.running.take() else {
+        let Some(running) = self.slot.lock().await.running.take() else {
             return;
         };
         running.stop.cancel();
         // Connections break before their streams end, or they would seem to have ended well.
         running.server.kill().await;
-        running.life.end();
+        running.process.count_unfinished();
     }
 
     /// Starts a killed engine again, with a new boot number and empty memory.
@@ -140,70 +140,76 @@
     /// Fails when its port was taken meanwhile.
     pub async fn restart(&self) -> io::Result<()> {
         self.kill().await;
-        self.begin().await.map(|_| ())
+        self.start_process().await.map(|_| ())
     }
 
     /// Stops the engine where it is; its sockets stay open.
     pub fn pause(&self) {
-        self.lasting.gate.close();
+        self.persistent.gate.close();
     }
 
     /// Lets a paused engine go on.
-    pub fn wake(&self) {
-        self.lasting.gate.open();
+    pub fn resume(&self) {
+        self.persistent.gate.open();
     }
 
     /// Changes what goes wrong.
     pub fn set_faults(&self, faults: EngineFaults) {
-        *self.lasting.faults() = faults;
+        *self.persistent.faults() = faults;
     }
 
     // ---- Observation
 
     /// Returns what it has done; output of running requests is counted when they end.
     pub fn counters(&self) -> EngineCounters {
-        self.lasting.counters().clone()
+        self.persistent.counters().clone()
     }
 
     /// Returns how many requests run or wait; none when it is dead.
-    pub async fn busy(&self) -> usize {
-        let lives = self.lives.lock().await;
-        lives.running.as_ref().map_or(0, |now| now.life.busy())
+    pub async fn request_count(&self) -> usize {
+        let slot = self.slot.lock().await;
+        slot.running
+            .as_ref()
+            .map_or(0, |running| running.process.request_count())
     }
 
     // ---- Lives
 
-    async fn begin(&self) -> io::Result<SocketAddr> {
-        let mut lives = self.lives.lock().await;
-        lives.boot += 1;
-        let life = Arc::new(Life::new(
-            lives.boot,
+    async fn start_process(&self) -> io::Result<SocketAddr> {
+        let mut slot = self.slot.lock().await;
+        slot.boot += 1;
+        let process = Arc::new(EngineProcess::new(
+            slot.boot,
             self.spec.clone(),
-            Arc::clone(&self.lasting),
+            Arc::clone(&self.persistent),
         ));
-        let gate = self.lasting.gate.clone();
-        let server = HttpServer::start(self.address, gate, Arc::clone(&life)).await?;
+        let gate = self.persistent.gate.clone();
+        let server = HttpServer::start(self.address, gate, Arc::clone(&process)).await?;
         let address = server.address;
         let stop = CancellationToken::new();
         let mut engine = self.clone();
         engine.address = address;
-        tokio::spawn(engine.live(Arc::clone(&life), stop.clone()));
-        lives.running = Some(Running { server, life, stop });
+        tokio::spawn(engine.supervise(Arc::clone(&process), stop.clone()));
+        slot.running = Some(RunningProcess {
+            server,
+            process,
+            stop,
+        });
         Ok(address)
     }
 
-    fn live(
+    fn supervise(
         self,
-        life: Arc<Life>,
+        process: Arc<EngineProcess>,
         stop: CancellationToken,
     ) -> futures::future::BoxFuture<'static, ()> {
         Box::pin(async move {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = life.run() => {}
+                () = process.run() => {}
             }
             self.kill().await;
-            tokio::time::sleep(self.spec.timings.restart).await;
+            tokio::time::sleep(self.spec.timings.restart_delay).await;
             // An engine whose port was taken meanwhile stays dead.
             let _ = self.restart().await;
         })
--- a/crates/cw_testkit/src/model_engine/job.rs
+++ b/crates/cw_testkit/src/model_engine/job.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
     /// It goes on.
-    On,
+    Running,
     /// Its reader is slow: it produced nothing.
     Blocked,
     /// It is over.
-    Over,
+    Finished,
 }
 
 /// One request inside the engine.
@@ -82,7 +82,7 @@
         if self.remaining == 0 {
             return self.finish("length");
         }
-        Progress::On
+        Progress::Running
     }
 
     fn send_token(&self, token: &Token) {
@@ -99,7 +99,7 @@
         let _ = self
             .events
             .try_send(Bytes::from_static(b"data: [DONE]\n\n"));
-        Progress::Over
+        Progress::Finished
     }
 
     fn event(
--- a/crates/cw_testkit/src/model_engine/prefix_cache.rs
+++ b/crates/cw_testkit/src/model_engine/prefix_cache.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// The tokens of one cache block.
-const BLOCK: usize = 16;
+const BLOCK_TOKENS: usize = 16;
 
 /// A change of the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,8 +20,8 @@
 /// Blocks of token prefixes, the least recently used of which goes first.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
-    used_at: BTreeMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+    last_used: BTreeMap<u64, u64>,
+    use_order: BTreeMap<u64, u64>,
     clock: u64,
 }
 
@@ -29,12 +29,12 @@
     /// Returns how many leading tokens are cached, and marks them as used.
     pub(super) fn lookup(&mut self, tokens: &[TokenId]) -> u64 {
         let mut found = 0;
-        for block in blocks(tokens) {
-            if !self.used_at.contains_key(&block) {
+        for block in block_hashes(tokens) {
+            if !self.last_used.contains_key(&block) {
                 break;
             }
-            self.touch(block);
-            found += BLOCK as u64;
+            self.mark_used(block);
+            found += BLOCK_TOKENS as u64;
         }
         found.min(tokens.len() as u64)
     }
@@ -42,38 +42,38 @@
     /// Stores the whole blocks of `tokens` and keeps within `capacity` tokens.
     pub(super) fn store(&mut self, tokens: &[TokenId], capacity: u64) -> Vec<CacheChange> {
         let mut stored = Vec::new();
-        for block in blocks(tokens) {
-            if !self.used_at.contains_key(&block) {
+        for block in block_hashes(tokens) {
+            if !self.last_used.contains_key(&block) {
                 stored.push(block);
             }
-            self.touch(block);
+            self.mark_used(block);
         }
         let mut changes = Vec::new();
         if !stored.is_empty() {
             changes.push(CacheChange::Stored(stored));
         }
-        changes.extend(self.shrink(capacity));
+        changes.extend(self.evict(capacity));
         changes
     }
 
     /// Returns how many tokens are cached.
     pub(super) fn tokens(&self) -> u64 {
-        (self.used_at.len() * BLOCK) as u64
+        (self.last_used.len() * BLOCK_TOKENS) as u64
     }
 
-    fn touch(&mut self, block: u64) {
+    fn mark_used(&mut self, block: u64) {
         self.clock += 1;
-        if let Some(before) = self.used_at.insert(block, self.clock) {
-            self.by_use.remove(&before);
+        if let Some(before) = self.last_used.insert(block, self.clock) {
+            self.use_order.remove(&before);
         }
-        self.by_use.insert(self.clock, block);
+        self.use_order.insert(self.clock, block);
     }
 
-    fn shrink(&mut self, capacity: u64) -> Option<CacheChange> {
+    fn evict(&mut self, capacity: u64) -> Option<CacheChange> {
         let mut removed = Vec::new();
         while self.tokens() > capacity {
-            let (_, block) = self.by_use.pop_first()?;
-            self.used_at.remove(&block);
+            let (_, block) = self.use_order.pop_first()?;
+            self.last_used.remove(&block);
             removed.push(block);
         }
         (!removed.is_empty()).then_some(CacheChange::Removed(removed))
@@ -81,9 +81,9 @@
 }
 
 /// Returns the ids of the whole blocks: each covers everything before it.
-fn blocks(tokens: &[TokenId]) -> impl Iterator<Item = u64> {
+fn block_hashes(tokens: &[TokenId]) -> impl Iterator<Item = u64> {
     let mut hash = Xxh3::new();
-    tokens.chunks_exact(BLOCK).map(move |chunk| {
+    tokens.chunks_exact(BLOCK_TOKENS).map(move |chunk| {
         for token in chunk {
             hash.update(&token.0.to_le_bytes());
         }
--- a/crates/cw_testkit/src/model_engine/token_source.rs
+++ b/crates/cw_testkit/src/model_engine/token_source.rs
@@ -9,9 +9,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The size of the stand-in's vocabulary.
-const VOCABULARY: u64 = 32_000;
+const VOCABULARY_SIZE: u64 = 32_000;
 /// The bytes of text that make one prompt token.
-const TOKEN_BYTES: usize = 4;
+const PROMPT_TOKEN_BYTES: usize = 4;
 
 /// A generation's output: each token is a pure function of the request and its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     }
 
     /// Returns the output of the work that an entry sends.
-    pub fn of(work: &Generate) -> Self {
+    pub fn for_work(work: &Generate) -> Self {
         let adapter = work.adapter.as_ref().map_or("", |name| name.as_str());
         let names = [work.model.as_str(), work.version.as_str(), adapter];
         Self::new(&prompt_ids(&work.prompt), names, work.sampling.seed)
@@ -44,7 +44,7 @@
 
     /// Returns the token at an index of the output.
     pub fn token(&self, index: u64) -> Token {
-        let number = xxh3_64_with_seed(&index.to_le_bytes(), self.state) % VOCABULARY;
+        let number = xxh3_64_with_seed(&index.to_le_bytes(), self.state) % VOCABULARY_SIZE;
         let id = u32::try_from(number).expect("the vocabulary is small");
         Token {
             id: TokenId(id),
@@ -76,9 +76,10 @@
 }
 
 fn text_ids(text: &str) -> Vec<TokenId> {
-    let id = |chunk| u32::try_from(xxh3_64(chunk) % VOCABULARY).expect("the vocabulary is small");
+    let id =
+        |chunk| u32::try_from(xxh3_64(chunk) % VOCABULARY_SIZE).expect("the vocabulary is small");
     text.as_bytes()
-        .chunks(TOKEN_BYTES)
+        .chunks(PROMPT_TOKEN_BYTES)
         .map(|chunk| TokenId(id(chunk)))
         .collect()
 }
--- a/crates/cw_testkit/src/server/gate.rs
+++ b/crates/cw_testkit/src/server/gate.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns when the gate is open.
-    pub async fn wait(&self) {
+    pub async fn wait_open(&self) {
         poll_fn(|cx| self.poll_open(cx)).await;
     }
 }
--- a/crates/cw_testkit/src/server/reply.rs
+++ b/crates/cw_testkit/src/server/http_response.rs
@@ -20,57 +20,61 @@
 use snafu::Snafu;
 
 /// An answer.
-pub(crate) type Reply = Response<UnsyncBoxBody<Bytes, Infallible>>;
+pub(crate) type HttpResponse = Response<UnsyncBoxBody<Bytes, Infallible>>;
 
 /// The connection is closed without an answer.
 #[derive(Debug, Snafu)]
 #[snafu(display("the connection is closed without an answer"))]
-pub(crate) struct Cut;
+pub(crate) struct NoResponse;
 
 /// Returns an answer with a body of JSON.
-pub(crate) fn json<T: Serialize>(status: StatusCode, body: &T) -> Reply {
+pub(crate) fn json_response<T: Serialize>(status: StatusCode, body: &T) -> HttpResponse {
     let bytes = serde_json::to_vec(body).expect("the type has string keys");
-    whole(status, "application/json", Bytes::from(bytes))
+    full_response(status, "application/json", Bytes::from(bytes))
 }
 
 /// Returns an answer without a body.
-pub(crate) fn empty(status: StatusCode) -> Reply {
-    whole(status, "text/plain", Bytes::new())
+pub(crate) fn empty_response(status: StatusCode) -> HttpResponse {
+    full_response(status, "text/plain", Bytes::new())
 }
 
 /// Returns an answer whose body is sent as it comes.
-pub(crate) fn stream<S>(kind: &'static str, body: S) -> Reply
+pub(crate) fn stream_response<S>(content_type: &'static str, body: S) -> HttpResponse
 where
     S: Stream<Item = Bytes> + Send + 'static,
 {
     let frames = body.map(|bytes| Ok(Frame::data(bytes)));
     Response::builder()
-        .header(CONTENT_TYPE, kind)
+        .header(CONTENT_TYPE, content_type)
         .body(StreamBody::new(frames).boxed_unsync())
         .expect("the head is valid")
 }
 
-fn whole(status: StatusCode, kind: &'static str, bytes: Bytes) -> Reply {
+fn full_response(status: StatusCode, content_type: &'static str, bytes: Bytes) -> HttpResponse {
     Response::builder()
         .status(status)
-        .header(CONTENT_TYPE, kind)
+        .header(CONTENT_TYPE, content_type)
         .body(Full::new(bytes).boxed_unsync())
         .expect("the head is valid")
 }
 
 /// Reads a whole body.
-pub(crate) async fn read_bytes(request: Request<Incoming>) -> Result<Bytes, Cut> {
-    let body = request.into_body().collect().await.map_err(|_| Cut)?;
+pub(crate) async fn read_bytes(request: Request<Incoming>) -> Result<Bytes, NoResponse> {
+    let body = request
+        .into_body()
+        .collect()
+        .await
+        .map_err(|_| NoResponse)?;
     Ok(body.to_bytes())
 }
 
 /// Reads a body of JSON; `Err` within `Ok` is the answer to one that is not.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
-) -> Result<Result<T, Reply>, Cut> {
+) -> Result<Result<T, HttpResponse>, NoResponse> {
     let bytes = read_bytes(request).await?;
     Ok(serde_json::from_slice(&bytes).map_err(|error| {
         let message = serde_json::json!({ "message": error.to_string() });
-        json(StatusCode::UNPROCESSABLE_ENTITY, &message)
+        json_response(StatusCode::UNPROCESSABLE_ENTITY, &message)
     }))
 }
--- a/crates/cw_testkit/src/server/http_server.rs
+++ b/crates/cw_testkit/src/server/http_server.rs
@@ -16,15 +16,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::Cut;
 use super::Gate;
 use super::GatedIo;
-use super::Reply;
+use super::HttpResponse;
+use super::NoResponse;
 
 /// How often an address that is still taken is tried again.
-const BIND_TRIES: u32 = 50;
+const MAX_BIND_RETRIES: u32 = 50;
 /// The pause between two tries.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What answers a stand-in's requests.
 pub(crate) trait Handler: Send + Sync + 'static {
@@ -32,7 +32,7 @@
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> BoxFuture<'static, Result<Reply, Cut>>;
+    ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>>;
 }
 
 /// A running server.
@@ -94,12 +94,14 @@
 
 /// Listens on `address`, which the server's earlier life may still be leaving.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match TcpListener::bind(address).await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && tries < BIND_TRIES => {
-                tries += 1;
-                tokio::time::sleep(BIND_PAUSE).await;
+            Err(error)
+                if error.kind() == io::ErrorKind::AddrInUse && retries < MAX_BIND_RETRIES =>
+            {
+                retries += 1;
+                tokio::time::sleep(BIND_RETRY_INTERVAL).await;
             }
             result => return result,
         }
@@ -114,7 +116,7 @@
     stop: CancellationToken,
 ) {
     loop {
-        gate.wait().await;
+        gate.wait_open().await;
         let Ok((socket, _)) = listener.accept().await else {
             continue;
         };
--- a/crates/cw_testkit/tests/common/mod.rs
+++ b/crates/cw_testkit/tests/common/mod.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use cw_testkit::Ask;
+use cw_testkit::CallResponse;
 use cw_testkit::Caller;
-use cw_testkit::Engine;
+use cw_testkit::CompletionReader;
+use cw_testkit::CompletionRequest;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::EngineSpec;
 use cw_testkit::EngineTimings;
+use cw_testkit::FakeEngine;
+use cw_testkit::FakeService;
 use cw_testkit::MODEL;
-use cw_testkit::PlainService;
 use cw_testkit::ROUTE_LATENCY;
 use cw_testkit::ROUTE_THRIFT;
-use cw_testkit::Reading;
-use cw_testkit::Reply;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cw_testkit::VERSION;
 use cw_types::Recovery;
 use cw_types::TokenId;
@@ -31,18 +31,18 @@
 use serde_json::Value;
 
 /// How long a test may wait for something that must come.
-pub const GUARD: Duration = Duration::from_secs(60);
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits for something that must come.
-pub async fn soon<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(GUARD, work)
+pub async fn within_timeout<T>(work: impl Future<Output = T>) -> T {
+    tokio::time::timeout(HANG_TIMEOUT, work)
         .await
         .expect("the guard against hanging was reached")
 }
 
 /// Waits until a condition holds.
-pub async fn until(mut condition: impl FnMut() -> bool) {
-    soon(async {
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
+    within_timeout(async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -51,33 +51,38 @@
 }
 
 /// Timings of an engine that loses no time.
-pub fn fast() -> EngineTimings {
+pub fn fast_timings() -> EngineTimings {
     EngineTimings {
         step: Duration::from_millis(2),
-        sequence: Duration::ZERO,
-        prefill: Duration::ZERO,
+        per_sequence: Duration::ZERO,
+        per_token: Duration::ZERO,
         report_lag: Duration::ZERO,
         event_lag: Duration::ZERO,
         event_loss: 0,
-        capacity: 1 << 24,
-        restart: Duration::from_millis(100),
+        cache_tokens: 1 << 24,
+        restart_delay: Duration::from_millis(100),
         ..EngineTimings::default()
     }
 }
 
 /// Starts an engine by itself.
-pub async fn engine(timings: EngineTimings) -> Engine {
+pub async fn start_engine(timings: EngineTimings) -> FakeEngine {
     let spec = EngineSpec::default()
         .with_version(MODEL, VERSION)
         .with_timings(timings);
-    Engine::start(spec).await.expect("a port is free")
+    FakeEngine::start(spec).await.expect("a port is free")
 }
 
 /// Calls any stand-in.
-pub async fn call(address: SocketAddr, method: Method, path: &str, body: &Value) -> Reply {
+pub async fn call_fake(
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: &Value,
+) -> CallResponse {
     let caller = Caller::new(address, "-");
     let body = body.to_string();
-    soon(caller.call(method, path, &BTreeMap::new(), body))
+    within_timeout(caller.call(method, path, &BTreeMap::new(), body))
         .await
         .expect("the stand-in answers")
 }
@@ -94,20 +99,22 @@
 }
 
 /// A small deployment.
-pub fn small() -> RigSpec {
+pub fn small_spec() -> DeploymentSpec {
     let timings = EngineTimings {
         step: Duration::from_millis(5),
-        ..fast()
+        ..fast_timings()
     };
-    RigSpec::default()
+    DeploymentSpec::default()
         .with_engines(4)
         .with_services(4)
         .with_timings(timings)
 }
 
 /// Starts a deployment.
-pub async fn rig(spec: RigSpec) -> Rig {
-    soon(Rig::start(spec)).await.expect("the deployment starts")
+pub async fn start_deployment(spec: DeploymentSpec) -> TestDeployment {
+    within_timeout(TestDeployment::start(spec))
+        .await
+        .expect("the deployment starts")
 }
 
 /// Returns the route with this way of recovery.
@@ -119,23 +126,25 @@
 }
 
 /// Returns the output that a request must have.
-pub fn expected(ask: &Ask) -> Vec<TokenId> {
-    ask.expected(MODEL, VERSION)
+pub fn expected(request: &CompletionRequest) -> Vec<TokenId> {
+    request.expected(MODEL, VERSION)
 }
 
 /// Returns the engine that serves a stream.
-pub fn serving(rig: &Rig, reading: &Reading) -> usize {
-    let answer = &reading.answer;
-    let target = answer.target_at(Instant::now()).expect("tokens have come");
-    rig.engine_number(target)
+pub fn serving_engine(deployment: &TestDeployment, reader: &CompletionReader) -> usize {
+    let completion = &reader.completion;
+    let target = completion
+        .target_at(Instant::now())
+        .expect("tokens have come");
+    deployment.engine_index(target)
 }
 
 /// Waits until an engine is busy, and returns it.
-pub async fn busy(rig: &Rig) -> usize {
-    soon(async {
+pub async fn busy_engine(deployment: &TestDeployment) -> usize {
+    within_timeout(async {
         loop {
-            for (number, engine) in rig.engines.iter().enumerate() {
-                if engine.busy().await > 0 {
+            for (number, engine) in deployment.engines.iter().enumerate() {
+                if engine.request_count().await > 0 {
                     return number;
                 }
             }
@@ -146,7 +155,7 @@
 }
 
 /// Returns how many times a body was executed by all services together.
-pub fn runs(rig: &Rig, body: &str) -> u64 {
-    let count = |service: &PlainService| service.runs().get(body).copied().unwrap_or_default();
-    rig.services.iter().map(count).sum()
+pub fn run_count(deployment: &TestDeployment, body: &str) -> u64 {
+    let count = |service: &FakeService| service.runs().get(body).copied().unwrap_or_default();
+    deployment.services.iter().map(count).sum()
 }
--- a/crates/cw_testkit/tests/drain.rs
+++ b/crates/cw_testkit/tests/drain.rs
@@ -4,69 +4,85 @@
 
 use std::net::SocketAddr;
 
-use common::call;
+use common::call_fake;
 use common::expected;
-use common::rig;
-use common::serving;
-use common::small;
-use common::soon;
-use cw_testkit::Ask;
+use common::serving_engine;
+use common::small_spec;
+use common::start_deployment;
+use common::within_timeout;
+use cw_testkit::CompletionRequest;
 use cw_testkit::ROUTE_LATENCY;
 use futures::future::join;
 use http::Method;
 use serde_json::json;
 
 async fn is_ready(admin: SocketAddr) -> bool {
-    let reply = call(admin, Method::GET, "/readyz", &json!(null)).await;
+    let reply = call_fake(admin, Method::GET, "/readyz", &json!(null)).await;
     reply.status.as_u16() == 200
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_that_drains_cuts_nothing() {
-    let rig = rig(small()).await;
-    let ask = Ask::new(ROUTE_LATENCY, "a trip's ledger", 300);
-    let mut reading = soon(rig.caller(0).open(&ask)).await.expect("accepted");
-    soon(reading.read_tokens(10)).await.expect("tokens come");
-    let admin = rig.entries[0].settings.listen.admin;
+    let deployment = start_deployment(small_spec()).await;
+    let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 300);
+    let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
+        .await
+        .expect("accepted");
+    within_timeout(reader.read_tokens(10))
+        .await
+        .expect("tokens come");
+    let admin = deployment.entries[0].settings.listen.admin;
     let ready = is_ready(admin).await;
 
     let stream = async {
-        soon(reading.read_tokens(20)).await.expect("tokens come");
+        within_timeout(reader.read_tokens(20))
+            .await
+            .expect("tokens come");
         let still = is_ready(admin).await;
-        (still, soon(reading.finish()).await.expect("it is whole"))
+        (
+            still,
+            within_timeout(reader.finish()).await.expect("it is whole"),
+        )
     };
-    let (_, (still, answer)) = join(soon(rig.entries[0].drain()), stream).await;
+    let (_, (still, completion)) =
+        join(within_timeout(deployment.entries[0].drain()), stream).await;
 
     assert!(ready);
     assert!(!still);
-    assert_eq!(answer.ids, expected(&ask));
-    assert!(answer.is_whole());
-    rig.stop().await;
+    assert_eq!(completion.ids, expected(&request));
+    assert!(completion.is_complete());
+    deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_agent_that_drains_cuts_nothing_and_takes_nothing_new() {
-    let rig = rig(small().with_engines(2)).await;
-    let ask = Ask::new(ROUTE_LATENCY, "a trip's ledger", 300);
-    let mut reading = soon(rig.caller(0).open(&ask)).await.expect("accepted");
-    soon(reading.read_tokens(10)).await.expect("tokens come");
-    let leaving = serving(&rig, &reading);
-    let runs = |n: usize| rig.engines[n].counters().requests.len();
+    let deployment = start_deployment(small_spec().with_engines(2)).await;
+    let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 300);
+    let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
+        .await
+        .expect("accepted");
+    within_timeout(reader.read_tokens(10))
+        .await
+        .expect("tokens come");
+    let leaving = serving_engine(&deployment, &reader);
+    let runs = |n: usize| deployment.engines[n].counters().requests.len();
     let before = runs(leaving);
 
     let stream = async {
-        soon(reading.read_tokens(20)).await.expect("tokens come");
+        within_timeout(reader.read_tokens(20))
+            .await
+            .expect("tokens come");
         for seed in 0..10 {
-            let other = Ask::new(ROUTE_LATENCY, "another", 5).with_seed(seed);
-            let answer = soon(rig.caller(1).ask(&other)).await;
-            assert_eq!(answer.expect("it is answered").ids, expected(&other));
+            let other = CompletionRequest::new(ROUTE_LATENCY, "another", 5).with_seed(seed);
+            let completion = within_timeout(deployment.caller(1).complete(&other)).await;
+            assert_eq!(completion.expect("it is answered").ids, expected(&other));
         }
-        soon(reading.finish()).await.expect("it is whole")
+        within_timeout(reader.finish()).await.expect("it is whole")
     };
-    let (_, answer) = join(soon(rig.agents[leaving].drain()), stream).await;
+    let (_, completion) = join(within_timeout(deployment.agents[leaving].drain()), stream).await;
 
-    assert_eq!(answer.ids, expected(&ask));
-    assert!(answer.is_whole());
+    assert_eq!(completion.ids, expected(&request));
+    assert!(completion.is_complete());
     assert_eq!(runs(leaving), before);
-    rig.stop().await;
+    deployment.stop().await;
 }
--- a/crates/cw_testkit/tests/engine.rs
+++ b/crates/cw_testkit/tests/engine.rs
@@ -2,19 +2,19 @@
 
 mod common;
 
-use common::call;
-use common::engine;
-use common::fast;
-use common::soon;
-use common::until;
-use cw_testkit::Answer;
-use cw_testkit::Ask;
+use common::call_fake;
+use common::fast_timings;
+use common::start_engine;
+use common::wait_until;
+use common::within_timeout;
 use cw_testkit::Caller;
-use cw_testkit::Engine;
+use cw_testkit::Completion;
+use cw_testkit::CompletionReader;
+use cw_testkit::CompletionRequest;
 use cw_testkit::EngineFaults;
+use cw_testkit::FakeEngine;
 use cw_testkit::MODEL;
 use cw_testkit::POISON;
-use cw_testkit::Reading;
 use cw_testkit::VERSION;
 use cw_types::TokenId;
 use http::Method;
@@ -35,61 +35,63 @@
     })
 }
 
-async fn open(engine: &Engine, body: &Value) -> Reading {
+async fn open(engine: &FakeEngine, body: &Value) -> CompletionReader {
     let caller = Caller::new(engine.address, "-");
-    soon(caller.open_body(body)).await.expect("it is accepted")
+    within_timeout(caller.open_stream_with_body(body))
+        .await
+        .expect("it is accepted")
 }
 
-async fn run(engine: &Engine, body: &Value) -> Answer {
-    soon(open(engine, body).await.finish())
+async fn run(engine: &FakeEngine, body: &Value) -> Completion {
+    within_timeout(open(engine, body).await.finish())
         .await
         .expect("the stream is whole")
 }
 
-async fn load(engine: &Engine) -> Value {
-    let reply = call(engine.address, Method::GET, "/v1/load", &json!(null)).await;
+async fn load(engine: &FakeEngine) -> Value {
+    let reply = call_fake(engine.address, Method::GET, "/v1/load", &json!(null)).await;
     reply.json()
 }
 
 fn expected(prompt: &str, tokens: u64) -> Vec<TokenId> {
-    Ask::new("-", prompt, tokens).expected(MODEL, VERSION)
+    CompletionRequest::new("-", prompt, tokens).expected(MODEL, VERSION)
 }
 
 #[tokio::test]
 async fn output_is_a_pure_function_of_the_request() {
-    let engine = engine(fast()).await;
+    let engine = start_engine(fast_timings()).await;
 
-    let answer = run(&engine, &body("a ledger", 20, &[])).await;
+    let completion = run(&engine, &body("a ledger", 20, &[])).await;
 
-    assert!(answer.is_whole());
-    assert_eq!(answer.ids, expected("a ledger", 20));
-    assert_eq!(answer.finish.as_deref(), Some("length"));
+    assert!(completion.is_complete());
+    assert_eq!(completion.ids, expected("a ledger", 20));
+    assert_eq!(completion.finish_reason.as_deref(), Some("length"));
 }
 
 #[tokio::test]
 async fn output_goes_on_after_the_output_so_far() {
-    let engine = engine(fast()).await;
+    let engine = start_engine(fast_timings()).await;
     let whole = expected("a ledger", 20);
 
-    let answer = run(&engine, &body("a ledger", 8, &whole[..12])).await;
+    let completion = run(&engine, &body("a ledger", 8, &whole[..12])).await;
 
-    assert_eq!(answer.ids, whole[12..]);
-    assert_eq!(engine.counters().wrong, 0);
+    assert_eq!(completion.ids, whole[12..]);
+    assert_eq!(engine.counters().output_mismatches, 0);
 }
 
 #[tokio::test]
 async fn a_wrong_output_so_far_is_counted() {
-    let engine = engine(fast()).await;
+    let engine = start_engine(fast_timings()).await;
     let other = expected("another ledger", 12);
 
     run(&engine, &body("a ledger", 8, &other)).await;
 
-    assert_eq!(engine.counters().wrong, 1);
+    assert_eq!(engine.counters().output_mismatches, 1);
 }
 
 #[tokio::test]
 async fn a_known_prefix_is_not_computed_again() {
-    let engine = engine(fast()).await;
+    let engine = start_engine(fast_timings()).await;
     let prompt = "a long ledger ".repeat(40);
 
     run(&engine, &body(&prompt, 1, &[])).await;
@@ -97,20 +99,22 @@
     run(&engine, &body(&prompt, 1, &[])).await;
     let second = engine.counters();
 
-    assert_eq!(first.cached, 0);
-    assert!(second.prompt - first.prompt <= 16);
-    assert!(second.cached >= 100);
+    assert_eq!(first.cached_tokens, 0);
+    assert!(second.prompt_tokens - first.prompt_tokens <= 16);
+    assert!(second.cached_tokens >= 100);
 }
 
 #[tokio::test]
 async fn a_killed_engine_breaks_its_streams_and_comes_back_as_another_life() {
-    let engine = engine(fast()).await;
-    let mut reading = open(&engine, &body("a ledger", 100_000, &[])).await;
-    soon(reading.read_tokens(3)).await.expect("it streams");
+    let engine = start_engine(fast_timings()).await;
+    let mut reader = open(&engine, &body("a ledger", 100_000, &[])).await;
+    within_timeout(reader.read_tokens(3))
+        .await
+        .expect("it streams");
     let before = load(&engine).await;
 
     engine.kill().await;
-    let broken = soon(reading.finish()).await;
+    let broken = within_timeout(reader.finish()).await;
     engine.restart().await.expect("the port is free");
     let after = load(&engine).await;
 
@@ -122,53 +126,59 @@
 
 #[tokio::test]
 async fn a_paused_engine_goes_on_where_it_was() {
-    let engine = engine(fast()).await;
-    let mut reading = open(&engine, &body("a ledger", 200, &[])).await;
-    soon(reading.read_tokens(3)).await.expect("it streams");
+    let engine = start_engine(fast_timings()).await;
+    let mut reader = open(&engine, &body("a ledger", 200, &[])).await;
+    within_timeout(reader.read_tokens(3))
+        .await
+        .expect("it streams");
 
     engine.pause();
-    let quiet = async { while let Ok(Some(_)) = reading.next().await {} };
+    let quiet = async { while let Ok(Some(_)) = reader.next().await {} };
     let silent = tokio::time::timeout(std::time::Duration::from_millis(700), quiet).await;
-    engine.wake();
-    let answer = soon(reading.finish()).await.expect("it goes on");
+    engine.resume();
+    let completion = within_timeout(reader.finish()).await.expect("it goes on");
 
     assert!(silent.is_err());
-    assert_eq!(answer.ids, expected("a ledger", 200));
+    assert_eq!(completion.ids, expected("a ledger", 200));
 }
 
 #[tokio::test]
 async fn a_poisonous_prompt_crashes_the_engine_and_nothing_else_does() {
-    let engine = engine(fast()).await;
+    let engine = start_engine(fast_timings()).await;
     let bystander = open(&engine, &body("a ledger", 100_000, &[])).await;
 
     let poison = open(&engine, &body(POISON, 4, &[])).await;
-    let ends = soon(futures::future::join(poison.finish(), bystander.finish())).await;
-    until(|| engine.counters().crashes == 1).await;
+    let ends = within_timeout(futures::future::join(poison.finish(), bystander.finish())).await;
+    wait_until(|| engine.counters().crashes == 1).await;
 
     assert!(ends.0.is_err() && ends.1.is_err());
 }
 
 #[tokio::test]
 async fn a_closed_connection_cancels() {
-    let engine = engine(fast()).await;
-    let mut reading = open(&engine, &body("a ledger", 1_000_000, &[])).await;
-    soon(reading.read_tokens(3)).await.expect("it streams");
+    let engine = start_engine(fast_timings()).await;
+    let mut reader = open(&engine, &body("a ledger", 1_000_000, &[])).await;
+    within_timeout(reader.read_tokens(3))
+        .await
+        .expect("it streams");
 
-    drop(reading);
+    drop(reader);
 
-    until(|| engine.counters().cancelled == 1).await;
+    wait_until(|| engine.counters().cancelled == 1).await;
     assert_eq!(load(&engine).await["running"], 0);
 }
 
 #[tokio::test]
 async fn an_abort_is_idempotent() {
-    let engine = engine(fast()).await;
-    let mut reading = open(&engine, &body("a ledger", 1_000_000, &[])).await;
-    soon(reading.read_tokens(3)).await.expect("it streams");
+    let engine = start_engine(fast_timings()).await;
+    let mut reader = open(&engine, &body("a ledger", 1_000_000, &[])).await;
+    within_timeout(reader.read_tokens(3))
+        .await
+        .expect("it streams");
     let abort = json!({ "request_id": "a ledger/1" });
 
-    let first = call(engine.address, Method::POST, "/v1/abort", &abort).await;
-    let second = call(engine.address, Method::POST, "/v1/abort", &abort).await;
+    let first = call_fake(engine.address, Method::POST, "/v1/abort", &abort).await;
+    let second = call_fake(engine.address, Method::POST, "/v1/abort", &abort).await;
 
     assert_eq!((first.status.as_u16(), second.status.as_u16()), (200, 200));
     assert_eq!(engine.counters().cancelled, 1);
@@ -176,7 +186,7 @@
 
 #[tokio::test]
 async fn the_last_request_can_be_made_to_finish_first() {
-    let engine = engine(fast()).await;
+    let engine = start_engine(fast_timings()).await;
     engine.set_faults(EngineFaults {
         reversed: true,
         ..EngineFaults::default()
@@ -184,10 +194,10 @@
     let first = open(&engine, &body("the first", 30, &[])).await;
     let second = open(&engine, &body("the second", 30, &[])).await;
 
-    let second = soon(second.finish()).await.expect("it is whole");
-    let first = soon(first.finish()).await.expect("it is whole");
+    let second = within_timeout(second.finish()).await.expect("it is whole");
+    let first = within_timeout(first.finish()).await.expect("it is whole");
 
-    let end = |answer: &Answer| answer.arrivals.last().expect("it has tokens").at;
+    let end = |completion: &Completion| completion.arrivals.last().expect("it has tokens").at;
     assert!(end(&second) < end(&first));
     assert_eq!(first.ids, expected("the first", 30));
 }
@@ -198,16 +208,16 @@
         fenced: true,
         ..Default::default()
     };
-    let engine = Engine::start(spec).await.expect("a port is free");
+    let engine = FakeEngine::start(spec).await.expect("a port is free");
     let order = |fencing: u64| {
         let load = json!({ "load": { "model": MODEL, "version": "v2", "weights": "w" } });
         json!({ "fencing": fencing, "sequence": 1, "order": load })
     };
 
-    let newer = call(engine.address, Method::POST, "/v1/orders", &order(5)).await;
-    let older = call(engine.address, Method::POST, "/v1/orders", &order(4)).await;
-    until(|| engine.counters().fenced == 1).await;
-    let again = call(engine.address, Method::POST, "/v1/orders", &order(5)).await;
+    let newer = call_fake(engine.address, Method::POST, "/v1/orders", &order(5)).await;
+    let older = call_fake(engine.address, Method::POST, "/v1/orders", &order(4)).await;
+    wait_until(|| engine.counters().fenced_orders == 1).await;
+    let again = call_fake(engine.address, Method::POST, "/v1/orders", &order(5)).await;
 
     assert_eq!(newer.status.as_u16(), 200);
     assert_eq!(older.status.as_u16(), 409);
@@ -219,15 +229,15 @@
 async fn cache_events_tell_their_gaps() {
     let timings = cw_testkit::EngineTimings {
         event_loss: 2,
-        ..fast()
+        ..fast_timings()
     };
-    let engine = engine(timings).await;
+    let engine = start_engine(timings).await;
     run(&engine, &body(&"one ledger ".repeat(20), 1, &[])).await;
     run(&engine, &body(&"two ledger ".repeat(20), 1, &[])).await;
     run(&engine, &body(&"six ledger ".repeat(20), 1, &[])).await;
 
     let path = "/v1/cache/events?after=0";
-    let page = call(engine.address, Method::GET, path, &json!(null)).await;
+    let page = call_fake(engine.address, Method::GET, path, &json!(null)).await;
 
     let page = page.json();
     assert_eq!(page["gap"], true);
--- a/crates/cw_testkit/tests/experiment.rs
+++ b/crates/cw_testkit/tests/experiment.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use cw_testkit::Answer;
-use cw_testkit::Ask;
+use cw_testkit::Completion;
+use cw_testkit::CompletionRequest;
 use cw_testkit::Event;
 use cw_testkit::MODEL;
 use cw_testkit::VERSION;
@@ -16,21 +16,21 @@
 use rstest::rstest;
 use serde_json::json;
 
-fn answer(ids: Vec<TokenId>) -> Answer {
-    Answer {
+fn completion(ids: Vec<TokenId>) -> Completion {
+    Completion {
         ids,
-        finish: Some("length".to_owned()),
+        finish_reason: Some("length".to_owned()),
         closed: true,
-        ..Answer::default()
+        ..Completion::default()
     }
 }
 
 fn tally(change: impl FnOnce(&mut Vec<TokenId>)) -> Tally {
-    let ask = Ask::new("-", "a ledger", 50);
-    let mut ids = ask.expected(MODEL, VERSION);
+    let request = CompletionRequest::new("-", "a ledger", 50);
+    let mut ids = request.expected(MODEL, VERSION);
     change(&mut ids);
     let mut tally = Tally::default();
-    tally.add(&ask, &Ok(answer(ids)));
+    tally.add(&request, &Ok(completion(ids)));
     tally
 }
 
@@ -81,14 +81,14 @@
 fn resume_latency_is_the_end_of_the_longest_gap_after_the_fault() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
-    let mut answer = Answer::default();
+    let mut completion = Completion::default();
     for (millis, target) in [(10, "a"), (20, "a"), (31, "a"), (531, "b"), (541, "b")] {
-        answer.push(&event(&format!("g/1/1/{target}/v"), &[1], at(millis)));
+        completion.push(&event(&format!("g/1/1/{target}/v"), &[1], at(millis)));
     }
 
-    let resumed = answer.resumed_after(at(25));
+    let resumed = completion.resume_latency(at(25));
 
-    assert_eq!(answer.target_at(at(25)), Some("a"));
+    assert_eq!(completion.target_at(at(25)), Some("a"));
     assert_eq!(resumed, Some(Duration::from_millis(506)));
 }
 
--- a/crates/cw_testkit/tests/key_value.rs
+++ b/crates/cw_testkit/tests/key_value.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::soon;
+use common::within_timeout;
 use cw_store::EtcdGateway;
 use cw_store::KeyValue as _;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
 use cw_store::WatchEvent;
-use cw_testkit::KeyValue;
-use cw_testkit::StoreFaults;
+use cw_testkit::EtcdFaults;
+use cw_testkit::FakeEtcd;
 use futures::StreamExt;
 
-async fn pair() -> (KeyValue, EtcdGateway) {
-    let service = KeyValue::start().await.expect("a port is free");
+async fn pair() -> (FakeEtcd, EtcdGateway) {
+    let service = FakeEtcd::start().await.expect("a port is free");
     let client = EtcdGateway::new(vec![service.address]);
     (service, client)
 }
@@ -48,9 +48,9 @@
 #[tokio::test]
 async fn a_lost_answer_has_had_its_effect() {
     let (service, client) = pair().await;
-    service.set_faults(StoreFaults {
-        lost: 1,
-        ..StoreFaults::default()
+    service.set_faults(EtcdFaults {
+        lost_responses: 1,
+        ..EtcdFaults::default()
     });
 
     let lost = client.swap("k", None, value("a"), None).await;
@@ -62,9 +62,9 @@
 #[tokio::test]
 async fn a_service_that_is_down_has_no_effect() {
     let (service, client) = pair().await;
-    service.set_faults(StoreFaults {
-        down: true,
-        ..StoreFaults::default()
+    service.set_faults(EtcdFaults {
+        unavailable: true,
+        ..EtcdFaults::default()
     });
 
     let refused = client.swap("k", None, value("a"), None).await;
@@ -85,7 +85,7 @@
     let put = client.swap("k/1", None, value("a"), Some(lease)).await;
     let mut seen = Vec::new();
     while seen.len() < 2 {
-        match soon(events.next()).await {
+        match within_timeout(events.next()).await {
             Some(Ok(WatchEvent::Put(found))) => seen.push(found.key),
             Some(Ok(WatchEvent::Deleted { key, .. })) => seen.push(format!("-{key}")),
             Some(Ok(WatchEvent::Progress(_))) => {}
