--- a/crates/cw_testkit/tests/services.rs
+++ b/crates/cw_testkit/tests/services.rs
@@ -6,15 +6,15 @@
 use std::pin::pin;
 use std::time::Duration;
 
-use common::rig;
-use common::runs;
-use common::small;
-use common::soon;
-use common::until;
-use cw_testkit::Reply;
-use cw_testkit::Rig;
+use common::run_count;
+use common::small_spec;
+use common::start_deployment;
+use common::wait_until;
+use common::within_timeout;
+use cw_testkit::CallResponse;
 use cw_testkit::SERVICE;
 use cw_testkit::SERVICE_ONCE;
+use cw_testkit::TestDeployment;
 use futures::future::Either;
 use futures::future::join;
 use futures::future::select;
@@ -41,26 +41,28 @@
 }
 
 async fn call(
-    rig: &Rig,
+    deployment: &TestDeployment,
     entry: usize,
     service: &str,
     headers: &BTreeMap<String, String>,
     body: &str,
-) -> Option<Reply> {
-    let caller = rig.caller(entry);
+) -> Option<CallResponse> {
+    let caller = deployment.caller(entry);
     let path = path(service);
     let call = caller.call(Method::POST, &path, headers, body.to_owned());
-    soon(call).await.ok()
+    within_timeout(call).await.ok()
 }
 
 /// Kills the part of the deployment that runs `body`.
-async fn kill(rig: &Rig, victim: Victim, body: &str) {
-    let ran = |n: &usize| rig.services[*n].runs().contains_key(body);
-    let number = (0..rig.services.len()).find(ran).expect("it has run");
+async fn kill(deployment: &TestDeployment, victim: Victim, body: &str) {
+    let ran = |n: &usize| deployment.services[*n].runs().contains_key(body);
+    let number = (0..deployment.services.len())
+        .find(ran)
+        .expect("it has run");
     match victim {
-        Victim::Service => rig.services[number].kill().await,
-        Victim::Agent => rig.service_agents[number].kill().await,
-        Victim::Entry => rig.entries[0].kill().await,
+        Victim::Service => deployment.services[number].kill().await,
+        Victim::Agent => deployment.service_agents[number].kill().await,
+        Victim::Entry => deployment.entries[0].kill().await,
     }
 }
 
@@ -68,31 +70,34 @@
 ///
 /// A call that ends before any service has run it fails the test at once, and its answer is shown.
 async fn killing(
-    call: impl Future<Output = Option<Reply>>,
-    rig: &Rig,
+    call: impl Future<Output = Option<CallResponse>>,
+    deployment: &TestDeployment,
     victim: Victim,
     body: &str,
-) -> Option<Reply> {
+) -> Option<CallResponse> {
     let mut call = pin!(call);
-    let running = pin!(until(|| runs(rig, body) > 0));
+    let running = pin!(wait_until(|| run_count(deployment, body) > 0));
     match select(call.as_mut(), running).await {
         Either::Left((reply, _)) => {
-            assert!(runs(rig, body) > 0, "no service ran the call: {reply:?}");
+            assert!(
+                run_count(deployment, body) > 0,
+                "no service ran the call: {reply:?}"
+            );
             reply
         }
-        Either::Right(((), call)) => join(call, kill(rig, victim, body)).await.0,
+        Either::Right(((), call)) => join(call, kill(deployment, victim, body)).await.0,
     }
 }
 
-fn set_delay(rig: &Rig) {
-    rig.services.iter().for_each(|s| s.set_delay(DELAY));
+fn set_delay(deployment: &TestDeployment) {
+    deployment.services.iter().for_each(|s| s.set_delay(DELAY));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn method_path_and_body_are_passed_through() {
-    let rig = rig(small()).await;
+    let deployment = start_deployment(small_spec()).await;
 
-    let reply = call(&rig, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
+    let reply = call(&deployment, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
 
     let reply = reply.expect("the call is answered");
     let answer = reply.json();
@@ -100,18 +105,18 @@
     assert_eq!(answer["method"], "POST");
     assert_eq!(answer["path"], "/balances/7?currency=EUR");
     assert_eq!(answer["body"], "who owes whom");
-    rig.stop().await;
+    deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_deployment_is_ready_only_when_its_services_are() {
-    let rig = rig(small().with_late_services()).await;
+    let deployment = start_deployment(small_spec().with_late_services()).await;
 
-    let reply = call(&rig, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
+    let reply = call(&deployment, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
 
     let reply = reply.expect("the call is answered");
     assert_eq!(reply.status.as_u16(), 200, "{reply:?}");
-    rig.stop().await;
+    deployment.stop().await;
 }
 
 #[rstest]
@@ -119,17 +124,17 @@
 async fn an_idempotent_call_is_answered_whole_although_its_target_dies(
     #[values(Victim::Service, Victim::Agent)] victim: Victim,
 ) {
-    let rig = rig(small()).await;
-    set_delay(&rig);
+    let deployment = start_deployment(small_spec()).await;
+    set_delay(&deployment);
 
     let headers = BTreeMap::new();
-    let answer = call(&rig, 0, SERVICE, &headers, "who owes whom");
-    let reply = killing(answer, &rig, victim, "who owes whom").await;
+    let answer = call(&deployment, 0, SERVICE, &headers, "who owes whom");
+    let reply = killing(answer, &deployment, victim, "who owes whom").await;
 
     let reply = reply.expect("the call is answered");
     assert_eq!(reply.status.as_u16(), 200);
     assert_eq!(reply.json()["body"], "who owes whom");
-    rig.stop().await;
+    deployment.stop().await;
 }
 
 #[rstest]
@@ -138,41 +143,41 @@
     #[values(Victim::Service, Victim::Agent, Victim::Entry)] victim: Victim,
     #[values(true, false)] key: bool,
 ) {
-    let rig = rig(small()).await;
-    set_delay(&rig);
+    let deployment = start_deployment(small_spec()).await;
+    set_delay(&deployment);
     let body = "pay the balance";
     let headers = match key {
         true => keyed("notice-1"),
         false => BTreeMap::new(),
     };
 
-    let answer = call(&rig, 0, SERVICE_ONCE, &headers, body);
-    let first = killing(answer, &rig, victim, body).await;
+    let answer = call(&deployment, 0, SERVICE_ONCE, &headers, body);
+    let first = killing(answer, &deployment, victim, body).await;
     if key {
         for _ in 0..3 {
-            call(&rig, 1, SERVICE_ONCE, &headers, body).await;
+            call(&deployment, 1, SERVICE_ONCE, &headers, body).await;
         }
     }
 
-    assert_eq!(runs(&rig, body), 1);
+    assert_eq!(run_count(&deployment, body), 1);
     if let Some(reply) = first.filter(|reply| reply.status.as_u16() != 200) {
         assert_ne!(reply.json()["error"]["ran"], "no");
     }
-    rig.stop().await;
+    deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_repeat_with_the_same_key_gets_the_same_answer_through_another_entry() {
-    let rig = rig(small()).await;
+    let deployment = start_deployment(small_spec()).await;
     let headers = keyed("notice-2");
 
-    let first = call(&rig, 0, SERVICE_ONCE, &headers, "reserve the board").await;
-    let second = call(&rig, 1, SERVICE_ONCE, &headers, "reserve the board").await;
+    let first = call(&deployment, 0, SERVICE_ONCE, &headers, "reserve the board").await;
+    let second = call(&deployment, 1, SERVICE_ONCE, &headers, "reserve the board").await;
 
     let (first, second) = (first.expect("answered"), second.expect("answered"));
     assert_eq!(first.status.as_u16(), 200);
     assert_eq!(second.status.as_u16(), 200);
     assert_eq!(first.body, second.body);
-    assert_eq!(runs(&rig, "reserve the board"), 1);
-    rig.stop().await;
+    assert_eq!(run_count(&deployment, "reserve the board"), 1);
+    deployment.stop().await;
 }
--- a/crates/cyclamenwharf/examples/version_change.rs
+++ b/crates/cyclamenwharf/examples/version_change.rs
@@ -14,12 +14,12 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use cw_testkit::Ask;
+use cw_testkit::CompletionRequest;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::MODEL;
 use cw_testkit::ROUTE_LATENCY;
 use cw_testkit::ROUTE_THRIFT;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cyclamenwharf::admin::StatusMessage;
 use http::Request;
 use http_body_util::BodyExt;
@@ -57,14 +57,14 @@
 
 #[tokio::main]
 async fn main() {
-    let spec = RigSpec {
+    let spec = DeploymentSpec {
         engines: ENGINES,
         services: 0,
         entries: 3,
         zones: 3,
-        ..RigSpec::default()
+        ..DeploymentSpec::default()
     };
-    let rig = Arc::new(Rig::start(spec).await.expect("a deployment"));
+    let rig = Arc::new(TestDeployment::start(spec).await.expect("a deployment"));
     let observations = Arc::<Observations>::default();
     let callers: Vec<_> = (0..CALLERS)
         .map(|n| tokio::spawn(run_caller(rig.clone(), n, observations.clone())))
@@ -82,15 +82,15 @@
     rig.stop().await;
 }
 
-async fn run_caller(rig: Arc<Rig>, number: usize, observations: Arc<Observations>) {
+async fn run_caller(rig: Arc<TestDeployment>, number: usize, observations: Arc<Observations>) {
     let caller = rig.caller(number % rig.entries.len());
     let mut seed = number as u64 * 1_000_000;
     while !observations.stop.load(Ordering::SeqCst) {
         seed += 1;
-        let ask = Ask::new(ROUTE_LATENCY, "a settlement", TOKENS).with_seed(seed);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, "a settlement", TOKENS).with_seed(seed);
         let (start, phase) = (Instant::now(), observations.phase.load(Ordering::SeqCst));
-        let answer = match caller.ask(&ask).await {
-            Ok(answer) if answer.is_whole() => answer,
+        let answer = match caller.complete(&ask).await {
+            Ok(answer) if answer.is_complete() => answer,
             _ => {
                 observations.errors.fetch_add(1, Ordering::SeqCst);
                 continue;
@@ -101,14 +101,14 @@
             Some(index) => observations.versions[index].fetch_add(1, Ordering::SeqCst),
             None => observations.mixed.fetch_add(1, Ordering::SeqCst),
         };
-        if let Some(first) = answer.first_at() {
+        if let Some(first) = answer.first_token_at() {
             let mut times = observations.first_tokens.lock().expect("no panic");
             times.push((phase, first - start));
         }
     }
 }
 
-async fn change_version(rig: &Rig, observations: &Observations) -> [Duration; 2] {
+async fn change_version(rig: &TestDeployment, observations: &Observations) -> [Duration; 2] {
     let start = Instant::now();
     observations.phase.store(1, Ordering::SeqCst);
     let version = json!({
@@ -151,7 +151,7 @@
     json!({ "put": { "kind": kind, "name": name, "body": body } })
 }
 
-async fn propose_and_accept(rig: &Rig, id: &str, edits: Value) {
+async fn propose_and_accept(rig: &TestDeployment, id: &str, edits: Value) {
     let proposal = json!({ "id": id, "edits": edits });
     call_admin(rig, "POST", "/v1/proposals", &proposal).await;
     call_admin(
@@ -163,7 +163,7 @@
     .await;
 }
 
-async fn count_holders(rig: &Rig, version: &str) -> usize {
+async fn count_holders(rig: &TestDeployment, version: &str) -> usize {
     let status = call_admin(rig, "GET", "/v1/status", &Value::Null).await;
     let status: StatusMessage = serde_json::from_slice(&status).expect("a status");
     let holds = |held: &Vec<String>| held.iter().any(|held| held == version);
@@ -173,7 +173,7 @@
         .count()
 }
 
-async fn call_admin(rig: &Rig, method: &str, path: &str, body: &Value) -> Bytes {
+async fn call_admin(rig: &TestDeployment, method: &str, path: &str, body: &Value) -> Bytes {
     let settings = &rig.entries[0].settings;
     let admin: SocketAddr = settings.listen.admin;
     let request = Request::builder()
--- a/crates/cyclamenwharf/tests/control/in_force.rs
+++ b/crates/cyclamenwharf/tests/control/in_force.rs
@@ -8,7 +8,7 @@
 use crate::rig::snapshot;
 use crate::rig::until;
 use cw_policy::Liveness;
-use cw_testkit::StoreFaults;
+use cw_testkit::EtcdFaults;
 use cw_types::Revision;
 use cw_types::TargetId;
 use cw_wire::ReportResponse;
@@ -69,9 +69,9 @@
     platform.write(&snapshot(3));
     let a = platform.start_node("entry-a").await;
     until("a has it", || a.revision() == Revision(3)).await;
-    platform.key_value.set_faults(StoreFaults {
-        down: true,
-        ..StoreFaults::default()
+    platform.key_value.set_faults(EtcdFaults {
+        unavailable: true,
+        ..EtcdFaults::default()
     });
 
     let b = platform.start_node("entry-b").await;
@@ -84,15 +84,15 @@
 async fn start_with_the_service_down_and_no_peer_is_not_ready() {
     let platform = Platform::start().await;
     platform.write(&snapshot(3));
-    platform.key_value.set_faults(StoreFaults {
-        down: true,
-        ..StoreFaults::default()
+    platform.key_value.set_faults(EtcdFaults {
+        unavailable: true,
+        ..EtcdFaults::default()
     });
 
     let a = platform.start_node("entry-a").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let ready = a.health.is_ready();
-    platform.key_value.set_faults(StoreFaults::default());
+    platform.key_value.set_faults(EtcdFaults::default());
 
     assert!(!ready);
     until("a has it", || a.revision() == Revision(3)).await;
--- a/crates/cyclamenwharf/tests/control/operators.rs
+++ b/crates/cyclamenwharf/tests/control/operators.rs
@@ -12,7 +12,7 @@
 use crate::rig::snapshot;
 use crate::rig::until;
 use cw_policy::Liveness;
-use cw_testkit::StoreFaults;
+use cw_testkit::EtcdFaults;
 use cw_types::KeyHash;
 use cw_types::Revision;
 use cw_types::TargetId;
@@ -48,10 +48,10 @@
     (platform, a, b)
 }
 
-fn down() -> StoreFaults {
-    StoreFaults {
-        down: true,
-        ..StoreFaults::default()
+fn down() -> EtcdFaults {
+    EtcdFaults {
+        unavailable: true,
+        ..EtcdFaults::default()
     }
 }
 
@@ -83,9 +83,9 @@
         .propose("c1", vec![priority("p", 3)])
         .await
         .expect("a proposal");
-    platform.key_value.set_faults(StoreFaults {
-        lost: 2,
-        ..StoreFaults::default()
+    platform.key_value.set_faults(EtcdFaults {
+        lost_responses: 2,
+        ..EtcdFaults::default()
     });
 
     let change = operator.accept("c1").await.expect("an acceptance");
@@ -107,7 +107,7 @@
     platform.key_value.set_faults(down());
 
     let refused = operator.accept("c1").await.expect_err("a refusal");
-    platform.key_value.set_faults(StoreFaults::default());
+    platform.key_value.set_faults(EtcdFaults::default());
     let change = operator.accept("c1").await.expect("an acceptance");
 
     assert_eq!(refused.kind, AdminErrorKind::Unavailable);
@@ -176,9 +176,9 @@
 #[tokio::test]
 async fn change_is_in_force_although_all_watches_are_silent() {
     let (platform, a, b) = two().await;
-    platform.key_value.set_faults(StoreFaults {
-        silent: true,
-        ..StoreFaults::default()
+    platform.key_value.set_faults(EtcdFaults {
+        silent_watches: true,
+        ..EtcdFaults::default()
     });
 
     platform.write(&snapshot(5));
--- a/crates/cyclamenwharf/tests/control/rig.rs
+++ b/crates/cyclamenwharf/tests/control/rig.rs
@@ -8,9 +8,9 @@
 use cw_store::Host;
 use cw_store::HostRole;
 use cw_store::HostState;
-use cw_testkit::HostList;
-use cw_testkit::KeyValue;
-use cw_testkit::WeightStore;
+use cw_testkit::FakeEtcd;
+use cw_testkit::FakeHostList;
+use cw_testkit::FakeWeightStore;
 use cw_types::ByteSize;
 use cw_types::Record;
 use cw_types::RecordKind;
@@ -44,9 +44,9 @@
 
 /// The platform.
 pub(crate) struct Platform {
-    pub(crate) key_value: KeyValue,
-    pub(crate) host_list: HostList,
-    pub(crate) weight_store: WeightStore,
+    pub(crate) key_value: FakeEtcd,
+    pub(crate) host_list: FakeHostList,
+    pub(crate) weight_store: FakeWeightStore,
 }
 
 /// One entry's control state.
@@ -60,9 +60,9 @@
     pub(crate) async fn start() -> Self {
         let weights = [("weights-1".to_owned(), ByteSize::mib(64))].into();
         Self {
-            key_value: KeyValue::start().await.expect("a free port"),
-            host_list: HostList::start().await.expect("a free port"),
-            weight_store: WeightStore::start(weights, ByteSize::mib(256))
+            key_value: FakeEtcd::start().await.expect("a free port"),
+            host_list: FakeHostList::start().await.expect("a free port"),
+            weight_store: FakeWeightStore::start(weights, ByteSize::mib(256))
                 .await
                 .expect("a free port"),
         }
--- a/crates/cyclamenwharf/tests/control/rolling_restart.rs
+++ b/crates/cyclamenwharf/tests/control/rolling_restart.rs
@@ -6,11 +6,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cw_testkit::Ask;
+use cw_testkit::CompletionRequest;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::MODEL;
 use cw_testkit::ROUTE_LATENCY;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cw_testkit::VERSION;
 
 use crate::admin::Operator;
@@ -29,7 +29,7 @@
 
 /// Asks until `stop` through the entry that the balancer would choose.
 async fn ask_until(
-    rig: Arc<Rig>,
+    rig: Arc<TestDeployment>,
     number: u64,
     stop: Arc<AtomicBool>,
     balancer: Arc<AtomicUsize>,
@@ -38,19 +38,19 @@
     while !stop.load(Ordering::SeqCst) {
         answers += 1;
         let seed = number * 1_000_000 + answers as u64;
-        let ask = Ask::new(ROUTE_LATENCY, "a digest", TOKENS).with_seed(seed);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, "a digest", TOKENS).with_seed(seed);
         let entry = balancer.load(Ordering::SeqCst);
-        let mut outcome = rig.caller(entry).ask(&ask).await;
+        let mut outcome = rig.caller(entry).complete(&ask).await;
         if outcome
             .as_ref()
             .is_err_and(|e| e.code() == Some("not_ready"))
         {
             // The balancer had not seen yet that the entry is not ready, and sends it on.
             let other = (entry + 1) % rig.entries.len();
-            outcome = rig.caller(other).ask(&ask).await;
+            outcome = rig.caller(other).complete(&ask).await;
         }
         let answer = outcome.expect("no request is refused");
-        assert!(answer.is_whole(), "cut: {answer:?}");
+        assert!(answer.is_complete(), "cut: {answer:?}");
         assert_eq!(answer.ids, ask.expected(MODEL, VERSION), "lost or doubled");
     }
     answers
@@ -58,7 +58,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn rolling_restart_of_every_process_cuts_loses_and_doubles_nothing() {
-    let rig = Arc::new(Rig::start(RigSpec::default()).await.expect("a deployment"));
+    let rig = Arc::new(
+        TestDeployment::start(DeploymentSpec::default())
+            .await
+            .expect("a deployment"),
+    );
     let (stop, balancer) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let load: Vec<_> = (0..CALLERS)
         .map(|n| ask_until(rig.clone(), n, Arc::clone(&stop), Arc::clone(&balancer)))
--- a/crates/cyclamenwharf/tests/control/version_change.rs
+++ b/crates/cyclamenwharf/tests/control/version_change.rs
@@ -6,12 +6,12 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cw_testkit::Ask;
+use cw_testkit::CompletionRequest;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::MODEL;
 use cw_testkit::ROUTE_LATENCY;
 use cw_testkit::ROUTE_THRIFT;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cyclamenwharf::admin::EditMessage;
 use serde_json::json;
 
@@ -28,17 +28,22 @@
 const GUARD: Duration = Duration::from_secs(90);
 
 /// Asks until `stop`, and checks that each answer is whole and of one version.
-async fn ask_until(rig: Arc<Rig>, number: u64, stop: Arc<AtomicBool>, seen: Arc<[AtomicUsize; 2]>) {
+async fn ask_until(
+    rig: Arc<TestDeployment>,
+    number: u64,
+    stop: Arc<AtomicBool>,
+    seen: Arc<[AtomicUsize; 2]>,
+) {
     let caller = rig.caller(number as usize % 2);
     let mut seed = number * 1_000_000;
     while !stop.load(Ordering::SeqCst) {
         seed += 1;
-        let ask = Ask::new(ROUTE_LATENCY, "a settlement", TOKENS).with_seed(seed);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, "a settlement", TOKENS).with_seed(seed);
         let answer = caller
-            .ask(&ask)
+            .complete(&ask)
             .await
             .expect("no error in a planned change");
-        assert!(answer.is_whole(), "{answer:?}");
+        assert!(answer.is_complete(), "{answer:?}");
         let versions = ["v1", "v2"].map(|version| ask.expected(MODEL, version));
         let index = versions.iter().position(|ids| *ids == answer.ids);
         let index = index.expect("the tokens of one version");
@@ -69,7 +74,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn version_change_under_load_has_no_error_and_no_mixed_answer() {
-    let rig = Arc::new(Rig::start(RigSpec::default()).await.expect("a deployment"));
+    let rig = Arc::new(
+        TestDeployment::start(DeploymentSpec::default())
+            .await
+            .expect("a deployment"),
+    );
     let settings = &rig.entries[0].settings;
     let operator = Operator::new(settings.listen.admin, &settings.secrets.peers[0]);
     let (stop, seen) = (Arc::new(AtomicBool::new(false)), Arc::default());
--- a/crates/cyclamenwharfctl/tests/tool.rs
+++ b/crates/cyclamenwharfctl/tests/tool.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::process::Output;
 
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::DeploymentSpec;
+use cw_testkit::TestDeployment;
 use rstest::rstest;
 use serde_json::Value;
 use tempfile::TempDir;
@@ -13,12 +13,12 @@
 const TOOL: &str = env!("CARGO_BIN_EXE_cyclamenwharfctl");
 
 /// Runs the tool against an entry.
-async fn run(rig: &Rig, args: &[&str]) -> Output {
+async fn run(rig: &TestDeployment, args: &[&str]) -> Output {
     let settings = &rig.entries[0].settings;
     run_as(rig, &settings.secrets.peers[0], args).await
 }
 
-async fn run_as(rig: &Rig, key: &str, args: &[&str]) -> Output {
+async fn run_as(rig: &TestDeployment, key: &str, args: &[&str]) -> Output {
     let admin = rig.entries[0].settings.listen.admin.to_string();
     let (key, args) = (key.to_owned(), args.iter().map(|arg| (*arg).to_owned()));
     let args: Vec<_> = args.collect();
@@ -56,14 +56,14 @@
     write(directory, "batch.toml", &text)
 }
 
-async fn rig() -> Rig {
-    let spec = RigSpec {
+async fn rig() -> TestDeployment {
+    let spec = DeploymentSpec {
         engines: 2,
         services: 0,
         entries: 1,
-        ..RigSpec::default()
+        ..DeploymentSpec::default()
     };
-    Rig::start(spec).await.expect("a deployment")
+    TestDeployment::start(spec).await.expect("a deployment")
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
