--- a/crates/cw_testkit/src/caller/client.rs
+++ b/crates/cw_testkit/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! The HTTP client of callers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,26 +25,26 @@
 use super::CompletionReader;
 use super::CompletionRequest;
 
-/// Where completions are asked for.
+/// The path of the completion endpoint.
 const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// A call that did not end in an answer.
+/// A failed call.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// The connection could not be made or broke.
+    /// The connection could not be opened, or it broke.
     #[snafu(display("the connection broke: {message}"))]
     Broken {
-        /// What happened.
+        /// A description of the failure.
         message: String,
     },
-    /// The call was refused.
+    /// The entry refused the call.
     #[snafu(display("refused with {status}: {body}"))]
     Refused {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: StatusCode,
-        /// The body.
+        /// The JSON body of the response, or null.
         body: Value,
-        /// `Retry-After`, where it is given.
+        /// The delay in the `Retry-After` header, if it is present.
         retry_after: Option<Duration>,
     },
 }
@@ -55,7 +55,7 @@
         CallError::Broken { message }
     }
 
-    /// Returns what the refusal says of whether the request was run.
+    /// Returns whether the request was run, as stated by the refusal.
     pub fn ran(&self) -> Option<&str> {
         match self {
             CallError::Refused { body, .. } => body["error"]["ran"].as_str(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the code of the refusal.
+    /// Returns the error code of the refusal.
     pub fn code(&self) -> Option<&str> {
         match self {
             CallError::Refused { body, .. } => body["error"]["code"].as_str(),
@@ -72,36 +72,36 @@
     }
 }
 
-/// A whole answer of any kind.
+/// The complete response to any call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The response body.
     pub body: Bytes,
 }
 
 impl CallResponse {
-    /// Returns the body as JSON, or null.
+    /// Returns the body as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// A caller of one entry.
+/// A client of one entry.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
-    /// The entry.
+    /// The address of the entry.
     pub entry: SocketAddr,
-    /// The API key.
+    /// The API key that is sent with each call.
     pub api_key: String,
 }
 
 impl Caller {
-    /// Returns a caller with connections of its own.
+    /// Returns a caller with its own connection pool.
     pub fn new(entry: SocketAddr, api_key: &str) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the same caller at another entry.
+    /// Returns a copy of this caller that calls another entry.
     #[must_use]
     pub fn at(&self, entry: SocketAddr) -> Self {
         let mut caller = self.clone();
@@ -120,11 +120,12 @@
         caller
     }
 
-    /// Asks for a generation and reads the whole answer.
+    /// Requests a generation and reads it to its end.
     ///
     /// # Errors
     ///
-    /// See [`CallError`].
+    /// Returns [`CallError::Broken`] if the connection fails or the response is malformed, and
+    /// [`CallError::Refused`] if its status is not 200.
     pub async fn complete(&self, request: &CompletionRequest) -> Result<Completion, CallError> {
         if request.stream {
             return self.open_stream(request).await?.finish().await;
@@ -145,11 +146,12 @@
         Ok(completion)
     }
 
-    /// Asks for a generation and returns its stream.
+    /// Requests a generation and returns a reader of its stream.
     ///
     /// # Errors
     ///
-    /// See [`CallError`].
+    /// Returns [`CallError::Broken`] if the connection fails or the response is malformed, and
+    /// [`CallError::Refused`] if its status is not 200.
     pub async fn open_stream(
         &self,
         request: &CompletionRequest,
@@ -158,21 +160,22 @@
         Ok(CompletionReader::new(response.into_body()))
     }
 
-    /// Asks for a generation with a body of one's own and returns its stream.
+    /// Requests a generation with the given body and returns a reader of its stream.
     ///
     /// # Errors
     ///
-    /// See [`CallError`].
+    /// Returns [`CallError::Broken`] if the connection fails or the response is malformed, and
+    /// [`CallError::Refused`] if its status is not 200.
     pub async fn open_stream_with_body(&self, body: &Value) -> Result<CompletionReader, CallError> {
         let response = self.post(&BTreeMap::new(), body).await?;
         Ok(CompletionReader::new(response.into_body()))
     }
 
-    /// Makes any call and reads the whole answer, whatever its status.
+    /// Makes any call and reads the complete response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Fails when the connection cannot be made or breaks.
+    /// Returns [`CallError::Broken`] if the connection cannot be opened or breaks.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/cw_testkit/src/caller/completion.rs
+++ b/crates/cw_testkit/src/caller/completion.rs
@@ -1,4 +1,4 @@
-//! What a caller has received.
+//! The output of a generation, as a caller receives it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,43 +8,43 @@
 
 use super::Event;
 
-/// Tokens that came in one event.
+/// The arrival of an event with tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When they came.
+    /// When the caller read the event.
     pub at: Instant,
-    /// How many tokens the caller had then.
+    /// The number of tokens received up to and including this event.
     pub tokens: usize,
-    /// The target that made them, as the event's id names it.
+    /// The target that generated the tokens, as named in the id of the event.
     pub target: Option<String>,
 }
 
-/// What a caller has received of one generation.
+/// The part of one generation that a caller has received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Completion {
-    /// The tokens.
+    /// The token ids.
     pub ids: Vec<TokenId>,
     /// The text.
     pub text: String,
-    /// When tokens came.
+    /// The arrivals of events with tokens, in order.
     pub arrivals: Vec<Arrival>,
     /// The id of the last event.
     pub last_event_id: Option<String>,
-    /// How the output ended, if it is whole.
+    /// The finish reason, if the output has ended.
     pub finish_reason: Option<String>,
-    /// Whether the stream was closed as it should be.
+    /// Whether the stream ended with its closing event, or the response was not streamed.
     pub closed: bool,
-    /// The error that ended the stream.
+    /// The error that ended the generation.
     pub error: Option<Value>,
 }
 
 impl Completion {
-    /// Returns whether the whole answer came.
+    /// Returns whether the output is complete and without error.
     pub fn is_complete(&self) -> bool {
         self.finish_reason.is_some() && self.closed && self.error.is_none()
     }
 
-    /// Adds an event of a stream.
+    /// Adds an event of the stream.
     pub fn push(&mut self, event: &Event) {
         self.last_event_id = event.id.clone().or(self.last_event_id.take());
         let Some(data) = &event.data else {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Adds what a body or an event holds.
+    /// Appends the tokens, text and finish reason of a response body or of an event.
     pub fn append(&mut self, data: &Value) {
         let choice = &data["choices"][0];
         let ids = choice["token_ids"].as_array().into_iter().flatten();
@@ -82,18 +82,19 @@
         }
     }
 
-    /// Returns when the first token came.
+    /// Returns when the first token arrived.
     pub fn first_token_at(&self) -> Option<Instant> {
         self.arrivals.first().map(|arrival| arrival.at)
     }
 
-    /// Returns the target that served the stream at a moment.
+    /// Returns the target that served the stream at `moment`.
     pub fn target_at(&self, moment: Instant) -> Option<&str> {
         let before = self.arrivals.iter().rev().find(|a| a.at <= moment)?;
         before.target.as_deref()
     }
 
-    /// Returns how long after a fault the stream went on: the end of its longest gap since.
+    /// Returns the time from a fault until the stream resumed, which is the end of the longest gap
+    /// between tokens since the fault.
     pub fn resume_latency(&self, fault: Instant) -> Option<Duration> {
         let start = self.arrivals.iter().rposition(|a| a.at <= fault)?;
         let gap = |pair: &&[Arrival]| pair[1].at - pair[0].at;
@@ -102,7 +103,7 @@
     }
 }
 
-/// Reads the target from an event's id, `GENERATION/ATTEMPT/INDEX/TARGET/..`.
+/// Parses the target from an event id of the form `GENERATION/ATTEMPT/INDEX/TARGET/..`.
 fn target_of(id: &str) -> Option<String> {
     id.split('/').nth(3).map(str::to_owned)
 }
--- a/crates/cw_testkit/src/caller/completion_reader.rs
+++ b/crates/cw_testkit/src/caller/completion_reader.rs
@@ -1,4 +1,4 @@
-//! Server-sent events.
+//! Reading a stream of server-sent events.
 
 use std::time::Instant;
 
@@ -11,31 +11,31 @@
 use super::CallError;
 use super::Completion;
 
-/// The end of a stream.
+/// The data of the event that closes a stream.
 const END_OF_STREAM: &[u8] = b"[DONE]";
 
 /// One server-sent event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// Its id.
+    /// The event id.
     pub id: Option<String>,
-    /// Its data, or nothing for the closing event.
+    /// The JSON data, or `None` for the closing event.
     pub data: Option<Value>,
-    /// When it was read.
+    /// When the event was read.
     pub at: Instant,
 }
 
-/// A stream that is being read.
+/// A reader of the stream of one generation.
 #[derive(Debug)]
 pub struct CompletionReader {
     body: Incoming,
     buffer: BytesMut,
-    /// What has been read so far.
+    /// The output that has been read so far.
     pub completion: Completion,
 }
 
 impl CompletionReader {
-    /// Starts to read a body.
+    /// Returns a reader of a response body.
     pub(super) fn new(body: Incoming) -> Self {
         Self {
             body,
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Returns the next event, or nothing at the end of the body.
+    /// Returns the next event, or `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// Fails when the connection breaks or an event is not one.
+    /// Returns [`CallError::Broken`] if the connection breaks or the data of an event is not JSON.
     pub async fn next(&mut self) -> Result<Option<Event>, CallError> {
         loop {
             if let Some(event) = self.next_buffered_event()? {
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Reads to the end.
+    /// Reads the stream to its end.
     ///
     /// # Errors
     ///
@@ -97,7 +97,7 @@
     }
 }
 
-/// Reads one block of lines; one without data is a comment.
+/// Parses one block of lines. A block without data is a comment and returns `None`.
 fn parse_event(block: &[u8]) -> Result<Option<Event>, CallError> {
     let mut id = None;
     let mut data = None;
--- a/crates/cw_testkit/src/caller/completion_request.rs
+++ b/crates/cw_testkit/src/caller/completion_request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! The request for a generation.
 
 use std::collections::BTreeMap;
 
@@ -10,27 +10,27 @@
 use crate::TokenSource;
 use crate::prompt_ids;
 
-/// One request for a generation.
+/// A request for a generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletionRequest {
-    /// The route.
+    /// The name of the route, sent as the model.
     pub model: String,
-    /// The prompt.
+    /// The prompt text.
     pub prompt: String,
-    /// The most tokens of the output.
+    /// The maximum number of output tokens.
     pub max_tokens: u64,
-    /// The seed.
+    /// The sampling seed.
     pub seed: u64,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub stream: bool,
-    /// The output that the caller holds already.
+    /// The output that the caller has already received.
     pub output_so_far: Vec<TokenId>,
-    /// Further headers.
+    /// Additional HTTP headers.
     pub headers: BTreeMap<String, String>,
 }
 
 impl CompletionRequest {
-    /// Returns a request for a stream.
+    /// Returns a streaming request with seed 7.
     pub fn new(model: &str, prompt: &str, max_tokens: u64) -> Self {
         Self {
             model: model.to_owned(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Asks for the whole answer in one piece.
+    /// Requests a single response instead of a stream.
     #[must_use]
     pub fn non_streaming(mut self) -> Self {
         self.stream = false;
@@ -64,20 +64,21 @@
         self
     }
 
-    /// Says which tokens the caller holds already.
+    /// Sets the output that the caller has already received.
     #[must_use]
     pub fn with_output_so_far(mut self, tokens: Vec<TokenId>) -> Self {
         self.output_so_far = tokens;
         self
     }
 
-    /// Returns the output that the stand-in engine produces for this request.
+    /// Returns the output that the fake engine generates for this request with this model and
+    /// version.
     pub fn expected(&self, model: &str, version: &str) -> Vec<TokenId> {
         let prompt = prompt_ids(&Prompt::Text(self.prompt.clone()));
         TokenSource::new(&prompt, [model, version, ""], self.seed).ids(self.max_tokens)
     }
 
-    /// Returns the request's body.
+    /// Returns the JSON body of the request.
     pub fn body(&self) -> Value {
         let mut body = json!({
             "model": self.model,
--- a/crates/cw_testkit/src/caller/mod.rs
+++ b/crates/cw_testkit/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A small client of the callers' interface.
+//! A small client of the API that entries serve to callers.
 
 mod client;
 mod completion;
--- a/crates/cw_testkit/src/deployment/deployment_spec.rs
+++ b/crates/cw_testkit/src/deployment/deployment_spec.rs
@@ -1,4 +1,4 @@
-//! How large a deployment is.
+//! The size and settings of a deployment.
 
 use std::time::Duration;
 
@@ -13,51 +13,51 @@
 
 use crate::EngineTimings;
 
-/// The model that every engine has.
+/// The model that each engine has loaded.
 pub const MODEL: &str = "settlement";
-/// The version of it.
+/// The version of [`MODEL`] that each engine has loaded.
 pub const VERSION: &str = "v1";
-/// The route whose lost attempts are recovered for latency.
+/// The route to [`MODEL`] that recovers lost attempts with the lowest latency.
 pub const ROUTE_LATENCY: &str = "settlement";
-/// The route whose lost attempts are recovered for little extra work.
+/// The route to [`MODEL`] that recovers lost attempts with the least additional work.
 pub const ROUTE_THRIFT: &str = "settlement-thrift";
-/// The plain service whose calls may be repeated.
+/// The plain service whose calls are idempotent.
 pub const SERVICE: &str = "ledger";
-/// The plain service whose calls may run once.
+/// The plain service whose calls may run at most once.
 pub const SERVICE_ONCE: &str = "notices";
 
-/// How large a deployment is, and how its parts are set.
+/// The size of a deployment and the settings of its processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSpec {
     /// The number of entries.
     pub entries: usize,
     /// The number of engines.
     pub engines: usize,
-    /// The number of plain services, in turn [`SERVICE`] and [`SERVICE_ONCE`].
+    /// The number of plain services, which are alternately [`SERVICE`] and [`SERVICE_ONCE`].
     pub services: usize,
-    /// The number of availability zones, over which everything is spread in turn.
+    /// The number of availability zones. Entries and targets are assigned to them round-robin.
     pub zones: usize,
     /// The number of workspaces.
     pub workspaces: usize,
-    /// The quota of each.
+    /// The quota of each workspace.
     pub quota: Quota,
-    /// How long a request may wait before its first token.
+    /// The maximum time that a request may wait for its first token.
     pub patience: Duration,
-    /// How fast engines are.
+    /// The speed and capacity of the engines.
     pub timings: EngineTimings,
-    /// The agents' limits.
+    /// The engine settings of the agents.
     pub engine: EngineSettings,
-    /// The entries' limits.
+    /// The limits of the entries.
     pub limits: LimitSettings,
-    /// How entries notice lost attempts.
+    /// The settings for detection and recovery of lost attempts at the entries.
     pub recovery: RecoverySettings,
-    /// What entries record of their decisions.
+    /// The trace settings of the entries.
     pub trace: TraceSettings,
-    /// How entries choose targets.
+    /// The routing settings of the entries.
     pub routing: RoutingSettings,
     /// Whether entries reach each agent through a [`crate::Forwarder`].
     pub with_forwarders: bool,
-    /// Whether the agents of plain services start only after everything else.
+    /// Whether the agents of plain services start after all other processes.
     pub late_services: bool,
 }
 
@@ -109,42 +109,42 @@
         self
     }
 
-    /// Lets the agents of plain services start only after everything else.
+    /// Starts the agents of plain services after all other processes.
     #[must_use]
     pub fn with_late_services(mut self) -> Self {
         self.late_services = true;
         self
     }
 
-    /// Sets the number of availability zones.
+    /// Sets the number of availability zones, which is at least one.
     #[must_use]
     pub fn with_zones(mut self, count: usize) -> Self {
         self.zones = count.max(1);
         self
     }
 
-    /// Sets how fast engines are.
+    /// Sets the speed and capacity of the engines.
     #[must_use]
     pub fn with_timings(mut self, timings: EngineTimings) -> Self {
         self.timings = timings;
         self
     }
 
-    /// Sets what entries record of their decisions.
+    /// Sets the trace settings of the entries.
     #[must_use]
     pub fn with_trace(mut self, trace: TraceSettings) -> Self {
         self.trace = trace;
         self
     }
 
-    /// Puts a forwarder before each agent.
+    /// Puts a [`crate::Forwarder`] in front of the agent of each engine.
     #[must_use]
     pub fn with_forwarders(mut self) -> Self {
         self.with_forwarders = true;
         self
     }
 
-    /// Sets how entries choose targets.
+    /// Sets the routing policy of the entries.
     #[must_use]
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.routing.policy = policy;
--- a/crates/cw_testkit/src/deployment/mod.rs
+++ b/crates/cw_testkit/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A whole small deployment in one process, on loopback.
+//! A complete small deployment in one process, on the loopback address.
 
 mod deployment_spec;
 mod node;
--- a/crates/cw_testkit/src/deployment/node.rs
+++ b/crates/cw_testkit/src/deployment/node.rs
@@ -1,4 +1,4 @@
-//! The processes of a deployment.
+//! The entries and agents of a deployment, each of which can be restarted.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 
 use super::DeploymentError;
 
-/// An entry that can be killed and started again where it was.
+/// An entry that can be killed and restarted on the same ports.
 #[derive(Debug)]
 pub struct EntryNode {
-    /// Its settings, with the addresses that it has.
+    /// The settings, with the addresses that were bound.
     pub settings: EntrySettings,
     handle: Mutex<Option<EntryHandle>>,
 }
@@ -37,42 +37,42 @@
         })
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address that callers connect to.
     pub fn caller_address(&self) -> SocketAddr {
         self.settings.listen.callers
     }
 
-    /// Returns the traces that it keeps, oldest first.
+    /// Returns the traces that the entry keeps, oldest first.
     pub async fn traces(&self) -> Vec<String> {
         let handle = self.handle.lock().await;
         handle.as_ref().map_or(Vec::new(), EntryHandle::traces)
     }
 
-    /// Returns the targets that it takes to be alive.
+    /// Returns the targets that the entry considers alive.
     pub async fn live_targets(&self) -> BTreeSet<TargetId> {
         let handle = self.handle.lock().await;
         handle.as_ref().map_or(BTreeSet::new(), EntryHandle::alive)
     }
 
-    /// Kills it.
+    /// Kills the process without draining it.
     pub async fn kill(&self) {
         if let Some(handle) = self.handle.lock().await.take() {
             handle.kill();
         }
     }
 
-    /// Lets it end all its work, and returns when it has.
+    /// Drains the process, and returns when all its work is complete.
     pub async fn drain(&self) {
         if let Some(handle) = self.handle.lock().await.as_ref() {
             handle.drain().await;
         }
     }
 
-    /// Starts a killed one again.
+    /// Kills the process if it runs, and starts it on the same ports.
     ///
     /// # Errors
     ///
-    /// Fails when its ports were taken meanwhile.
+    /// Returns an error if the process does not start, for example because a port is in use.
     pub async fn restart(&self) -> Result<(), DeploymentError> {
         self.kill().await;
         let mut slot = self.handle.lock().await;
@@ -82,10 +82,10 @@
     }
 }
 
-/// The agent of a target, which can be killed and started again where it was.
+/// The agent of a target, which can be killed and restarted on the same ports.
 #[derive(Debug)]
 pub struct TargetNode {
-    /// Its settings, with the addresses that it has.
+    /// The settings, with the addresses that were bound.
     pub settings: AgentSettings,
     handle: Mutex<Option<AgentHandle>>,
 }
@@ -104,25 +104,25 @@
         })
     }
 
-    /// Kills it.
+    /// Kills the process without draining it.
     pub async fn kill(&self) {
         if let Some(handle) = self.handle.lock().await.take() {
             handle.kill();
         }
     }
 
-    /// Lets it end all its work, and returns when it has.
+    /// Drains the process, and returns when all its work is complete.
     pub async fn drain(&self) {
         if let Some(handle) = self.handle.lock().await.as_ref() {
             handle.drain().await;
         }
     }
 
-    /// Starts a killed one again.
+    /// Kills the process if it runs, and starts it on the same ports.
     ///
     /// # Errors
     ///
-    /// Fails when its ports were taken meanwhile.
+    /// Returns an error if the process does not start, for example because a port is in use.
     pub async fn restart(&self) -> Result<(), DeploymentError> {
         self.kill().await;
         let mut slot = self.handle.lock().await;
--- a/crates/cw_testkit/src/deployment/records.rs
+++ b/crates/cw_testkit/src/deployment/records.rs
@@ -1,4 +1,4 @@
-//! The records of a deployment.
+//! The configuration records of a deployment.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,15 +31,15 @@
 
 /// The priority of all routes.
 const NORMAL_PRIORITY: &str = "normal";
-/// The priority above it.
+/// The priority above [`NORMAL_PRIORITY`].
 const HIGH_PRIORITY: &str = "high";
 
-/// Returns the API key of a workspace.
+/// Returns the API key of the workspace with this index.
 pub fn api_key(workspace: usize) -> String {
     format!("key-of-workspace-{workspace}")
 }
 
-/// Returns all records of a deployment with these targets.
+/// Returns the configuration of a deployment with these targets.
 pub(super) fn snapshot(spec: &DeploymentSpec, targets: BTreeMap<TargetId, Target>) -> Snapshot {
     let mut records = vec![
         record(RecordKind::Priority, NORMAL_PRIORITY, &Priority { rank: 1 }),
@@ -140,7 +140,7 @@
 
 fn record<T: Serialize>(kind: RecordKind, name: &str, body: &T) -> Record {
     let Ok(Value::Object(body)) = serde_json::to_value(body) else {
-        panic!("every record is an object");
+        panic!("a record is serialized as a JSON object");
     };
     Record {
         kind,
--- a/crates/cw_testkit/src/deployment/settings_files.rs
+++ b/crates/cw_testkit/src/deployment/settings_files.rs
@@ -1,15 +1,15 @@
-//! The settings files of an example deployment.
+//! The settings files of a deployment.
 
 use std::io;
 use std::path::Path;
 
 use super::TestDeployment;
 
-/// Writes one settings file for each process of a deployment, and the key of its first caller.
+/// Writes a TOML settings file for each entry and agent of a deployment to `directory`.
 ///
 /// # Errors
 ///
-/// Fails when a file cannot be written.
+/// Returns an error if the directory or a file cannot be written.
 pub fn write_settings(deployment: &TestDeployment, directory: &Path) -> io::Result<()> {
     std::fs::create_dir_all(directory)?;
     for entry in &deployment.entries {
--- a/crates/cw_testkit/src/deployment/test_deployment.rs
+++ b/crates/cw_testkit/src/deployment/test_deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment.
+//! A complete deployment in one process.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -49,24 +49,25 @@
 use super::records::api_key;
 use super::records::snapshot;
 
-/// The key of the configuration.
+/// The etcd key of the configuration.
 const CONFIG_KEY: &str = "cyclamenwharf/config";
-/// The region of everything.
+/// The region of all hosts.
 const REGION: &str = "region-0";
-/// The secret of all processes.
+/// The secret with which all processes authenticate to each other.
 const PEER_SECRET: &str = "a-secret-for-a-look";
-/// How long a deployment may take until every target serves.
+/// The maximum time from the start until the deployment is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long after everything else late services start: well after the first request is answered.
+/// The delay after which late services start. It is long enough for the first request to be
+/// answered before.
 const LATE_SERVICE_DELAY: Duration = Duration::from_millis(500);
-/// The pause between two looks whether it does.
+/// The interval between two checks of whether the deployment is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A deployment that does not start.
+/// A failure to start a deployment or one of its processes.
 #[derive(Debug, Snafu)]
 #[snafu(display("{message}"))]
 pub struct DeploymentError {
-    /// What happened.
+    /// A description of the failure.
     pub message: String,
 }
 
@@ -77,12 +78,12 @@
     }
 }
 
-/// A whole small deployment in one process, on loopback.
+/// A complete small deployment in one process, on the loopback address.
 #[derive(Debug)]
 pub struct TestDeployment {
-    /// What it was built from.
+    /// The specification that the deployment was started with.
     pub spec: DeploymentSpec,
-    /// The key-value service.
+    /// The key-value service, which stores the configuration.
     pub key_value: FakeEtcd,
     /// The host list.
     pub host_list: FakeHostList,
@@ -92,7 +93,8 @@
     pub engines: Vec<FakeEngine>,
     /// The agents of the engines, in the same order.
     pub agents: Vec<TargetNode>,
-    /// The forwarders before the agents of the engines, if asked for, in the same order.
+    /// The forwarders in front of the agents of the engines, in the same order, or none if
+    /// [`DeploymentSpec::with_forwarders`] is not set.
     pub forwarders: Vec<Forwarder>,
     /// The plain services.
     pub services: Vec<FakeService>,
@@ -103,11 +105,11 @@
 }
 
 impl TestDeployment {
-    /// Starts a deployment and returns when it answers callers.
+    /// Starts a deployment, and returns when it is ready to serve callers.
     ///
     /// # Errors
     ///
-    /// Fails when a part does not start.
+    /// Returns an error if a process does not start or the deployment is not ready in time.
     pub async fn start(spec: DeploymentSpec) -> Result<Self, DeploymentError> {
         let mut deployment = Self::start_platform(spec).await?;
         deployment.start_entries().await?;
@@ -123,29 +125,29 @@
         Ok(deployment)
     }
 
-    /// Returns a caller of an entry, with the API key of the first workspace.
+    /// Returns a client of the entry with this index, with the API key of the first workspace.
     pub fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entries[entry].caller_address(), &api_key(0))
     }
 
-    /// Returns the index of the engine of this name.
+    /// Returns the index of the engine with this target id.
     ///
     /// # Panics
     ///
-    /// Panics when no engine has this name.
+    /// Panics if no engine has this target id.
     pub fn engine_index(&self, name: &str) -> usize {
         let is_named = |node: &TargetNode| node.settings.target.id.as_str() == name;
         let found = self.agents.iter().position(is_named);
-        found.expect("the name is of an engine of this deployment")
+        found.expect("the deployment has an engine with this name")
     }
 
-    /// Kills an engine and its agent, as the loss of their host does.
+    /// Kills the engine with this index and its agent, as the failure of their host does.
     pub async fn kill_host(&self, target: usize) {
         self.agents[target].kill().await;
         self.engines[target].kill().await;
     }
 
-    /// Kills everything.
+    /// Kills all entries, agents, engines and services.
     pub async fn stop(&self) {
         for entry in &self.entries {
             entry.kill().await;
@@ -161,7 +163,7 @@
         }
     }
 
-    // ---- Parts
+    // ---- Start
 
     async fn start_platform(spec: DeploymentSpec) -> Result<Self, DeploymentError> {
         let weights = BTreeMap::from([("settlement-v1".to_owned(), ByteSize::mib(64))]);
@@ -274,7 +276,7 @@
 
     // ---- Readiness
 
-    /// Waits until every entry takes every target to be alive, and answers a short request.
+    /// Waits until each entry considers all targets alive and completes a short request.
     async fn wait_ready(&self) -> Result<(), DeploymentError> {
         let all: BTreeSet<TargetId> = self
             .all_agents()
@@ -293,7 +295,7 @@
             }
         };
         let result = tokio::time::timeout(READY_TIMEOUT, ready).await;
-        result.map_err(|_| DeploymentError::new("the deployment does not answer"))
+        result.map_err(|_| DeploymentError::new("the deployment is not ready in time"))
     }
 
     // ---- Settings
--- a/crates/cw_testkit/src/etcd/api.rs
+++ b/crates/cw_testkit/src/etcd/api.rs
@@ -1,4 +1,5 @@
-//! Bodies of the JSON gateway: bytes in base64, 64-bit numbers as strings.
+//! Request and response bodies of the JSON gateway, with bytes in base64 and 64-bit integers as
+//! strings.
 
 use bytes::Bytes;
 use cw_types::Time;
@@ -14,17 +15,17 @@
 use super::etcd_store::Entry;
 use super::etcd_store::EtcdStore;
 
-/// Reads a 64-bit number that is written as a string or as a number.
+/// Deserializes a 64-bit integer that is written as a string or as a number.
 fn integer_or_string<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
     let value = Value::deserialize(deserializer)?;
     let parsed = match &value {
         Value::String(text) => text.parse().ok(),
         other => other.as_i64(),
     };
-    parsed.ok_or_else(|| serde::de::Error::custom("expected a 64-bit number"))
+    parsed.ok_or_else(|| serde::de::Error::custom("expected a 64-bit integer"))
 }
 
-/// A range of keys.
+/// A range of keys, or a single key if `range_end` is empty.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct RangeBody {
@@ -35,7 +36,7 @@
     pub(super) range_end: Vec<u8>,
 }
 
-/// A write.
+/// A write of one key.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct PutBody {
@@ -48,7 +49,7 @@
     pub(super) lease: i64,
 }
 
-/// A comparison of a transaction.
+/// A comparison in a transaction.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct CompareBody {
@@ -73,7 +74,7 @@
 }
 
 impl CompareBody {
-    /// Returns what is compared; only equality is served.
+    /// Returns the comparison, or `None` if it is unknown. Only equality is supported.
     pub(super) fn comparison(&self) -> Option<Comparison> {
         if self.result != "EQUAL" {
             return None;
@@ -88,7 +89,7 @@
     }
 }
 
-/// One operation of a transaction.
+/// An operation in a transaction.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) enum OperationBody {
     #[serde(rename = "request_range", alias = "requestRange")]
@@ -110,21 +111,21 @@
     pub(super) failure: Vec<OperationBody>,
 }
 
-/// A lease to be granted.
+/// A request to grant a lease.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct GrantBody {
     #[serde(rename = "TTL", deserialize_with = "integer_or_string")]
     pub(super) ttl: i64,
 }
 
-/// A lease that exists.
+/// A request that refers to an existing lease.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct LeaseBody {
     #[serde(rename = "ID", deserialize_with = "integer_or_string")]
     pub(super) id: i64,
 }
 
-/// A watch.
+/// A request to create a watch.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct CreateBody {
@@ -139,15 +140,15 @@
     pub(super) progress_notify: bool,
 }
 
-/// The body of a watch call.
+/// The body of a watch request.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct WatchBody {
     pub(super) create_request: CreateBody,
 }
 
-// ---- Answers
+// ---- Responses
 
-/// Returns the header of every answer.
+/// Returns the header that each response has.
 pub(super) fn header_json(store: &EtcdStore) -> Value {
     json!({
         "cluster_id": "1",
@@ -157,7 +158,7 @@
     })
 }
 
-/// Returns a key with its value.
+/// Returns a key-value pair as JSON.
 pub(super) fn key_value_json(key: &[u8], entry: &Entry) -> Value {
     let mut value = json!({
         "key": encode_base64(key),
@@ -172,7 +173,7 @@
     value
 }
 
-/// Returns a change as a watch tells it.
+/// Returns a change as a watch event.
 pub(super) fn event_json(change: &Change) -> Value {
     match &change.entry {
         Some(entry) => json!({ "kv": key_value_json(&change.key, entry) }),
@@ -194,34 +195,34 @@
 // ---- Operations
 
 impl RangeBody {
-    /// Answers a read.
+    /// Reads the range and returns the response.
     pub(super) fn read(&self, store: &EtcdStore) -> Value {
         let pairs: Vec<Value> = store
             .range(&self.key, &self.range_end)
             .iter()
             .map(|(key, entry)| key_value_json(key, entry))
             .collect();
-        let mut answer = json!({ "header": header_json(store) });
+        let mut response = json!({ "header": header_json(store) });
         if !pairs.is_empty() {
-            answer["count"] = pairs.len().to_string().into();
-            answer["kvs"] = pairs.into();
+            response["count"] = pairs.len().to_string().into();
+            response["kvs"] = pairs.into();
         }
-        answer
+        response
     }
 
-    /// Carries out a removal.
+    /// Deletes the range and returns the response.
     pub(super) fn delete(&self, store: &mut EtcdStore) -> Value {
         let deleted = store.delete(&self.key, &self.range_end);
-        let mut answer = json!({ "header": header_json(store) });
+        let mut response = json!({ "header": header_json(store) });
         if deleted > 0 {
-            answer["deleted"] = deleted.to_string().into();
+            response["deleted"] = deleted.to_string().into();
         }
-        answer
+        response
     }
 }
 
 impl PutBody {
-    /// Carries out a write, if its lease exists.
+    /// Writes the key and returns the response, or `None` if the lease does not exist.
     pub(super) fn write(self, store: &mut EtcdStore) -> Option<Value> {
         let written = store.put(Bytes::from(self.key), Bytes::from(self.value), self.lease);
         written.then(|| json!({ "header": header_json(store) }))
@@ -229,7 +230,8 @@
 }
 
 impl TxnBody {
-    /// Carries out a transaction; `None` when a lease or a comparison is not known.
+    /// Runs the transaction and returns the response, or `None` if a lease does not exist or a
+    /// comparison is not supported.
     pub(super) fn run(self, store: &mut EtcdStore) -> Option<Value> {
         let mut succeeded = true;
         for compare in &self.compare {
@@ -249,16 +251,16 @@
                 }
             });
         }
-        let mut answer = json!({ "header": header_json(store), "responses": responses });
+        let mut response = json!({ "header": header_json(store), "responses": responses });
         if succeeded {
-            answer["succeeded"] = true.into();
+            response["succeeded"] = true.into();
         }
-        Some(answer)
+        Some(response)
     }
 }
 
 impl LeaseBody {
-    /// Answers a keep-alive; a lease that has lapsed has no time left.
+    /// Renews the lease and returns the response, which has no TTL if the lease has expired.
     pub(super) fn keep_alive(&self, store: &mut EtcdStore, now: Time) -> Value {
         let ttl = store
             .keep_alive(now, self.id)
--- a/crates/cw_testkit/src/etcd/etcd_faults.rs
+++ b/crates/cw_testkit/src/etcd/etcd_faults.rs
@@ -1,16 +1,16 @@
-//! What goes wrong in the key-value stand-in.
+//! Fault injection for the fake etcd.
 
 use std::time::Duration;
 
-/// Faults that are switched on and off.
+/// Injected faults, which can change while the fake runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EtcdFaults {
-    /// Whether every call is refused as unavailable.
+    /// Whether every call fails with status 503.
     pub unavailable: bool,
-    /// How much longer each call takes.
+    /// The additional delay of each call.
     pub delay: Duration,
-    /// How many of the next writes take effect and lose their answer.
+    /// The number of next writes that take effect but get no response.
     pub lost_responses: u32,
-    /// Whether watches say nothing.
+    /// Whether watches send no events and no progress notifications.
     pub silent_watches: bool,
 }
--- a/crates/cw_testkit/src/etcd/etcd_store.rs
+++ b/crates/cw_testkit/src/etcd/etcd_store.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions and leases.
+//! The keys, revisions and leases of the fake etcd.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use cw_types::Time;
 
-/// One key's value.
+/// The value of a key, with its revisions, version and lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Entry {
     pub(super) value: Bytes,
@@ -16,16 +16,16 @@
     pub(super) lease: i64,
 }
 
-/// One change.
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Change {
     pub(super) revision: i64,
     pub(super) key: Bytes,
-    /// The new value, or nothing if the key is gone.
+    /// The new value, or `None` if the key was deleted.
     pub(super) entry: Option<Entry>,
 }
 
-/// What a key must be for a transaction to succeed.
+/// A value that a key must have for a transaction to succeed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Comparison {
     Version(i64),
@@ -40,14 +40,14 @@
     expires_at: Time,
 }
 
-/// The whole state at some moment, to restore it later.
+/// A copy of all keys and of the revision, which can be restored later.
 #[derive(Clone, Debug, Default)]
 pub struct Backup {
     entries: BTreeMap<Bytes, Entry>,
     revision: i64,
 }
 
-/// Keys, revisions and leases.
+/// The state of the fake etcd, with the history of all changes.
 #[derive(Debug)]
 pub(super) struct EtcdStore {
     entries: BTreeMap<Bytes, Entry>,
@@ -69,7 +69,8 @@
     }
 }
 
-/// Returns whether `key` is within a range as etcd writes it.
+/// Returns whether `key` is in a range in the encoding of etcd: an empty `end` selects the single
+/// key `from`, and an `end` of one zero byte selects all keys from `from` on.
 pub(super) fn range_contains(from: &[u8], end: &[u8], key: &[u8]) -> bool {
     match end {
         [] => key == from,
@@ -81,7 +82,7 @@
 impl EtcdStore {
     // ---- Keys
 
-    /// Returns the entries of a range, in order.
+    /// Returns the entries of a range, in key order.
     pub(super) fn range(&self, from: &[u8], end: &[u8]) -> Vec<(Bytes, Entry)> {
         self.entries
             .iter()
@@ -90,7 +91,7 @@
             .collect()
     }
 
-    /// Returns whether a key is as expected; a missing key has zeros in all its numbers.
+    /// Returns whether a key has the expected value. All numbers of a missing key are zero.
     pub(super) fn matches(&self, key: &[u8], comparison: &Comparison) -> bool {
         let entry = self.entries.get(key);
         match comparison {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Writes a key at the revision after the present one; fails without the lease.
+    /// Writes a key at the next revision. Returns false if the lease does not exist.
     pub(super) fn put(&mut self, key: Bytes, value: Bytes, lease: i64) -> bool {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return false;
@@ -120,7 +121,7 @@
         true
     }
 
-    /// Removes a range, and returns how many keys it had.
+    /// Deletes a range, and returns the number of deleted keys.
     pub(super) fn delete(&mut self, from: &[u8], end: &[u8]) -> usize {
         let keys: Vec<Bytes> = self
             .range(from, end)
@@ -137,7 +138,7 @@
         keys.len()
     }
 
-    /// Returns the changes of a range from a revision on.
+    /// Returns the changes of a range from revision `since` on.
     pub(super) fn changes(&self, from: &[u8], end: &[u8], since: i64) -> Vec<Change> {
         self.history
             .iter()
@@ -157,7 +158,7 @@
 
     // ---- Leases
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub(super) fn grant(&mut self, now: Time, ttl: Duration) -> i64 {
         let id = self.next_lease;
         self.next_lease += 1;
@@ -166,14 +167,14 @@
         id
     }
 
-    /// Keeps a lease alive, and returns its time to live if it has not lapsed.
+    /// Renews a lease, and returns its time to live, or `None` if it has expired.
     pub(super) fn keep_alive(&mut self, now: Time, id: i64) -> Option<Duration> {
         let lease = self.leases.get_mut(&id)?;
         lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease and removes its keys; returns whether it existed.
+    /// Revokes a lease and deletes its keys. Returns whether the lease existed.
     pub(super) fn revoke(&mut self, id: i64) -> bool {
         let existed = self.leases.remove(&id).is_some();
         let bound = |(key, entry): (&Bytes, &Entry)| (entry.lease == id).then(|| key.clone());
@@ -187,7 +188,7 @@
         existed
     }
 
-    /// Ends the leases whose time is over; returns whether there were any.
+    /// Revokes all expired leases. Returns whether there were any.
     pub(super) fn expire(&mut self, now: Time) -> bool {
         let expired = |(id, lease): (&i64, &Lease)| (lease.expires_at <= now).then_some(*id);
         let ids: Vec<i64> = self.leases.iter().filter_map(expired).collect();
@@ -199,7 +200,7 @@
 
     // ---- Backups
 
-    /// Returns a copy of the keys.
+    /// Returns a copy of the keys and of the revision.
     pub(super) fn backup(&self) -> Backup {
         Backup {
             entries: self.entries.clone(),
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Goes back to an older state, as a service that is restored from a backup does.
+    /// Restores an earlier state, as a service that is restored from a backup does.
     pub(super) fn restore(&mut self, backup: &Backup) {
         self.entries = backup.entries.clone();
         self.revision = backup.revision;
--- a/crates/cw_testkit/src/etcd/fake_etcd.rs
+++ b/crates/cw_testkit/src/etcd/fake_etcd.rs
@@ -1,4 +1,4 @@
-//! The stand-in's handle.
+//! The handle of the fake etcd.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,7 +19,7 @@
 use super::EtcdFaults;
 use super::etcd_store::EtcdStore;
 
-/// What the server and the handle share.
+/// The state that the server and the handle share.
 #[derive(Debug)]
 pub(super) struct EtcdState {
     pub(super) clock: Clock,
@@ -43,7 +43,7 @@
         *calls.entry(path.to_owned()).or_default() += 1;
     }
 
-    /// Returns whether the answer of a write is lost now.
+    /// Returns whether the response to the current write is lost, and counts it.
     pub(super) fn take_lost_response(&self) -> bool {
         let mut faults = self.faults();
         let due = faults.lost_responses > 0;
@@ -52,10 +52,10 @@
     }
 }
 
-/// A stand-in for the key-value service.
+/// A fake of the etcd key-value service.
 #[derive(Debug)]
 pub struct FakeEtcd {
-    /// Where it listens.
+    /// The address that the fake listens on.
     pub address: SocketAddr,
     state: Arc<EtcdState>,
     gate: Gate,
@@ -63,11 +63,11 @@
 }
 
 impl FakeEtcd {
-    /// Starts an empty service.
+    /// Starts without keys on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start() -> io::Result<Self> {
         let state = Arc::new(EtcdState {
             clock: Clock::default(),
@@ -89,14 +89,14 @@
 
     // ---- Keys
 
-    /// Writes a key, whatever it holds.
+    /// Writes a key unconditionally.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) {
         let key = Bytes::copy_from_slice(key.as_bytes());
         self.state.store().put(key, value.into(), 0);
         self.state.changed.send_modify(|count| *count += 1);
     }
 
-    /// Reads a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         let found = self.state.store().range(key.as_bytes(), &[]);
         found.into_iter().next().map(|(_, entry)| entry.value)
@@ -104,22 +104,22 @@
 
     // ---- Faults
 
-    /// Changes what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EtcdFaults) {
         *self.state.faults() = faults;
     }
 
-    /// Returns the switch that makes the service answer nothing.
+    /// Returns the gate that pauses the fake: while it is closed, requests get no response.
     pub fn gate(&self) -> &Gate {
         &self.gate
     }
 
-    /// Returns a copy of the keys.
+    /// Returns a copy of the keys and of the revision.
     pub fn backup(&self) -> Backup {
         self.state.store().backup()
     }
 
-    /// Goes back to an older state, as a service that is restored from a backup does.
+    /// Restores an earlier state, as a service that is restored from a backup does.
     pub fn restore(&self, backup: &Backup) {
         self.state.store().restore(backup);
         self.state.changed.send_modify(|count| *count += 1);
@@ -127,7 +127,7 @@
 
     // ---- Observation
 
-    /// Returns the number of calls by path; a watch counts once.
+    /// Returns the number of calls by path. A watch counts as one call.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         let calls = self.state.calls.lock();
         calls.expect("no panic under this lock").clone()
--- a/crates/cw_testkit/src/etcd/mod.rs
+++ b/crates/cw_testkit/src/etcd/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the key-value service: the part of the etcd v3 JSON gateway that is used.
+//! A fake of the key-value service. It implements the part of the etcd v3 JSON gateway that the
+//! system uses.
 
 mod api;
 mod etcd_faults;
--- a/crates/cw_testkit/src/etcd/routes.rs
+++ b/crates/cw_testkit/src/etcd/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of the JSON gateway.
+//! The HTTP routes of the JSON gateway.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,10 +35,10 @@
 use super::etcd_store::EtcdStore;
 use super::fake_etcd::EtcdState;
 
-/// How often a watch that asked for it is told that it lives.
+/// The interval of progress notifications to a watch that requests them.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// gRPC's numbers for the errors that the gateway passes on.
+/// The gRPC status codes that the gateway returns.
 const GRPC_INVALID_ARGUMENT: u32 = 3;
 const GRPC_NOT_FOUND: u32 = 5;
 const GRPC_UNAVAILABLE: u32 = 14;
@@ -74,7 +74,7 @@
             return Ok(error_response(
                 unavailable,
                 GRPC_UNAVAILABLE,
-                "the service is down",
+                "the service is unavailable",
             ));
         }
         if path == "/v3/watch" {
@@ -95,7 +95,7 @@
         let outcome = execute(&mut store, now, path, body).unwrap_or(CallOutcome::Failed(
             StatusCode::BAD_REQUEST,
             GRPC_INVALID_ARGUMENT,
-            "the body cannot be read",
+            "the request body is invalid",
         ));
         drop(store);
         if matches!(outcome, CallOutcome::Written(_)) {
@@ -111,7 +111,7 @@
             return error_response(
                 StatusCode::BAD_REQUEST,
                 GRPC_INVALID_ARGUMENT,
-                "the body cannot be read",
+                "the request body is invalid",
             );
         };
         stream_response("application/json", Arc::clone(&self).events(create_request))
--- a/crates/cw_testkit/src/fake_host_list.rs
+++ b/crates/cw_testkit/src/fake_host_list.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the list of hosts.
+//! A fake of the platform's host list.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -24,10 +24,10 @@
 #[derive(Debug, Default)]
 struct Hosts(Mutex<Vec<Host>>);
 
-/// A stand-in for the list of hosts, which says what it is told.
+/// A fake host list, which returns the hosts that the test sets.
 #[derive(Debug)]
 pub struct FakeHostList {
-    /// Where it listens.
+    /// The address that the fake listens on.
     pub address: SocketAddr,
     hosts: Arc<Hosts>,
     gate: Gate,
@@ -35,11 +35,11 @@
 }
 
 impl FakeHostList {
-    /// Starts an empty list.
+    /// Starts with an empty list on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start() -> io::Result<Self> {
         let hosts = Arc::<Hosts>::default();
         let gate = Gate::default();
@@ -53,12 +53,12 @@
         })
     }
 
-    /// Changes the list.
+    /// Applies `change` to the list.
     pub fn update(&self, change: impl FnOnce(&mut Vec<Host>)) {
         change(&mut self.hosts.0.lock().expect("no panic under this lock"));
     }
 
-    /// Returns the switch that makes the list answer nothing.
+    /// Returns the gate that pauses the fake: while it is closed, requests get no response.
     pub fn gate(&self) -> &Gate {
         &self.gate
     }
@@ -70,10 +70,10 @@
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Result<HttpResponse, NoResponse>> {
         let hosts = self.0.lock().expect("no panic under this lock").clone();
-        let reply = match request.uri().path() {
+        let response = match request.uri().path() {
             "/v1/hosts" => json_response(StatusCode::OK, &hosts),
             _ => empty_response(StatusCode::NOT_FOUND),
         };
-        async move { Ok(reply) }.boxed()
+        async move { Ok(response) }.boxed()
     }
 }
--- a/crates/cw_testkit/src/fake_service.rs
+++ b/crates/cw_testkit/src/fake_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service.
+//! A fake of a plain service.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -38,7 +38,8 @@
         self.0.lock().expect("no panic under this lock")
     }
 
-    /// Counts the call before its delay: once begun, it has had its effect.
+    /// Counts a call, before its delay: a call has its effect as soon as it starts. Returns the
+    /// number of calls with this body so far and the delay.
     fn count_run(&self, body: &str) -> (u64, Duration) {
         let mut calls = self.lock();
         let runs = calls.runs.entry(body.to_owned()).or_default();
@@ -47,10 +48,10 @@
     }
 }
 
-/// A service that answers each call with its own method, path and body, and counts calls by body.
+/// A fake service that echoes the method, path and body of each call and counts calls by body.
 #[derive(Debug)]
 pub struct FakeService {
-    /// Where it listens.
+    /// The address that the fake listens on. A restart keeps it.
     pub address: SocketAddr,
     state: Arc<ServiceState>,
     gate: Gate,
@@ -58,11 +59,11 @@
 }
 
 impl FakeService {
-    /// Starts a service.
+    /// Starts a service on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start() -> io::Result<Self> {
         let state = Arc::<ServiceState>::default();
         let gate = Gate::default();
@@ -76,33 +77,33 @@
         })
     }
 
-    /// Sets how long each call takes after it has had its effect.
+    /// Sets the time that passes between the effect of a call and its response.
     pub fn set_delay(&self, delay: Duration) {
         self.state.lock().delay = delay;
     }
 
-    /// Returns how many times each body was executed.
+    /// Returns the number of executed calls by body.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.state.lock().runs.clone()
     }
 
-    /// Returns the switch that pauses the service.
+    /// Returns the gate that pauses the service.
     pub fn gate(&self) -> &Gate {
         &self.gate
     }
 
-    /// Kills the service: its port closes and every connection breaks.
+    /// Kills the service: closes its port and breaks every connection.
     pub async fn kill(&self) {
         if let Some(server) = self.server.lock().await.take() {
             server.kill().await;
         }
     }
 
-    /// Starts a killed service again.
+    /// Kills the service if it runs, and starts it on the same port with its counts kept.
     ///
     /// # Errors
     ///
-    /// Fails when its port was taken meanwhile.
+    /// Returns an error if another process has taken the port.
     pub async fn restart(&self) -> io::Result<()> {
         self.kill().await;
         let state = Arc::clone(&self.state);
--- a/crates/cw_testkit/src/fake_weight_store.rs
+++ b/crates/cw_testkit/src/fake_weight_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the store of model weights.
+//! A fake of the store of model weights.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,9 +29,9 @@
 use crate::server::empty_response;
 use crate::server::json_response;
 
-/// Where weights are below their store.
+/// The path under which the store lists sets of weights.
 const WEIGHTS_PATH: &str = "/v1/weights/";
-/// What an engine reads below a set of weights.
+/// The path suffix under which an engine reads the content of a set of weights.
 const BYTES_SUFFIX: &str = "/bytes";
 
 #[derive(Debug)]
@@ -48,7 +48,8 @@
         Some(WeightInfo { size, rate })
     }
 
-    /// Returns when a reader that asks now has read everything; readers take turns.
+    /// Returns when a read that is requested now ends. Reads are served one after another, so each
+    /// starts when the earlier ones have ended.
     fn read_end(&self, name: &str) -> Option<Instant> {
         let info = self.info(name)?;
         let seconds = info.size.0 as f64 / info.rate.0.max(1) as f64;
@@ -58,20 +59,21 @@
     }
 }
 
-/// A stand-in for the store of model weights.
+/// A fake of the store of model weights.
 #[derive(Debug)]
 pub struct FakeWeightStore {
-    /// Where it listens.
+    /// The address that the fake listens on.
     pub address: SocketAddr,
     _server: HttpServer,
 }
 
 impl FakeWeightStore {
-    /// Starts a store that gives out `rate` bytes a second to all readers together.
+    /// Starts a store with weights of these sizes, by name. All readers together read `rate` bytes
+    /// per second.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(sizes: BTreeMap<String, ByteSize>, rate: ByteSize) -> io::Result<Self> {
         let weights = Weights {
             sizes,
@@ -113,7 +115,7 @@
     }
 }
 
-/// Reads a set of weights, which takes as long as the store needs; returns whether it is there.
+/// Reads a set of weights at the rate of the store. Returns whether the store has it.
 pub(crate) async fn read_weights(store: SocketAddr, name: &str) -> bool {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
     let Ok(uri) = format!("http://{store}{WEIGHTS_PATH}{name}{BYTES_SUFFIX}").parse() else {
@@ -122,5 +124,5 @@
     client
         .get(uri)
         .await
-        .is_ok_and(|answer| answer.status() == StatusCode::OK)
+        .is_ok_and(|response| response.status() == StatusCode::OK)
 }
--- a/crates/cw_testkit/src/forwarder.rs
+++ b/crates/cw_testkit/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! A path between two processes that can lose track of its connections.
+//! A TCP forwarder whose open connections can stall without being closed.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -19,20 +19,21 @@
     stop: CancellationToken,
 }
 
-/// Forwards connections to an address; those that are open can be made silent for good.
+/// A TCP forwarder to one address. Its open connections can be stalled permanently, as by a
+/// network device that loses its connection state.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Where it listens.
+    /// The address that the forwarder listens on.
     pub address: SocketAddr,
     state: Arc<ForwarderState>,
 }
 
 impl Forwarder {
-    /// Starts to forward to `target`.
+    /// Starts forwarding to `target` from a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -41,7 +42,7 @@
         Ok(Self { address, state })
     }
 
-    /// Silences every open connection for good; new ones work.
+    /// Stalls every open connection permanently. Neither end is notified, and new connections work.
     pub fn stall_connections(&self) {
         let mut gates = self.state.gates.lock().expect("no panic under this lock");
         gates.drain(..).for_each(|gate| gate.close());
@@ -81,11 +82,11 @@
     let Ok(target_stream) = TcpStream::connect(target).await else {
         return;
     };
-    // Small frames must leave at once, and a socket that cannot do so still works.
+    // Small frames are sent without delay. If the option cannot be set, the socket still works.
     let _ = client_stream.set_nodelay(true);
     let _ = target_stream.set_nodelay(true);
     let mut client_stream = GatedIo::new(client_stream, gate.clone());
     let mut target_stream = GatedIo::new(target_stream, gate);
-    // The ends notice by themselves that a connection has broken.
+    // Both ends detect a broken connection themselves, so the result is not needed.
     let _ = tokio::io::copy_bidirectional(&mut client_stream, &mut target_stream).await;
 }
--- a/crates/cw_testkit/src/lib.rs
+++ b/crates/cw_testkit/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for what surrounds the system, a whole deployment on loopback, and experiments.
+//! Fakes of the services that the system depends on, a complete deployment on the loopback
+//! address, and experiments.
 //!
-//! - [`FakeEngine`], [`FakeService`], [`FakeEtcd`], [`FakeHostList`] and [`FakeWeightStore`] are small
-//!   stand-ins with faults to switch on.
-//! - [`TestDeployment`] runs them with entries and agents in one process.
-//! - [`Forwarder`] stands between two processes and loses track of connections.
-//! - [`Caller`] asks for generations and reads their streams.
+//! - [`FakeEngine`], [`FakeService`], [`FakeEtcd`], [`FakeHostList`] and [`FakeWeightStore`] are
+//!   small fakes with fault injection.
+//! - [`TestDeployment`] runs the fakes together with entries and agents in one process.
+//! - [`Forwarder`] forwards connections between two processes and can stall them.
+//! - [`Caller`] is an HTTP client that requests generations and reads their streams.
 //! - [`experiment`] measures a deployment.
 
 mod caller;
--- a/crates/cw_testkit/src/main.rs
+++ b/crates/cw_testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The developers' tool: `cyclamenwharf-dev up|settings|experiment`.
+//! The development command-line tool: `cyclamenwharf-dev up|settings|record|experiment`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -22,10 +22,12 @@
         .value_parser(value_parser!(PathBuf))
         .help("The directory to write to");
     Command::new("cyclamenwharf-dev")
-        .about("Stand-ins, a deployment for a look, and experiments")
+        .about("Runs a demo deployment with fake engines, and experiments")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
-        .subcommand(Command::new("up").about("Starts a small deployment on loopback, for a look"))
+        .subcommand(
+            Command::new("up").about("Starts a small demo deployment on the loopback address"),
+        )
         .subcommand(
             Command::new("settings")
                 .about("Writes the settings files of a small deployment")
@@ -39,7 +41,7 @@
         .subcommand(experiment_command())
 }
 
-/// The experiments, what they do, and whether they cause faults in rounds.
+/// Name and description of each experiment, and whether it repeats its faults over several rounds.
 const EXPERIMENTS: [(&str, &str, bool); 8] = [
     (
         "engine-death",
@@ -48,12 +50,12 @@
     ),
     (
         "faults",
-        "Causes each kind of fault in the middle of streams",
+        "Injects each kind of fault in the middle of streams",
         true,
     ),
     (
         "overhead",
-        "Compares an entry and its agents with engines that are called directly",
+        "Compares calls through an entry and its agents with direct calls to engines",
         false,
     ),
     (
@@ -63,18 +65,18 @@
     ),
     (
         "overload",
-        "Offers up to twice of what the engines can serve",
+        "Offers up to twice the load that the engines can serve",
         false,
     ),
-    ("zone-loss", "Loses an availability zone under load", false),
+    ("zone-loss", "Fails an availability zone under load", false),
     (
         "capacity",
-        "Measures the slopes of control and decisions",
+        "Measures how control traffic and routing decisions grow with the deployment",
         false,
     ),
     (
         "in-force",
-        "Measures how long an accepted change takes to be in force",
+        "Measures how long an accepted configuration change takes to be in force",
         false,
     ),
 ];
@@ -85,13 +87,13 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The file for the report");
+        .help("The file to write the report to");
     let rounds = Arg::new("rounds")
         .long("rounds")
         .value_name("N")
         .default_value("12")
         .value_parser(value_parser!(usize))
-        .help("How often each fault is caused");
+        .help("The number of times that each fault is injected");
     let subcommand = |(name, about, in_rounds): (&'static str, &'static str, bool)| {
         let command = Command::new(name).about(about).arg(json.clone());
         match in_rounds {
@@ -100,7 +102,7 @@
         }
     };
     Command::new("experiment")
-        .about("Measures a deployment on loopback")
+        .about("Measures a deployment on the loopback address")
         .subcommand_required(true)
         .subcommands(EXPERIMENTS.map(subcommand))
         .subcommand(all_command())
@@ -113,9 +115,9 @@
         .value_name("DIR")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The directory for the reports");
+        .help("The directory to write the reports to");
     Command::new("all")
-        .about("Runs all experiments and writes their tables")
+        .about("Runs all experiments and writes their reports and tables")
         .arg(directory)
         .arg(page_arg())
 }
@@ -126,9 +128,9 @@
         .num_args(1..)
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The reports");
+        .help("The report files to read");
     Command::new("tables")
-        .about("Writes the tables of reports that exist")
+        .about("Writes the tables of existing reports")
         .arg(reports)
         .arg(page_arg())
 }
@@ -139,19 +141,19 @@
         .value_name("FILE")
         .default_value("docs/MEASUREMENTS.md")
         .value_parser(value_parser!(PathBuf))
-        .help("The page for the tables")
+        .help("The Markdown page to write the tables to")
 }
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    let runtime = tokio::runtime::Runtime::new().expect("the system has threads");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts its threads");
     let result = runtime.block_on(async {
         match matches.subcommand() {
             Some(("up", _)) => up().await,
             Some(("settings", args)) => settings(args).await,
             Some(("record", args)) => record(args).await,
             Some(("experiment", args)) => run_experiment(args).await,
-            _ => Err("unknown command".to_owned()),
+            _ => Err("unknown subcommand".to_owned()),
         }
     });
     match result {
@@ -177,8 +179,8 @@
     let deployment = TestDeployment::start(small_deployment())
         .await
         .map_err(|e| e.to_string())?;
-    println!("This deployment is for a look, not for use: everything runs in one process,");
-    println!("the engines are stand-ins, and nothing is kept.");
+    println!("This is a demo deployment, not for production: everything runs in one process,");
+    println!("the engines are fakes, and no data is persisted.");
     println!();
     for entry in &deployment.entries {
         println!("callers:  http://{}", entry.caller_address());
@@ -191,7 +193,7 @@
     println!();
     println!("{}", curl_command(&deployment));
     println!();
-    println!("Ctrl-C stops it.");
+    println!("Press Ctrl-C to stop.");
     tokio::signal::ctrl_c().await.map_err(|e| e.to_string())?;
     deployment.stop().await;
     println!("stopped");
@@ -232,12 +234,12 @@
     report.write(file).map_err(|e| e.to_string())
 }
 
-/// How often `all` causes each fault.
+/// The number of times that `all` injects each fault.
 const ALL_ROUNDS: usize = 6;
 
 async fn run_all(args: &ArgMatches) -> Result<(), String> {
     let directory: &PathBuf = args.get_one("dir").expect("clap requires it");
-    let page: &PathBuf = args.get_one("page").expect("it has a default");
+    let page: &PathBuf = args.get_one("page").expect("the argument has a default");
     std::fs::create_dir_all(directory).map_err(|e| e.to_string())?;
     for (name, _, _) in EXPERIMENTS {
         let report = experiment_report(name, ALL_ROUNDS).await?;
@@ -249,7 +251,7 @@
 }
 
 fn write_tables(args: &ArgMatches) -> Result<(), String> {
-    let page: &PathBuf = args.get_one("page").expect("it has a default");
+    let page: &PathBuf = args.get_one("page").expect("the argument has a default");
     let files = args.get_many::<PathBuf>("reports").into_iter().flatten();
     for file in files {
         let report = Report::read(file).map_err(|e| e.to_string())?;
--- a/crates/cw_testkit/src/model_engine/api.rs
+++ b/crates/cw_testkit/src/model_engine/api.rs
@@ -1,4 +1,4 @@
-//! Bodies of the engine's interface.
+//! Request and response bodies of the engine API.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A prompt as text or as tokens.
+/// A prompt as text or as token ids.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub(super) enum PromptBody {
@@ -52,7 +52,7 @@
 }
 
 impl CompletionBody {
-    /// Returns the prompt, or what is wrong with the body.
+    /// Takes the prompt out of the body, or returns why the request is invalid.
     pub(super) fn prompt(&mut self) -> Result<Prompt, &'static str> {
         if !self.stream || !self.return_token_ids {
             return Err("only streams with token ids are served");
@@ -84,10 +84,10 @@
     pub(super) order: OrderKind,
 }
 
-/// Versions by model.
+/// Model versions by model.
 pub(super) type Versions = BTreeMap<ModelName, BTreeSet<VersionName>>;
 
-/// The answer to `GET /v1/load`.
+/// The response to `GET /v1/load`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct LoadBody {
     pub(super) boot: u64,
@@ -100,7 +100,7 @@
     pub(super) versions: Versions,
 }
 
-/// One choice of an event.
+/// The only choice in an event.
 #[derive(Debug, Serialize)]
 pub(super) struct ChoiceBody<'a> {
     pub(super) index: u32,
@@ -109,14 +109,14 @@
     pub(super) finish_reason: Option<&'static str>,
 }
 
-/// What the prompt cost.
+/// The number of prompt tokens, and how many of them were in the prefix cache.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct UsageBody {
     pub(super) prompt_tokens: u64,
     pub(super) cached_tokens: u64,
 }
 
-/// One event of a stream.
+/// The data of one server-sent event.
 #[derive(Debug, Serialize)]
 pub(super) struct EventBody<'a> {
     pub(super) id: &'a str,
--- a/crates/cw_testkit/src/model_engine/batch.rs
+++ b/crates/cw_testkit/src/model_engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching.
+//! The continuous batching scheduler.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use super::prefix_cache::CacheChange;
 use super::prefix_cache::PrefixCache;
 
-/// What the engine does next.
+/// What the engine has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// There is nothing to do.
+    /// No request is running or can be admitted.
     Idle,
-    /// Compute for so long, then call [`Batch::finish`].
+    /// Compute for this time, then call [`Batch::finish`].
     Compute(Duration),
-    /// Die.
+    /// Crash, because of an admitted prompt.
     Crash,
 }
 
-/// A priority, with lower numbers first, and the order of arrival within it.
+/// The order of admission: the priority, lowest number first, then the arrival number.
 type QueueKey = (i64, u64);
 
 /// The waiting and the running requests of one engine.
@@ -53,7 +53,7 @@
 
     // ---- Requests
 
-    /// Takes a request, unless the queue is full.
+    /// Queues a request. Returns false if the queue is full or the request exceeds the cache.
     pub(super) fn push(&mut self, job: Job, priority: i64) -> bool {
         if self.waiting.len() >= self.timings.max_queue || job.size() > self.timings.cache_tokens {
             return false;
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Ends a request.
+    /// Cancels the request with this id, if there is one.
     pub(super) fn abort(&mut self, id: &str, counters: &mut EngineCounters) {
         self.remove(counters, |job| job.id == id);
     }
@@ -81,7 +81,7 @@
 
     // ---- Steps
 
-    /// Admits requests and returns what to do next.
+    /// Starts a step: drops cancelled requests, admits waiting ones and returns what to do next.
     pub(super) fn begin(&mut self, counters: &mut EngineCounters) -> Step {
         self.remove(counters, Job::is_cancelled);
         let mut prefill = 0;
@@ -103,7 +103,7 @@
         Step::Compute(self.step)
     }
 
-    /// Ends a step: each running request gets a token.
+    /// Finishes a step, in which each running request generates a token.
     pub(super) fn finish(&mut self, faults: &EngineFaults, counters: &mut EngineCounters) {
         if faults.stalled {
             return;
@@ -140,7 +140,7 @@
 
     fn admit(&mut self, job: Job, counters: &mut EngineCounters) -> u64 {
         let total = job.tokens.len() as u64;
-        // The last token is always computed, for its output is the next one.
+        // The last token is always computed, because its output is the next token.
         let cached = self.cache.lookup(&job.tokens).min(total.saturating_sub(1));
         counters.count_run(&job.id, total - cached, cached);
         let resumed = (job.tokens.len() - job.prompt) as u64;
@@ -170,14 +170,14 @@
 
     // ---- State
 
-    /// Counts the output of everything that runs, because the engine dies.
+    /// Counts the output of all running requests and drops them, when the engine stops.
     pub(super) fn count_unfinished(&mut self, counters: &mut EngineCounters) {
         for job in self.running.drain(..) {
             counters.count_output(&job.id, job.generated);
         }
     }
 
-    /// Returns the cache's changes since the last call.
+    /// Returns the changes of the prefix cache since the last call.
     pub(super) fn take_changes(&mut self) -> Vec<CacheChange> {
         std::mem::take(&mut self.changes)
     }
@@ -192,7 +192,7 @@
         self.waiting.len()
     }
 
-    /// Returns the prompt tokens that wait.
+    /// Returns the number of prompt tokens of all waiting requests.
     pub(super) fn waiting_prompt_tokens(&self) -> u64 {
         self.waiting
             .values()
@@ -200,12 +200,12 @@
             .sum()
     }
 
-    /// Returns the tokens in the cache, those of running requests included.
+    /// Returns the number of tokens in the cache, including those of running requests.
     pub(super) fn cached_tokens(&self) -> u64 {
         (self.running_tokens() + self.cache.tokens()).min(self.timings.cache_tokens)
     }
 
-    /// Returns the time of the last step.
+    /// Returns the duration of the latest step.
     pub(super) fn step(&self) -> Duration {
         self.step
     }
--- a/crates/cw_testkit/src/model_engine/engine_counters.rs
+++ b/crates/cw_testkit/src/model_engine/engine_counters.rs
@@ -1,38 +1,38 @@
-//! What the stand-in has done.
+//! Counters of the work that the fake engine has done.
 
 use std::collections::BTreeMap;
 
-/// What was done for one request id.
+/// The work done for one request id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounters {
-    /// How many times it was admitted to a batch.
+    /// Admissions to a batch.
     pub runs: u64,
-    /// Prompt tokens computed, cached ones excluded.
+    /// Prompt tokens computed, without cached ones.
     pub prompt_tokens: u64,
     /// Output tokens computed.
     pub output_tokens: u64,
 }
 
-/// What an engine has done in all its lives.
+/// The work that an engine has done, summed over all restarts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounters {
-    /// By request id.
+    /// The counters of each request, by request id.
     pub requests: BTreeMap<String, RequestCounters>,
-    /// Prompt tokens computed, cached ones excluded.
+    /// Prompt tokens computed, without cached ones.
     pub prompt_tokens: u64,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
     /// Output tokens computed.
     pub output_tokens: u64,
-    /// Resumed requests whose output so far is not what this engine would have produced.
+    /// Resumed requests whose output so far differs from what this engine would have generated.
     pub output_mismatches: u64,
-    /// Requests refused because the queue was full.
+    /// Requests refused because the queue was full or they exceeded the cache.
     pub refused: u64,
-    /// Requests cancelled by a call or a closed connection.
+    /// Requests cancelled by an abort call or a closed connection.
     pub cancelled: u64,
-    /// Crashes by a poisonous prompt.
+    /// Crashes caused by a prompt with [`POISON`](super::POISON).
     pub crashes: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused because of an old fencing number.
     pub fenced_orders: u64,
 }
 
@@ -46,7 +46,7 @@
         request.prompt_tokens += computed;
     }
 
-    /// Counts output at the end of a request's time in a batch.
+    /// Counts the output of a request when it leaves the batch.
     pub(super) fn count_output(&mut self, id: &str, count: u64) {
         self.output_tokens += count;
         self.requests
--- a/crates/cw_testkit/src/model_engine/engine_faults.rs
+++ b/crates/cw_testkit/src/model_engine/engine_faults.rs
@@ -1,17 +1,17 @@
-//! What goes wrong in the stand-in.
+//! Fault injection for the fake engine.
 
-/// The text that crashes an engine whose batch takes a prompt with it.
+/// The text that crashes an engine when it admits a prompt that contains it.
 pub const POISON: &str = "crash-the-engine";
 
-/// Faults that are switched on and off while an engine runs.
+/// Injected faults, which can change while an engine runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineFaults {
-    /// How many of the next requests are answered with status 500.
+    /// The number of next requests that fail with status 500.
     pub next_errors: u32,
-    /// Whether requests are taken and produce nothing.
+    /// Whether requests are accepted but generate nothing.
     pub stalled: bool,
-    /// Whether the request that came last is finished first.
+    /// Whether requests finish in reverse order of admission.
     pub reversed: bool,
-    /// How many tokens each request gets before it stands still.
+    /// The number of tokens after which each request stalls.
     pub stall_after: Option<u64>,
 }
--- a/crates/cw_testkit/src/model_engine/engine_process.rs
+++ b/crates/cw_testkit/src/model_engine/engine_process.rs
@@ -1,4 +1,4 @@
-//! One life of an engine: what it loses when it dies.
+//! One run of the engine between two restarts, with the state that a restart clears.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -43,7 +43,7 @@
 use super::loaded_versions::VersionKey;
 use super::prompt_ids;
 
-/// The events of one stream that wait for their reader.
+/// The maximum number of unsent events in one stream.
 const STREAM_BUFFER: usize = 64;
 
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     load: (Option<Time>, LoadBody),
 }
 
-/// One life of an engine.
+/// One run of an engine, which serves its API.
 #[derive(Debug)]
 pub(super) struct EngineProcess {
     boot: u64,
@@ -66,7 +66,7 @@
 }
 
 impl EngineProcess {
-    /// Returns a new life.
+    /// Returns the state of an engine that has just started.
     pub(super) fn new(boot: u64, spec: EngineSpec, persistent: Arc<PersistentState>) -> Self {
         let state = State {
             batch: Batch::new(spec.timings.clone()),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Computes until a prompt crashes the engine.
+    /// Runs the batch until a prompt crashes the engine.
     pub(super) async fn run(&self) {
         let mut due = tokio::time::Instant::now();
         loop {
@@ -98,7 +98,7 @@
                 Step::Compute(span) => {
                     due = due.max(tokio::time::Instant::now() - span) + span;
                     match span.is_zero() {
-                        // A timer would round up to its next tick.
+                        // A timer would round the zero delay up to its next tick.
                         true => tokio::task::yield_now().await,
                         false => tokio::time::sleep_until(due).await,
                     }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Counts what is lost with this life.
+    /// Counts the output of the requests that are lost when the engine stops.
     pub(super) fn count_unfinished(&self) {
         let mut state = self.state();
         state
@@ -117,7 +117,7 @@
             .count_unfinished(&mut self.persistent.counters());
     }
 
-    /// Returns how many requests run or wait.
+    /// Returns the number of running and waiting requests.
     pub(super) fn request_count(&self) -> usize {
         let state = self.state();
         state.batch.running() + state.batch.waiting()
--- a/crates/cw_testkit/src/model_engine/engine_timings.rs
+++ b/crates/cw_testkit/src/model_engine/engine_timings.rs
@@ -1,29 +1,29 @@
-//! How fast the stand-in is.
+//! The speed and capacity of the fake engine.
 
 use std::time::Duration;
 
-/// The speed and the size of a stand-in engine.
+/// The speed and capacity of a fake engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineTimings {
-    /// The time of one step of an empty batch.
+    /// The base duration of a step, without sequences.
     pub step: Duration,
-    /// What each sequence in the batch adds to a step.
+    /// The time that each sequence in the batch adds to a step.
     pub per_sequence: Duration,
-    /// What each uncached prompt token adds to the step that processes it.
+    /// The time that each uncached prompt token adds to the step that processes it.
     pub per_token: Duration,
-    /// The most sequences in a batch.
+    /// The maximum number of sequences in a batch.
     pub max_batch: usize,
-    /// The most requests that wait before more are refused.
+    /// The maximum number of waiting requests. Further ones are refused.
     pub max_queue: usize,
-    /// The tokens that the cache holds, those of running sequences included.
+    /// The capacity of the cache in tokens, including those of running sequences.
     pub cache_tokens: u64,
-    /// How old a load report may be.
+    /// The maximum age of a load report.
     pub report_lag: Duration,
-    /// How late cache events come.
+    /// The delay of cache events.
     pub event_lag: Duration,
-    /// Every so many cache events one is lost; zero for none.
+    /// One in this many cache events is lost. Zero loses none.
     pub event_loss: u64,
-    /// How long the engine takes to come back after it crashed by itself.
+    /// The delay of the automatic restart after a crash.
     pub restart_delay: Duration,
 }
 
--- a/crates/cw_testkit/src/model_engine/event_log.rs
+++ b/crates/cw_testkit/src/model_engine/event_log.rs
@@ -1,4 +1,4 @@
-//! Cache events, which come late and with gaps.
+//! The log of cache events, which are delayed and have gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 
 use super::prefix_cache::CacheChange;
 
-/// The most events kept.
+/// The maximum number of events in the log.
 const MAX_KEPT_EVENTS: usize = 4096;
-/// The most events in one answer.
+/// The maximum number of events in one response.
 const MAX_PAGE_EVENTS: usize = 512;
 
-/// One event.
+/// A change of the prefix cache, as sent to the agent.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct CacheEvent {
     sequence: u64,
@@ -21,7 +21,7 @@
     blocks: Vec<u64>,
 }
 
-/// A page of events.
+/// The response to `GET /v1/cache/events`.
 #[derive(Debug, Serialize)]
 pub(super) struct CachePage {
     next: u64,
@@ -29,7 +29,7 @@
     events: Vec<CacheEvent>,
 }
 
-/// The last events.
+/// The latest cache events, with the time of each.
 #[derive(Debug, Default)]
 pub(super) struct EventLog {
     events: VecDeque<(Time, CacheEvent)>,
@@ -37,7 +37,7 @@
 }
 
 impl EventLog {
-    /// Notes a change; every `loss_interval`-th is lost.
+    /// Appends a change. Every `loss_interval`-th change is lost; zero loses none.
     pub(super) fn push(&mut self, now: Time, change: CacheChange, loss_interval: u64) {
         self.last += 1;
         if loss_interval > 0 && self.last.is_multiple_of(loss_interval) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the events after `after` that are at least `lag` old.
+    /// Returns the events with a sequence number above `after` that are at least `lag` old.
     pub(super) fn page(&self, now: Time, after: u64, lag: Duration) -> CachePage {
         let events: Vec<CacheEvent> = self
             .events
--- a/crates/cw_testkit/src/model_engine/fake_engine.rs
+++ b/crates/cw_testkit/src/model_engine/fake_engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in's handle.
+//! The handle of the fake engine.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -20,25 +20,25 @@
 use super::api::Versions;
 use super::engine_process::EngineProcess;
 
-/// What a stand-in engine is like.
+/// The configuration of a fake engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
-    /// How fast it is.
+    /// The speed and capacity of the engine.
     pub timings: EngineTimings,
-    /// What it has loaded when it starts.
+    /// The versions that are loaded when the engine starts.
     pub versions: Versions,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine refuses orders with an old fencing number.
     pub fenced: bool,
-    /// Where it reads weights; without a store they are there at once.
+    /// The address of the weight store. Without one, weights load immediately.
     pub weights: Option<SocketAddr>,
 }
 
 impl EngineSpec {
-    /// Adds a version that is loaded from the start.
+    /// Adds a version that is loaded when the engine starts.
     ///
     /// # Panics
     ///
-    /// Panics when a name breaks the rules for names.
+    /// Panics if a name is not valid.
     #[must_use]
     pub fn with_version(mut self, model: &str, version: &str) -> Self {
         let model: ModelName = model.parse().expect("a valid name");
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Sets how fast it is.
+    /// Sets the speed and capacity of the engine.
     #[must_use]
     pub fn with_timings(mut self, timings: EngineTimings) -> Self {
         self.timings = timings;
@@ -55,7 +55,7 @@
     }
 }
 
-/// What outlives an engine's death, for those who watch it.
+/// The state that survives restarts of the engine: its pause gate, counters and injected faults.
 #[derive(Debug, Default)]
 pub(super) struct PersistentState {
     pub(super) gate: Gate,
@@ -93,10 +93,10 @@
     running: Option<RunningProcess>,
 }
 
-/// A stand-in engine; clones are handles to the same one.
+/// A fake engine. Clones are handles to the same engine.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
-    /// Where it listens, in all its slot.
+    /// The address that the engine listens on. A restart keeps it.
     pub address: SocketAddr,
     spec: EngineSpec,
     persistent: Arc<PersistentState>,
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(spec: EngineSpec) -> io::Result<Self> {
         let mut engine = Self {
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -122,50 +122,53 @@
 
     // ---- Faults
 
-    /// Kills the engine: its port closes and every connection breaks.
+    /// Kills the engine: closes its port and breaks every connection.
     pub async fn kill(&self) {
         let Some(running) = self.slot.lock().await.running.take() else {
             return;
         };
         running.stop.cancel();
-        // Connections break before their streams end, or they would seem to have ended well.
+        // Connections break before their streams end, because otherwise the streams would seem to
+        // have ended normally.
         running.server.kill().await;
         running.process.count_unfinished();
     }
 
-    /// Starts a killed engine again, with a new boot number and empty memory.
+    /// Kills the engine if it runs, and starts it with the next boot number and without requests,
+    /// cache or loaded versions other than the initial ones.
     ///
     /// # Errors
     ///
-    /// Fails when its port was taken meanwhile.
+    /// Returns an error if another process has taken the port.
     pub async fn restart(&self) -> io::Result<()> {
         self.kill().await;
         self.start_process().await.map(|_| ())
     }
 
-    /// Stops the engine where it is; its sockets stay open.
+    /// Pauses the engine. Its sockets stay open.
     pub fn pause(&self) {
         self.persistent.gate.close();
     }
 
-    /// Lets a paused engine go on.
+    /// Resumes a paused engine.
     pub fn resume(&self) {
         self.persistent.gate.open();
     }
 
-    /// Changes what goes wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         *self.persistent.faults() = faults;
     }
 
     // ---- Observation
 
-    /// Returns what it has done; output of running requests is counted when they end.
+    /// Returns the counters of the work done. The output of a running request is counted when it
+    /// ends.
     pub fn counters(&self) -> EngineCounters {
         self.persistent.counters().clone()
     }
 
-    /// Returns how many requests run or wait; none when it is dead.
+    /// Returns the number of running and waiting requests, which is zero while the engine is killed.
     pub async fn request_count(&self) -> usize {
         let slot = self.slot.lock().await;
         slot.running
@@ -173,7 +176,7 @@
             .map_or(0, |running| running.process.request_count())
     }
 
-    // ---- Lives
+    // ---- Restarts
 
     async fn start_process(&self) -> io::Result<SocketAddr> {
         let mut slot = self.slot.lock().await;
@@ -210,7 +213,7 @@
             }
             self.kill().await;
             tokio::time::sleep(self.spec.timings.restart_delay).await;
-            // An engine whose port was taken meanwhile stays dead.
+            // If another process has taken the port, the engine stays down.
             let _ = self.restart().await;
         })
     }
--- a/crates/cw_testkit/src/model_engine/loaded_versions.rs
+++ b/crates/cw_testkit/src/model_engine/loaded_versions.rs
@@ -1,4 +1,4 @@
-//! Orders: what the engine has loaded.
+//! The versions that the engine has loaded, and the orders that change them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,28 +10,29 @@
 
 use super::api::Versions;
 
-/// What an order leads to.
+/// The result of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum OrderOutcome {
-    /// It is done.
+    /// The order is complete.
     Done,
-    /// It has begun before.
+    /// An earlier order has started the same load, which is not complete yet.
     InProgress,
-    /// These weights are to be read, then [`LoadedVersions::finish_loading`] is called.
+    /// The caller must read these weights and then call [`LoadedVersions::finish_loading`].
     ReadWeights(String),
-    /// Refused: a higher number was seen.
+    /// The order is refused, because the engine has seen this higher fencing number.
     Fenced(u64),
-    /// Refused.
+    /// The order is refused for this reason.
     Refused(String),
 }
 
-/// A model and a version of it.
+/// A model and one of its versions.
 pub(super) type VersionKey = (ModelName, VersionName);
 
-/// What an engine has loaded, and the highest_fencing fencing number that it has seen.
+/// The versions and adapters that an engine has loaded, and the highest fencing number that it has
+/// seen.
 #[derive(Debug, Default)]
 pub(super) struct LoadedVersions {
-    /// The versions that are ready.
+    /// The versions that can be served.
     pub(super) versions: Versions,
     adapters: BTreeMap<VersionKey, BTreeSet<AdapterName>>,
     loading: BTreeSet<VersionKey>,
@@ -39,7 +40,7 @@
 }
 
 impl LoadedVersions {
-    /// Returns an engine with these versions.
+    /// Returns a state in which these versions are loaded.
     pub(super) fn new(versions: Versions) -> Self {
         Self {
             versions,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Returns whether a request can be served.
+    /// Returns whether the version, and the adapter if given, are loaded.
     pub(super) fn can_serve(&self, key: &VersionKey, adapter: Option<&AdapterName>) -> bool {
         let version = self
             .versions
@@ -61,7 +62,7 @@
         version && adapter
     }
 
-    /// Takes an order; an engine that is not `fenced` ignores its number.
+    /// Applies an order. Its fencing number is checked only if `fenced` is set.
     pub(super) fn apply(&mut self, fencing: u64, fenced: bool, order: OrderKind) -> OrderOutcome {
         if fenced && fencing < self.highest_fencing {
             return OrderOutcome::Fenced(self.highest_fencing);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Ends the loading of a version.
+    /// Completes the loading of a version, which is loaded if `success` is set.
     pub(super) fn finish_loading(&mut self, key: VersionKey, success: bool) {
         self.loading.remove(&key);
         if success {
--- a/crates/cw_testkit/src/model_engine/mod.rs
+++ b/crates/cw_testkit/src/model_engine/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a model engine: its interface is described in `docs/ENGINE.md`.
+//! A fake of a model engine, whose API is described in `docs/ENGINE.md`.
 //!
-//! - [`FakeEngine`] runs one; it can be killed, paused, woken and started again.
-//! - [`EngineTimings`] says how fast it is, [`EngineFaults`] what goes wrong.
-//! - [`TokenSource`] computes the output that any request must have.
+//! - [`FakeEngine`] is an engine that can be killed, paused, resumed and restarted.
+//! - [`EngineTimings`] sets its speed and capacity, [`EngineFaults`] its injected faults.
+//! - [`TokenSource`] computes the expected output of any request.
 
 mod api;
 mod batch;
--- a/crates/cw_testkit/src/model_engine/prefix_cache.rs
+++ b/crates/cw_testkit/src/model_engine/prefix_cache.rs
@@ -1,23 +1,23 @@
-//! The prefix cache.
+//! The prefix cache of the fake engine.
 
 use std::collections::BTreeMap;
 
 use cw_types::TokenId;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The tokens of one cache block.
+/// The number of tokens in a cache block.
 const BLOCK_TOKENS: usize = 16;
 
-/// A change of the cache.
+/// A change of the cache, as a list of block hashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CacheChange {
-    /// Blocks are there.
+    /// The blocks were added.
     Stored(Vec<u64>),
-    /// Blocks are gone.
+    /// The blocks were evicted.
     Removed(Vec<u64>),
 }
 
-/// Blocks of token prefixes, the least recently used of which goes first.
+/// A cache of blocks of token prefixes, with least-recently-used eviction.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
     last_used: BTreeMap<u64, u64>,
@@ -26,7 +26,7 @@
 }
 
 impl PrefixCache {
-    /// Returns how many leading tokens are cached, and marks them as used.
+    /// Returns the number of leading tokens that are cached, and marks their blocks as used.
     pub(super) fn lookup(&mut self, tokens: &[TokenId]) -> u64 {
         let mut found = 0;
         for block in block_hashes(tokens) {
@@ -39,7 +39,7 @@
         found.min(tokens.len() as u64)
     }
 
-    /// Stores the whole blocks of `tokens` and keeps within `capacity` tokens.
+    /// Adds the full blocks of `tokens`, and evicts blocks until at most `capacity` tokens remain.
     pub(super) fn store(&mut self, tokens: &[TokenId], capacity: u64) -> Vec<CacheChange> {
         let mut stored = Vec::new();
         for block in block_hashes(tokens) {
@@ -56,7 +56,7 @@
         changes
     }
 
-    /// Returns how many tokens are cached.
+    /// Returns the number of cached tokens.
     pub(super) fn tokens(&self) -> u64 {
         (self.last_used.len() * BLOCK_TOKENS) as u64
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns the ids of the whole blocks: each covers everything before it.
+/// Returns the hash of each full block. Each hash also covers all blocks before it.
 fn block_hashes(tokens: &[TokenId]) -> impl Iterator<Item = u64> {
     let mut hash = Xxh3::new();
     tokens.chunks_exact(BLOCK_TOKENS).map(move |chunk| {
--- a/crates/cw_testkit/src/server/gate.rs
+++ b/crates/cw_testkit/src/server/gate.rs
@@ -1,4 +1,4 @@
-//! The switch that pauses a stand-in.
+//! The gate that pauses a fake.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -13,26 +13,26 @@
     wakers: Vec<Waker>,
 }
 
-/// A switch shared by all parts of one stand-in: while it is closed, none of them makes progress.
+/// A gate that all parts of a fake share: while it is closed, none of them makes progress.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     state: Arc<Mutex<State>>,
 }
 
 impl Gate {
-    /// Stops everything behind the gate; sockets stay as they are.
+    /// Pauses everything behind the gate. Sockets stay open.
     pub fn close(&self) {
         self.state.lock().expect("no panic under this lock").closed = true;
     }
 
-    /// Lets everything go on.
+    /// Resumes everything behind the gate.
     pub fn open(&self) {
         let mut state = self.state.lock().expect("no panic under this lock");
         state.closed = false;
         state.wakers.drain(..).for_each(Waker::wake);
     }
 
-    /// Is ready when the gate is open.
+    /// Polls for the gate to be open, and registers the task to be woken otherwise.
     pub fn poll_open(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut state = self.state.lock().expect("no panic under this lock");
         if !state.closed {
@@ -44,7 +44,7 @@
         Poll::Pending
     }
 
-    /// Returns when the gate is open.
+    /// Waits until the gate is open.
     pub async fn wait_open(&self) {
         poll_fn(|cx| self.poll_open(cx)).await;
     }
--- a/crates/cw_testkit/src/server/gated_io.rs
+++ b/crates/cw_testkit/src/server/gated_io.rs
@@ -1,4 +1,4 @@
-//! A socket behind a [`Gate`].
+//! An I/O stream that a [`Gate`] can pause.
 
 use std::io;
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 
 use super::Gate;
 
-/// A stream that neither reads nor writes while its gate is closed.
+/// An I/O stream that neither reads nor writes while its gate is closed.
 #[derive(Debug)]
 pub(crate) struct GatedIo<S> {
     inner: S,
@@ -20,7 +20,7 @@
 }
 
 impl<S> GatedIo<S> {
-    /// Puts `inner` behind `gate`.
+    /// Wraps `inner` so that `gate` can pause it.
     pub(crate) fn new(inner: S, gate: Gate) -> Self {
         Self { inner, gate }
     }
--- a/crates/cw_testkit/src/server/http_response.rs
+++ b/crates/cw_testkit/src/server/http_response.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! HTTP responses, and reading of request bodies.
 
 use std::convert::Infallible;
 
@@ -19,26 +19,26 @@
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// An answer.
+/// A response with a full or a streamed body.
 pub(crate) type HttpResponse = Response<UnsyncBoxBody<Bytes, Infallible>>;
 
-/// The connection is closed without an answer.
+/// The request gets no response: its connection is closed.
 #[derive(Debug, Snafu)]
-#[snafu(display("the connection is closed without an answer"))]
+#[snafu(display("the connection is closed without a response"))]
 pub(crate) struct NoResponse;
 
-/// Returns an answer with a body of JSON.
+/// Returns a response with a JSON body.
 pub(crate) fn json_response<T: Serialize>(status: StatusCode, body: &T) -> HttpResponse {
     let bytes = serde_json::to_vec(body).expect("the type has string keys");
     full_response(status, "application/json", Bytes::from(bytes))
 }
 
-/// Returns an answer without a body.
+/// Returns a response without a body.
 pub(crate) fn empty_response(status: StatusCode) -> HttpResponse {
     full_response(status, "text/plain", Bytes::new())
 }
 
-/// Returns an answer whose body is sent as it comes.
+/// Returns a response with status 200 whose body is streamed.
 pub(crate) fn stream_response<S>(content_type: &'static str, body: S) -> HttpResponse
 where
     S: Stream<Item = Bytes> + Send + 'static,
@@ -47,7 +47,7 @@
     Response::builder()
         .header(CONTENT_TYPE, content_type)
         .body(StreamBody::new(frames).boxed_unsync())
-        .expect("the head is valid")
+        .expect("the response headers are valid")
 }
 
 fn full_response(status: StatusCode, content_type: &'static str, bytes: Bytes) -> HttpResponse {
@@ -55,10 +55,10 @@
         .status(status)
         .header(CONTENT_TYPE, content_type)
         .body(Full::new(bytes).boxed_unsync())
-        .expect("the head is valid")
+        .expect("the response headers are valid")
 }
 
-/// Reads a whole body.
+/// Reads a request body to its end.
 pub(crate) async fn read_bytes(request: Request<Incoming>) -> Result<Bytes, NoResponse> {
     let body = request
         .into_body()
@@ -68,7 +68,7 @@
     Ok(body.to_bytes())
 }
 
-/// Reads a body of JSON; `Err` within `Ok` is the answer to one that is not.
+/// Reads a JSON request body. The inner `Err` is the response to a body that is not valid.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<Result<T, HttpResponse>, NoResponse> {
--- a/crates/cw_testkit/src/server/http_server.rs
+++ b/crates/cw_testkit/src/server/http_server.rs
@@ -1,4 +1,4 @@
-//! The server under every stand-in.
+//! The HTTP server that all fakes use.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,14 +21,14 @@
 use super::HttpResponse;
 use super::NoResponse;
 
-/// How often an address that is still taken is tried again.
+/// The number of retries to bind an address that is still in use.
 const MAX_BIND_RETRIES: u32 = 50;
-/// The pause between two tries.
+/// The delay between two attempts to bind an address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What answers a stand-in's requests.
+/// Handles the requests to a fake.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Answers one request, or closes its connection.
+    /// Handles one request. [`NoResponse`] closes its connection.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -38,18 +38,18 @@
 /// A running server.
 #[derive(Debug)]
 pub(crate) struct HttpServer {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub(crate) address: SocketAddr,
     stop: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl HttpServer {
-    /// Starts a server; everything it does passes `gate`.
+    /// Starts a server on `address`, which `gate` can pause.
     ///
     /// # Errors
     ///
-    /// Fails when the address stays taken.
+    /// Returns an error if the address stays in use for all retries, or cannot be bound.
     pub(crate) async fn start<H: Handler>(
         address: SocketAddr,
         gate: Gate,
@@ -78,7 +78,7 @@
         Ok(server)
     }
 
-    /// Closes the port and breaks every connection.
+    /// Closes the port, breaks every connection and waits until their tasks have ended.
     pub(crate) async fn kill(&self) {
         self.stop.cancel();
         self.tasks.close();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Listens on `address`, which the server's earlier life may still be leaving.
+/// Binds `address`, and retries while the previous server at this address still releases it.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let mut retries = 0;
     loop {
@@ -132,10 +132,10 @@
 }
 
 async fn serve<H: Handler>(socket: TcpStream, gate: Gate, handler: Arc<H>) {
-    // Small events must leave at once, and a socket that cannot do so still works.
+    // Small events are sent without delay. If the option cannot be set, the socket still works.
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |request| Arc::clone(&handler).handle(request));
     let io = TokioIo::new(GatedIo::new(socket, gate));
-    // A connection that breaks is the other side's to notice.
+    // The client detects a broken connection itself, so the result is not needed.
     let _ = http1::Builder::new().serve_connection(io, service).await;
 }
--- a/crates/cw_testkit/src/server/mod.rs
+++ b/crates/cw_testkit/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that can be killed, paused and started again.
+//! A small HTTP server that can be killed, paused and restarted.
 
 mod gate;
 mod gated_io;
--- a/crates/cw_testkit/tests/common/mod.rs
+++ b/crates/cw_testkit/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Fixtures that several test files share.
+//! Helpers that the test files share.
 #![allow(
     dead_code,
     unreachable_pub,
     clippy::allow_attributes,
-    reason = "each test file uses a part"
+    reason = "each test file uses only some of the helpers"
 )]
 
 use std::collections::BTreeMap;
@@ -30,17 +30,17 @@
 use http::Method;
 use serde_json::Value;
 
-/// How long a test may wait for something that must come.
+/// The time limit of every wait in the tests, so that a hanging test fails.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits for something that must come.
+/// Waits for `work`, and panics if it takes longer than [`HANG_TIMEOUT`].
 pub async fn within_timeout<T>(work: impl Future<Output = T>) -> T {
     tokio::time::timeout(HANG_TIMEOUT, work)
         .await
-        .expect("the guard against hanging was reached")
+        .expect("the work completes within the time limit")
 }
 
-/// Waits until a condition holds.
+/// Polls until `condition` holds, and panics after [`HANG_TIMEOUT`].
 pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     within_timeout(async {
         while !condition() {
@@ -50,7 +50,7 @@
     .await;
 }
 
-/// Timings of an engine that loses no time.
+/// Engine timings with short steps, and without delays or lost cache events.
 pub fn fast_timings() -> EngineTimings {
     EngineTimings {
         step: Duration::from_millis(2),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Starts an engine by itself.
+/// Starts a single engine with the model of the tests.
 pub async fn start_engine(timings: EngineTimings) -> FakeEngine {
     let spec = EngineSpec::default()
         .with_version(MODEL, VERSION)
@@ -73,7 +73,7 @@
     FakeEngine::start(spec).await.expect("a port is free")
 }
 
-/// Calls any stand-in.
+/// Calls a fake or the admin interface of a process.
 pub async fn call_fake(
     address: SocketAddr,
     method: Method,
@@ -84,21 +84,21 @@
     let body = body.to_string();
     within_timeout(caller.call(method, path, &BTreeMap::new(), body))
         .await
-        .expect("the stand-in answers")
+        .expect("the server responds")
 }
 
 // ---- Deployments
 
-/// How a request is answered.
+/// The form of the response to a generation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// As a stream of events.
     Stream,
-    /// In one piece.
+    /// As a single response.
     Whole,
 }
 
-/// A small deployment.
+/// Returns the specification of a small deployment with fast engines.
 pub fn small_spec() -> DeploymentSpec {
     let timings = EngineTimings {
         step: Duration::from_millis(5),
@@ -117,7 +117,7 @@
         .expect("the deployment starts")
 }
 
-/// Returns the route with this way of recovery.
+/// Returns the route with this recovery mode.
 pub fn route(recovery: Recovery) -> &'static str {
     match recovery {
         Recovery::Latency => ROUTE_LATENCY,
@@ -125,21 +125,21 @@
     }
 }
 
-/// Returns the output that a request must have.
+/// Returns the expected output of a request.
 pub fn expected(request: &CompletionRequest) -> Vec<TokenId> {
     request.expected(MODEL, VERSION)
 }
 
-/// Returns the engine that serves a stream.
+/// Returns the index of the engine that serves a stream.
 pub fn serving_engine(deployment: &TestDeployment, reader: &CompletionReader) -> usize {
     let completion = &reader.completion;
     let target = completion
         .target_at(Instant::now())
-        .expect("tokens have come");
+        .expect("tokens have arrived");
     deployment.engine_index(target)
 }
 
-/// Waits until an engine is busy, and returns it.
+/// Waits until an engine has a request, and returns its index.
 pub async fn busy_engine(deployment: &TestDeployment) -> usize {
     within_timeout(async {
         loop {
@@ -154,7 +154,7 @@
     .await
 }
 
-/// Returns how many times a body was executed by all services together.
+/// Returns how many calls with this body all services together have executed.
 pub fn run_count(deployment: &TestDeployment, body: &str) -> u64 {
     let count = |service: &FakeService| service.runs().get(body).copied().unwrap_or_default();
     deployment.services.iter().map(count).sum()
--- a/crates/cw_testkit/tests/drain.rs
+++ b/crates/cw_testkit/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Processes that leave.
+//! Tests that draining an entry or an agent interrupts no stream.
 
 mod common;
 
@@ -17,72 +17,79 @@
 use serde_json::json;
 
 async fn is_ready(admin: SocketAddr) -> bool {
-    let reply = call_fake(admin, Method::GET, "/readyz", &json!(null)).await;
-    reply.status.as_u16() == 200
+    let response = call_fake(admin, Method::GET, "/readyz", &json!(null)).await;
+    response.status.as_u16() == 200
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_entry_that_drains_cuts_nothing() {
+async fn a_draining_entry_interrupts_no_stream() {
     let deployment = start_deployment(small_spec()).await;
     let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 300);
     let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     within_timeout(reader.read_tokens(10))
         .await
-        .expect("tokens come");
+        .expect("tokens arrive");
     let admin = deployment.entries[0].settings.listen.admin;
-    let ready = is_ready(admin).await;
+    let ready_before = is_ready(admin).await;
 
     let stream = async {
         within_timeout(reader.read_tokens(20))
             .await
-            .expect("tokens come");
-        let still = is_ready(admin).await;
+            .expect("tokens arrive");
+        let ready_while_draining = is_ready(admin).await;
         (
-            still,
-            within_timeout(reader.finish()).await.expect("it is whole"),
+            ready_while_draining,
+            within_timeout(reader.finish())
+                .await
+                .expect("the stream completes"),
         )
     };
-    let (_, (still, completion)) =
+    let (_, (ready_while_draining, completion)) =
         join(within_timeout(deployment.entries[0].drain()), stream).await;
 
-    assert!(ready);
-    assert!(!still);
+    assert!(ready_before);
+    assert!(!ready_while_draining);
     assert_eq!(completion.ids, expected(&request));
     assert!(completion.is_complete());
     deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_agent_that_drains_cuts_nothing_and_takes_nothing_new() {
+async fn a_draining_agent_interrupts_no_stream_and_accepts_no_new_work() {
     let deployment = start_deployment(small_spec().with_engines(2)).await;
     let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 300);
     let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     within_timeout(reader.read_tokens(10))
         .await
-        .expect("tokens come");
-    let leaving = serving_engine(&deployment, &reader);
+        .expect("tokens arrive");
+    let draining = serving_engine(&deployment, &reader);
     let runs = |n: usize| deployment.engines[n].counters().requests.len();
-    let before = runs(leaving);
+    let before = runs(draining);
 
     let stream = async {
         within_timeout(reader.read_tokens(20))
             .await
-            .expect("tokens come");
+            .expect("tokens arrive");
         for seed in 0..10 {
             let other = CompletionRequest::new(ROUTE_LATENCY, "another", 5).with_seed(seed);
             let completion = within_timeout(deployment.caller(1).complete(&other)).await;
-            assert_eq!(completion.expect("it is answered").ids, expected(&other));
+            assert_eq!(
+                completion.expect("the request completes").ids,
+                expected(&other)
+            );
         }
-        within_timeout(reader.finish()).await.expect("it is whole")
+        within_timeout(reader.finish())
+            .await
+            .expect("the stream completes")
     };
-    let (_, completion) = join(within_timeout(deployment.agents[leaving].drain()), stream).await;
+    let (_, completion) = join(within_timeout(deployment.agents[draining].drain()), stream).await;
 
     assert_eq!(completion.ids, expected(&request));
     assert!(completion.is_complete());
-    assert_eq!(runs(leaving), before);
+    assert_eq!(runs(draining), before);
     deployment.stop().await;
 }
--- a/crates/cw_testkit/tests/engine.rs
+++ b/crates/cw_testkit/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine by itself.
+//! Tests of the fake engine on its own.
 
 mod common;
 
@@ -39,18 +39,18 @@
     let caller = Caller::new(engine.address, "-");
     within_timeout(caller.open_stream_with_body(body))
         .await
-        .expect("it is accepted")
+        .expect("the request is accepted")
 }
 
 async fn run(engine: &FakeEngine, body: &Value) -> Completion {
     within_timeout(open(engine, body).await.finish())
         .await
-        .expect("the stream is whole")
+        .expect("the stream completes")
 }
 
 async fn load(engine: &FakeEngine) -> Value {
-    let reply = call_fake(engine.address, Method::GET, "/v1/load", &json!(null)).await;
-    reply.json()
+    let response = call_fake(engine.address, Method::GET, "/v1/load", &json!(null)).await;
+    response.json()
 }
 
 fn expected(prompt: &str, tokens: u64) -> Vec<TokenId> {
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn output_goes_on_after_the_output_so_far() {
+async fn output_continues_after_the_output_so_far() {
     let engine = start_engine(fast_timings()).await;
     let whole = expected("a ledger", 20);
 
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn a_known_prefix_is_not_computed_again() {
+async fn a_cached_prefix_is_not_computed_again() {
     let engine = start_engine(fast_timings()).await;
     let prompt = "a long ledger ".repeat(40);
 
@@ -105,12 +105,12 @@
 }
 
 #[tokio::test]
-async fn a_killed_engine_breaks_its_streams_and_comes_back_as_another_life() {
+async fn a_killed_engine_breaks_its_streams_and_restarts_with_a_new_boot_number() {
     let engine = start_engine(fast_timings()).await;
     let mut reader = open(&engine, &body("a ledger", 100_000, &[])).await;
     within_timeout(reader.read_tokens(3))
         .await
-        .expect("it streams");
+        .expect("tokens arrive");
     let before = load(&engine).await;
 
     engine.kill().await;
@@ -125,25 +125,27 @@
 }
 
 #[tokio::test]
-async fn a_paused_engine_goes_on_where_it_was() {
+async fn a_paused_engine_continues_its_streams() {
     let engine = start_engine(fast_timings()).await;
     let mut reader = open(&engine, &body("a ledger", 200, &[])).await;
     within_timeout(reader.read_tokens(3))
         .await
-        .expect("it streams");
+        .expect("tokens arrive");
 
     engine.pause();
-    let quiet = async { while let Ok(Some(_)) = reader.next().await {} };
-    let silent = tokio::time::timeout(std::time::Duration::from_millis(700), quiet).await;
+    let read_rest = async { while let Ok(Some(_)) = reader.next().await {} };
+    let paused = tokio::time::timeout(std::time::Duration::from_millis(700), read_rest).await;
     engine.resume();
-    let completion = within_timeout(reader.finish()).await.expect("it goes on");
+    let completion = within_timeout(reader.finish())
+        .await
+        .expect("the stream continues");
 
-    assert!(silent.is_err());
+    assert!(paused.is_err());
     assert_eq!(completion.ids, expected("a ledger", 200));
 }
 
 #[tokio::test]
-async fn a_poisonous_prompt_crashes_the_engine_and_nothing_else_does() {
+async fn a_poisonous_prompt_crashes_the_engine() {
     let engine = start_engine(fast_timings()).await;
     let bystander = open(&engine, &body("a ledger", 100_000, &[])).await;
 
@@ -155,12 +157,12 @@
 }
 
 #[tokio::test]
-async fn a_closed_connection_cancels() {
+async fn a_closed_connection_cancels_its_request() {
     let engine = start_engine(fast_timings()).await;
     let mut reader = open(&engine, &body("a ledger", 1_000_000, &[])).await;
     within_timeout(reader.read_tokens(3))
         .await
-        .expect("it streams");
+        .expect("tokens arrive");
 
     drop(reader);
 
@@ -174,7 +176,7 @@
     let mut reader = open(&engine, &body("a ledger", 1_000_000, &[])).await;
     within_timeout(reader.read_tokens(3))
         .await
-        .expect("it streams");
+        .expect("tokens arrive");
     let abort = json!({ "request_id": "a ledger/1" });
 
     let first = call_fake(engine.address, Method::POST, "/v1/abort", &abort).await;
@@ -194,8 +196,12 @@
     let first = open(&engine, &body("the first", 30, &[])).await;
     let second = open(&engine, &body("the second", 30, &[])).await;
 
-    let second = within_timeout(second.finish()).await.expect("it is whole");
-    let first = within_timeout(first.finish()).await.expect("it is whole");
+    let second = within_timeout(second.finish())
+        .await
+        .expect("the stream completes");
+    let first = within_timeout(first.finish())
+        .await
+        .expect("the stream completes");
 
     let end = |completion: &Completion| completion.arrivals.last().expect("it has tokens").at;
     assert!(end(&second) < end(&first));
@@ -226,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_tell_their_gaps() {
+async fn cache_events_report_their_gaps() {
     let timings = cw_testkit::EngineTimings {
         event_loss: 2,
         ..fast_timings()
--- a/crates/cw_testkit/tests/examples.rs
+++ b/crates/cw_testkit/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The documented example settings.
+//! Tests that the example settings files show the defaults.
 
 use std::path::PathBuf;
 
--- a/crates/cw_testkit/tests/experiment.rs
+++ b/crates/cw_testkit/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! What the experiments' figures are made with.
+//! Tests of the calculations behind the figures of the experiments.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn percentiles_are_of_the_times() {
+fn percentiles_match_the_recorded_times() {
     let summary = Summary::of((1..=1000).map(Duration::from_millis));
 
     assert_eq!(summary.count, 1000);
@@ -93,20 +93,20 @@
 }
 
 #[test]
-fn a_table_takes_the_place_of_the_one_before() {
-    let directory = tempfile::tempdir().expect("a directory can be made");
+fn a_table_replaces_the_previous_one() {
+    let directory = tempfile::tempdir().expect("a temporary directory is created");
     let page = directory.path().join("page.md");
-    std::fs::write(&page, "# Figures\n\nWords before.\n").expect("it can be written");
+    std::fs::write(&page, "# Figures\n\nWords before.\n").expect("the page can be written");
     let report = |rate: f64| {
         let mut report = Report::new("routing", json!({}));
         report.rows = vec![json!({ "policy": "affinity", "load": { "prefix_hit_rate": rate } })];
         report
     };
 
-    write_table(&page, &report(0.25)).expect("it can be written");
-    write_table(&page, &report(0.75)).expect("it can be written");
+    write_table(&page, &report(0.25)).expect("the page can be written");
+    write_table(&page, &report(0.75)).expect("the page can be written");
 
-    let text = std::fs::read_to_string(&page).expect("it can be read");
+    let text = std::fs::read_to_string(&page).expect("the page can be read");
     assert!(text.starts_with("# Figures\n\nWords before.\n"));
     assert!(text.contains("| policy | prefix hits |\n|---|---|\n| affinity | 0.7500 |"));
     assert!(!text.contains("0.2500"));
--- a/crates/cw_testkit/tests/key_value.rs
+++ b/crates/cw_testkit/tests/key_value.rs
@@ -1,4 +1,4 @@
-//! The key-value stand-in by itself, through the client that the daemon uses.
+//! Tests of the fake etcd through the client that the daemon uses.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use cw_testkit::FakeEtcd;
 use futures::StreamExt;
 
-async fn pair() -> (FakeEtcd, EtcdGateway) {
+async fn start_etcd() -> (FakeEtcd, EtcdGateway) {
     let service = FakeEtcd::start().await.expect("a port is free");
     let client = EtcdGateway::new(vec![service.address]);
     (service, client)
@@ -28,7 +28,7 @@
 
 #[tokio::test]
 async fn a_swap_needs_the_expected_revision() {
-    let (_service, client) = pair().await;
+    let (_service, client) = start_etcd().await;
 
     let first = client.swap("k", None, value("a"), None).await;
     let Ok(Swap::Done(revision)) = first else {
@@ -46,8 +46,8 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_has_had_its_effect() {
-    let (service, client) = pair().await;
+async fn a_write_with_a_lost_response_takes_effect() {
+    let (service, client) = start_etcd().await;
     service.set_faults(EtcdFaults {
         lost_responses: 1,
         ..EtcdFaults::default()
@@ -60,8 +60,8 @@
 }
 
 #[tokio::test]
-async fn a_service_that_is_down_has_no_effect() {
-    let (service, client) = pair().await;
+async fn a_write_to_an_unavailable_service_has_no_effect() {
+    let (service, client) = start_etcd().await;
     service.set_faults(EtcdFaults {
         unavailable: true,
         ..EtcdFaults::default()
@@ -74,13 +74,16 @@
 }
 
 #[tokio::test]
-async fn keys_of_a_lapsed_lease_vanish_and_watches_tell() {
-    let (_service, client) = pair().await;
-    let mut events = client.watch("k", ModRevision(0)).await.expect("it is up");
+async fn keys_of_an_expired_lease_are_deleted_and_reported_to_watches() {
+    let (_service, client) = start_etcd().await;
+    let mut events = client
+        .watch("k", ModRevision(0))
+        .await
+        .expect("the service is available");
     let lease = client
         .grant(Duration::from_secs(1))
         .await
-        .expect("it is up");
+        .expect("the service is available");
 
     let put = client.swap("k/1", None, value("a"), Some(lease)).await;
     let mut seen = Vec::new();
@@ -99,14 +102,18 @@
 }
 
 #[tokio::test]
-async fn a_restored_backup_forgets_later_writes() {
-    let (service, client) = pair().await;
+async fn restoring_a_backup_discards_later_writes() {
+    let (service, client) = start_etcd().await;
     service.put("k", "a");
     let backup = service.backup();
     service.put("k", "b");
 
     service.restore(&backup);
 
-    let found = client.get("k").await.expect("it is up").expect("it exists");
+    let found = client
+        .get("k")
+        .await
+        .expect("the service is available")
+        .expect("the key exists");
     assert_eq!(found.value, value("a"));
 }
--- a/crates/cw_testkit/tests/services.rs
+++ b/crates/cw_testkit/tests/services.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Tests of calls to plain services whose service, agent or entry is killed while they run.
 
 mod common;
 
@@ -21,10 +21,10 @@
 use http::Method;
 use rstest::rstest;
 
-/// How long each execution takes after it has had its effect.
+/// The time from the effect of a call until its response.
 const DELAY: Duration = Duration::from_millis(600);
 
-/// Who dies while a call runs.
+/// The process that is killed while a call runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Victim {
     Service,
@@ -36,7 +36,7 @@
     format!("/v1/services/{service}/balances/7?currency=EUR")
 }
 
-fn keyed(key: &str) -> BTreeMap<String, String> {
+fn idempotency_key(key: &str) -> BTreeMap<String, String> {
     BTreeMap::from([("Idempotency-Key".to_owned(), key.to_owned())])
 }
 
@@ -53,12 +53,12 @@
     within_timeout(call).await.ok()
 }
 
-/// Kills the part of the deployment that runs `body`.
+/// Kills the service, the agent or the entry that runs the call with `body`.
 async fn kill(deployment: &TestDeployment, victim: Victim, body: &str) {
     let ran = |n: &usize| deployment.services[*n].runs().contains_key(body);
     let number = (0..deployment.services.len())
         .find(ran)
-        .expect("it has run");
+        .expect("a service has run the call");
     match victim {
         Victim::Service => deployment.services[number].kill().await,
         Victim::Agent => deployment.service_agents[number].kill().await,
@@ -66,10 +66,10 @@
     }
 }
 
-/// Returns what a call answers whose victim dies while it runs.
+/// Returns the response to a call during which `victim` is killed.
 ///
-/// A call that ends before any service has run it fails the test at once, and its answer is shown.
-async fn killing(
+/// If the call ends before any service has run it, the test fails and shows the response.
+async fn respond_during_kill(
     call: impl Future<Output = Option<CallResponse>>,
     deployment: &TestDeployment,
     victim: Victim,
@@ -78,12 +78,12 @@
     let mut call = pin!(call);
     let running = pin!(wait_until(|| run_count(deployment, body) > 0));
     match select(call.as_mut(), running).await {
-        Either::Left((reply, _)) => {
+        Either::Left((response, _)) => {
             assert!(
                 run_count(deployment, body) > 0,
-                "no service ran the call: {reply:?}"
+                "no service ran the call: {response:?}"
             );
-            reply
+            response
         }
         Either::Right(((), call)) => join(call, kill(deployment, victim, body)).await.0,
     }
@@ -97,14 +97,14 @@
 async fn method_path_and_body_are_passed_through() {
     let deployment = start_deployment(small_spec()).await;
 
-    let reply = call(&deployment, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
+    let response = call(&deployment, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
 
-    let reply = reply.expect("the call is answered");
-    let answer = reply.json();
-    assert_eq!(reply.status.as_u16(), 200);
-    assert_eq!(answer["method"], "POST");
-    assert_eq!(answer["path"], "/balances/7?currency=EUR");
-    assert_eq!(answer["body"], "who owes whom");
+    let response = response.expect("the call completes");
+    let echo = response.json();
+    assert_eq!(response.status.as_u16(), 200);
+    assert_eq!(echo["method"], "POST");
+    assert_eq!(echo["path"], "/balances/7?currency=EUR");
+    assert_eq!(echo["body"], "who owes whom");
     deployment.stop().await;
 }
 
@@ -112,10 +112,10 @@
 async fn a_deployment_is_ready_only_when_its_services_are() {
     let deployment = start_deployment(small_spec().with_late_services()).await;
 
-    let reply = call(&deployment, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
+    let response = call(&deployment, 0, SERVICE, &BTreeMap::new(), "who owes whom").await;
 
-    let reply = reply.expect("the call is answered");
-    assert_eq!(reply.status.as_u16(), 200, "{reply:?}");
+    let response = response.expect("the call completes");
+    assert_eq!(response.status.as_u16(), 200, "{response:?}");
     deployment.stop().await;
 }
 
@@ -128,12 +128,12 @@
     set_delay(&deployment);
 
     let headers = BTreeMap::new();
-    let answer = call(&deployment, 0, SERVICE, &headers, "who owes whom");
-    let reply = killing(answer, &deployment, victim, "who owes whom").await;
+    let response = call(&deployment, 0, SERVICE, &headers, "who owes whom");
+    let response = respond_during_kill(response, &deployment, victim, "who owes whom").await;
 
-    let reply = reply.expect("the call is answered");
-    assert_eq!(reply.status.as_u16(), 200);
-    assert_eq!(reply.json()["body"], "who owes whom");
+    let response = response.expect("the call completes");
+    assert_eq!(response.status.as_u16(), 200);
+    assert_eq!(response.json()["body"], "who owes whom");
     deployment.stop().await;
 }
 
@@ -147,12 +147,12 @@
     set_delay(&deployment);
     let body = "pay the balance";
     let headers = match key {
-        true => keyed("notice-1"),
+        true => idempotency_key("notice-1"),
         false => BTreeMap::new(),
     };
 
-    let answer = call(&deployment, 0, SERVICE_ONCE, &headers, body);
-    let first = killing(answer, &deployment, victim, body).await;
+    let response = call(&deployment, 0, SERVICE_ONCE, &headers, body);
+    let first = respond_during_kill(response, &deployment, victim, body).await;
     if key {
         for _ in 0..3 {
             call(&deployment, 1, SERVICE_ONCE, &headers, body).await;
@@ -160,21 +160,24 @@
     }
 
     assert_eq!(run_count(&deployment, body), 1);
-    if let Some(reply) = first.filter(|reply| reply.status.as_u16() != 200) {
-        assert_ne!(reply.json()["error"]["ran"], "no");
+    if let Some(response) = first.filter(|response| response.status.as_u16() != 200) {
+        assert_ne!(response.json()["error"]["ran"], "no");
     }
     deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_repeat_with_the_same_key_gets_the_same_answer_through_another_entry() {
+async fn a_repeat_with_the_same_key_gets_the_same_response_through_another_entry() {
     let deployment = start_deployment(small_spec()).await;
-    let headers = keyed("notice-2");
+    let headers = idempotency_key("notice-2");
 
     let first = call(&deployment, 0, SERVICE_ONCE, &headers, "reserve the board").await;
     let second = call(&deployment, 1, SERVICE_ONCE, &headers, "reserve the board").await;
 
-    let (first, second) = (first.expect("answered"), second.expect("answered"));
+    let (first, second) = (
+        first.expect("the first call completes"),
+        second.expect("the second call completes"),
+    );
     assert_eq!(first.status.as_u16(), 200);
     assert_eq!(second.status.as_u16(), 200);
     assert_eq!(first.body, second.body);
--- a/crates/cw_testkit/tests/streams.rs
+++ b/crates/cw_testkit/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Generations whose engine, agent, path or entry fails in the middle.
+//! Tests of generations whose engine, agent, network path or entry fails in the middle of the
+//! output.
 
 mod common;
 
@@ -20,27 +21,27 @@
 use cw_types::Recovery;
 use rstest::rstest;
 
-/// What happens to the target in the middle of a generation.
+/// A fault of the target in the middle of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// The engine is killed under its agent.
+    /// The engine is killed, but not its agent.
     Engine,
-    /// The agent is killed beside its engine.
+    /// The agent is killed, but not its engine.
     Agent,
     /// Both are killed.
     Host,
-    /// The engine is paused and wakes again.
+    /// The engine is paused and resumes after [`PAUSE`].
     Pause,
-    /// The engine takes requests and produces nothing.
+    /// The engine accepts requests but generates nothing.
     Stall,
-    /// The path to the agent loses track of its connections.
+    /// The open connections to the agent stall without being closed.
     Silence,
 }
 
-/// How long a paused engine stays so.
+/// The duration of the engine pause.
 const PAUSE: Duration = Duration::from_secs(3);
 
-async fn cause(deployment: &TestDeployment, fault: Fault, target: usize) {
+async fn inject(deployment: &TestDeployment, fault: Fault, target: usize) {
     let engine = &deployment.engines[target];
     match fault {
         Fault::Engine => engine.kill().await,
@@ -62,32 +63,32 @@
     }
 }
 
-/// Runs one generation, with a fault once it has begun.
+/// Runs one generation and injects a fault after it has started.
 async fn run(deployment: &TestDeployment, request: &CompletionRequest, fault: Fault) -> Completion {
     let caller = deployment.caller(0);
     if !request.stream {
         let completion = async {
             within_timeout(caller.complete(request))
                 .await
-                .expect("the answer comes")
+                .expect("the completion arrives")
         };
-        let faulty = async {
+        let injection = async {
             let target = busy_engine(deployment).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
-            cause(deployment, fault, target).await;
+            inject(deployment, fault, target).await;
         };
-        return futures::future::join(completion, faulty).await.0;
+        return futures::future::join(completion, injection).await.0;
     }
     let mut reader = within_timeout(caller.open_stream(request))
         .await
-        .expect("it is accepted");
+        .expect("the request is accepted");
     within_timeout(reader.read_tokens(10))
         .await
-        .expect("tokens come");
-    cause(deployment, fault, serving_engine(deployment, &reader)).await;
+        .expect("tokens arrive");
+    inject(deployment, fault, serving_engine(deployment, &reader)).await;
     within_timeout(reader.finish())
         .await
-        .expect("the stream goes on")
+        .expect("the stream continues")
 }
 
 #[rstest]
@@ -128,18 +129,18 @@
 
     let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     for tokens in [10, 60] {
         within_timeout(reader.read_tokens(tokens))
             .await
-            .expect("tokens come");
+            .expect("tokens arrive");
         deployment.engines[serving_engine(&deployment, &reader)]
             .kill()
             .await;
     }
     let completion = within_timeout(reader.finish())
         .await
-        .expect("the stream goes on");
+        .expect("the stream continues");
 
     assert_eq!(completion.ids, expected(&request));
     assert!(completion.is_complete());
@@ -147,73 +148,73 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_comes_back_through_another_entry() {
+async fn a_caller_resumes_through_another_entry() {
     let deployment = start_deployment(small_spec()).await;
     let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 150);
     let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     within_timeout(reader.read_tokens(10))
         .await
-        .expect("tokens come");
-    let held = reader.completion.clone();
+        .expect("tokens arrive");
+    let received = reader.completion.clone();
 
     deployment.entries[0].kill().await;
     drop(reader);
-    let last = held.last_event_id.as_deref().expect("events have ids");
-    let again = request.clone().with_header("Last-Event-ID", last);
-    let rest = within_timeout(deployment.caller(1).complete(&again))
+    let last_event_id = received.last_event_id.as_deref().expect("events have ids");
+    let resume_request = request.clone().with_header("Last-Event-ID", last_event_id);
+    let rest = within_timeout(deployment.caller(1).complete(&resume_request))
         .await
-        .expect("it goes on");
+        .expect("the generation resumes");
 
-    let all = [held.ids, rest.ids].concat();
+    let all = [received.ids, rest.ids].concat();
     assert_eq!(all, expected(&request));
     assert_eq!(rest.finish_reason.as_deref(), Some("length"));
     deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_holds_its_tokens_comes_back_when_its_target_is_gone_too() {
+async fn a_caller_that_sends_its_tokens_resumes_although_its_target_is_lost_too() {
     let deployment = start_deployment(small_spec()).await;
     let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 150);
     let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     within_timeout(reader.read_tokens(10))
         .await
-        .expect("tokens come");
-    let held = reader.completion.clone();
+        .expect("tokens arrive");
+    let received = reader.completion.clone();
 
     deployment
         .kill_host(serving_engine(&deployment, &reader))
         .await;
     deployment.entries[0].kill().await;
     drop(reader);
-    let last = held.last_event_id.as_deref().expect("events have ids");
-    let again = request
+    let last_event_id = received.last_event_id.as_deref().expect("events have ids");
+    let resume_request = request
         .clone()
-        .with_header("Last-Event-ID", last)
-        .with_output_so_far(held.ids.clone());
-    let rest = within_timeout(deployment.caller(1).complete(&again))
+        .with_header("Last-Event-ID", last_event_id)
+        .with_output_so_far(received.ids.clone());
+    let rest = within_timeout(deployment.caller(1).complete(&resume_request))
         .await
-        .expect("it goes on");
+        .expect("the generation resumes");
 
-    let all = [held.ids, rest.ids].concat();
+    let all = [received.ids, rest.ids].concat();
     assert_eq!(all, expected(&request));
     deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_caller_comes_back_to_a_generation_of_another_workspace() {
+async fn a_caller_cannot_resume_a_generation_of_another_workspace() {
     let deployment = start_deployment(small_spec()).await;
     let request = CompletionRequest::new(ROUTE_LATENCY, "a trip's ledger", 1500);
     let mut reader = within_timeout(deployment.caller(0).open_stream(&request))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     within_timeout(reader.read_tokens(10))
         .await
-        .expect("tokens come");
-    let last = reader
+        .expect("tokens arrive");
+    let last_event_id = reader
         .completion
         .last_event_id
         .clone()
@@ -221,17 +222,17 @@
 
     let mut other = deployment.caller(1);
     other.api_key = cw_testkit::api_key(1);
-    let again = request.clone().with_header("Last-Event-ID", &last);
-    let refused = within_timeout(other.complete(&again)).await;
+    let resume_request = request.clone().with_header("Last-Event-ID", &last_event_id);
+    let refused = within_timeout(other.complete(&resume_request)).await;
 
-    let error = refused.expect_err("it is another workspace's");
+    let error = refused.expect_err("the generation belongs to another workspace");
     let code = error.code().expect("the refusal has a code");
     assert!(["unknown_generation", "generation_lost"].contains(&code));
     deployment.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn two_equal_requests_get_an_answer_each_when_the_second_ends_first() {
+async fn two_concurrent_requests_get_their_own_output_when_the_second_ends_first() {
     let deployment = start_deployment(small_spec().with_engines(1)).await;
     deployment.engines[0].set_faults(EngineFaults {
         reversed: true,
@@ -243,13 +244,13 @@
     let caller = deployment.caller(0);
     let opened = within_timeout(caller.open_stream(&first))
         .await
-        .expect("accepted");
+        .expect("the request is accepted");
     let late = within_timeout(caller.complete(&second))
         .await
-        .expect("the answer comes");
+        .expect("the completion arrives");
     let early = within_timeout(opened.finish())
         .await
-        .expect("the answer comes");
+        .expect("the completion arrives");
 
     assert_eq!(early.ids, expected(&first));
     assert_eq!(late.ids, expected(&second));
