--- a/crates/cw_testkit/src/deployment/deployment_spec.rs
+++ b/crates/cw_testkit/src/deployment/deployment_spec.rs
@@ -56,7 +56,7 @@
     /// The routing settings of the entries.
     pub routing: RoutingSettings,
     /// Whether entries reach each agent through a [`crate::Forwarder`].
-    pub with_forwarders: bool,
+    pub use_forwarders: bool,
     /// Whether the agents of plain services start after all other processes.
     pub late_services: bool,
 }
@@ -81,7 +81,7 @@
             recovery: RecoverySettings::default(),
             trace: TraceSettings::default(),
             routing: RoutingSettings::default(),
-            with_forwarders: false,
+            use_forwarders: false,
             late_services: false,
         }
     }
@@ -140,7 +140,7 @@
     /// Puts a [`crate::Forwarder`] in front of the agent of each engine.
     #[must_use]
     pub fn with_forwarders(mut self) -> Self {
-        self.with_forwarders = true;
+        self.use_forwarders = true;
         self
     }
 
--- a/crates/cw_testkit/src/deployment/test_deployment.rs
+++ b/crates/cw_testkit/src/deployment/test_deployment.rs
@@ -94,7 +94,7 @@
     /// The agents of the engines, in the same order.
     pub agents: Vec<TargetNode>,
     /// The forwarders in front of the agents of the engines, in the same order, or none if
-    /// [`DeploymentSpec::with_forwarders`] is not set.
+    /// [`DeploymentSpec::use_forwarders`] is not set.
     pub forwarders: Vec<Forwarder>,
     /// The plain services.
     pub services: Vec<FakeService>,
@@ -227,7 +227,7 @@
     }
 
     async fn start_forwarders(&mut self) -> Result<(), DeploymentError> {
-        if self.spec.with_forwarders {
+        if self.spec.use_forwarders {
             let peers = self.agents.iter().map(|node| node.settings.listen.peers);
             let forwarders = try_join_all(peers.map(Forwarder::start)).await;
             self.forwarders = forwarders.map_err(DeploymentError::new)?;
--- a/crates/cw_testkit/src/etcd/routes.rs
+++ b/crates/cw_testkit/src/etcd/routes.rs
@@ -126,10 +126,10 @@
         let created = json!({ "header": header_json(&self.store()), "created": true });
         let watch = Watch {
             changed: self.changed.subscribe(),
-            shared: self,
+            state: self,
             body,
             next,
-            first: Some(created),
+            created: Some(created),
         };
         unfold(watch, |mut watch| async {
             let value = watch.next().await;
@@ -141,17 +141,17 @@
 }
 
 struct Watch {
-    shared: Arc<EtcdState>,
+    state: Arc<EtcdState>,
     changed: tokio::sync::watch::Receiver<u64>,
     body: CreateBody,
     next: i64,
-    first: Option<Value>,
+    created: Option<Value>,
 }
 
 impl Watch {
     async fn next(&mut self) -> Value {
-        if let Some(first) = self.first.take() {
-            return first;
+        if let Some(created) = self.created.take() {
+            return created;
         }
         loop {
             self.changed.mark_unchanged();
@@ -160,18 +160,18 @@
             }
             match tokio::time::timeout(PROGRESS_INTERVAL, self.changed.changed()).await {
                 Ok(_) => {}
-                Err(_) if !self.body.progress_notify || self.shared.faults().silent_watches => {}
-                Err(_) => return json!({ "header": header_json(&self.shared.store()) }),
+                Err(_) if !self.body.progress_notify || self.state.faults().silent_watches => {}
+                Err(_) => return json!({ "header": header_json(&self.state.store()) }),
             }
         }
     }
 
     fn poll(&mut self) -> Option<Value> {
-        if self.shared.faults().silent_watches {
+        if self.state.faults().silent_watches {
             return None;
         }
-        let mut store = self.shared.store();
-        store.expire(self.shared.clock.now());
+        let mut store = self.state.store();
+        store.expire(self.state.clock.now());
         let body = &self.body;
         let changes = store.changes(&body.key, &body.range_end, self.next);
         let last = changes.last()?;
@@ -184,17 +184,18 @@
 // ---- Calls
 
 fn execute(store: &mut EtcdStore, now: Time, path: &str, body: &[u8]) -> Option<CallOutcome> {
-    let missing = CallOutcome::Failed(StatusCode::NOT_FOUND, GRPC_NOT_FOUND, "lease not found");
+    let lease_not_found =
+        CallOutcome::Failed(StatusCode::NOT_FOUND, GRPC_NOT_FOUND, "lease not found");
     Some(match path {
         "/v3/kv/range" => CallOutcome::Read(parse::<RangeBody>(body)?.read(store)),
         "/v3/kv/put" => match parse::<PutBody>(body)?.write(store) {
             Some(value) => CallOutcome::Written(value),
-            None => missing,
+            None => lease_not_found,
         },
         "/v3/kv/deleterange" => CallOutcome::Written(parse::<RangeBody>(body)?.delete(store)),
         "/v3/kv/txn" => match parse::<TxnBody>(body)?.run(store) {
             Some(value) => CallOutcome::Written(value),
-            None => missing,
+            None => lease_not_found,
         },
         "/v3/lease/grant" => CallOutcome::Written(grant(store, now, &parse(body)?)),
         "/v3/lease/keepalive" => {
@@ -203,7 +204,7 @@
         "/v3/lease/revoke" | "/v3/kv/lease/revoke" => {
             match store.revoke(parse::<LeaseBody>(body)?.id) {
                 true => CallOutcome::Written(json!({ "header": header_json(store) })),
-                false => missing,
+                false => lease_not_found,
             }
         }
         _ => CallOutcome::Failed(StatusCode::NOT_FOUND, GRPC_NOT_FOUND, "Not Found"),
--- a/crates/cw_testkit/src/main.rs
+++ b/crates/cw_testkit/src/main.rs
@@ -71,7 +71,7 @@
     ("zone-loss", "Fails an availability zone under load", false),
     (
         "capacity",
-        "Measures how control traffic and routing decisions grow with the deployment",
+        "Measures how the cost of control traffic and decisions grows with the deployment",
         false,
     ),
     (
--- a/crates/cw_testkit/src/model_engine/batch.rs
+++ b/crates/cw_testkit/src/model_engine/batch.rs
@@ -143,9 +143,9 @@
         // The last token is always computed, because its output is the next token.
         let cached = self.cache.lookup(&job.tokens).min(total.saturating_sub(1));
         counters.count_run(&job.id, total - cached, cached);
-        let resumed = (job.tokens.len() - job.prompt) as u64;
+        let resumed = (job.tokens.len() - job.prompt_len) as u64;
         let expected = job.source.ids(resumed);
-        if job.tokens[job.prompt..] != expected {
+        if job.tokens[job.prompt_len..] != expected {
             counters.output_mismatches += 1;
         }
         self.store_in_cache(&job);
--- a/crates/cw_testkit/src/model_engine/engine_process.rs
+++ b/crates/cw_testkit/src/model_engine/engine_process.rs
@@ -301,7 +301,7 @@
     let job = Job {
         id: body.request_id,
         tokens,
-        prompt: prompt.len(),
+        prompt_len: prompt.len(),
         source,
         remaining: body.max_tokens,
         generated: 0,
--- a/crates/cw_testkit/src/model_engine/job.rs
+++ b/crates/cw_testkit/src/model_engine/job.rs
@@ -29,7 +29,7 @@
     /// The tokens of the prompt and of the output so far.
     pub(super) tokens: Vec<TokenId>,
     /// The number of prompt tokens.
-    pub(super) prompt: usize,
+    pub(super) prompt_len: usize,
     /// The source of the output tokens.
     pub(super) source: TokenSource,
     /// The number of tokens that may still be generated.
@@ -70,7 +70,7 @@
         if self.events.capacity() < 3 {
             return Progress::Blocked;
         }
-        let index = (self.tokens.len() - self.prompt) as u64;
+        let index = (self.tokens.len() - self.prompt_len) as u64;
         let token = self.source.token(index);
         if self.stop.iter().any(|stop| token.text.contains(stop)) {
             return self.finish("stop");
