--- a/crates/cw_testkit/src/experiment/mod.rs
+++ b/crates/cw_testkit/src/experiment/mod.rs
@@ -1,21 +1,21 @@
-//! Measurements of a deployment on loopback.
+//! Experiments that measure a deployment on loopback.
 
 mod capacity;
-mod drive;
+mod concurrent_requests;
 mod engine_death;
+mod engine_work;
 mod fault;
-mod load;
+mod open_loop_load;
 mod overhead;
 mod overload;
 mod page;
 mod process;
-mod record;
+mod record_traces;
 mod recovery;
 mod report;
 mod routing;
 mod summary;
 mod tally;
-mod work;
 mod zone_loss;
 
 pub use capacity::capacity;
@@ -25,7 +25,7 @@
 pub use overhead::overhead;
 pub use overload::overload;
 pub use page::write_table;
-pub use record::record;
+pub use record_traces::record_traces;
 pub use report::ExperimentError;
 pub use report::Report;
 pub use routing::routing;
--- a/crates/cw_testkit/tests/key_value.rs
+++ b/crates/cw_testkit/tests/key_value.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use common::within_timeout;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue as _;
+use cw_store::KeyValueStore as _;
 use cw_store::ModRevision;
 use cw_store::StoreError;
 use cw_store::Swap;
@@ -55,7 +55,10 @@
 
     let lost = client.swap("k", None, value("a"), None).await;
 
-    assert!(matches!(lost, Err(StoreError::Lost { .. })), "{lost:?}");
+    assert!(
+        matches!(lost, Err(StoreError::OutcomeUnknown { .. })),
+        "{lost:?}"
+    );
     assert_eq!(service.get("k"), Some(value("a")));
 }
 
@@ -98,7 +101,10 @@
 
     assert!(matches!(put, Ok(Swap::Done(_))));
     assert_eq!(seen, ["k/1", "-k/1"]);
-    assert_eq!(client.keep_alive(lease).await, Err(StoreError::Lapsed));
+    assert_eq!(
+        client.keep_alive(lease).await,
+        Err(StoreError::LeaseExpired)
+    );
 }
 
 #[tokio::test]
--- a/crates/cyclamenwharf/src/agent/agent_state.rs
+++ b/crates/cyclamenwharf/src/agent/agent_state.rs
@@ -12,19 +12,19 @@
 use cw_policy::AttemptTable;
 use cw_policy::OrderGuard;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_types::AttemptId;
 use cw_types::Time;
 use cw_wire::Dispatch;
 use cw_wire::Work;
 use tokio::sync::Notify;
 
+use super::agent_metrics::AgentMetrics;
 use super::attempt_signals::AttemptSignals;
 use super::call_runner;
-use super::engine_client::EngineClient;
 use super::generate_runner;
 use super::leaving_state::LeavingState;
-use super::metrics::Metrics;
+use super::target_client::TargetClient;
 use crate::AgentSettings;
 use crate::Clock;
 use crate::Supervisor;
@@ -34,15 +34,15 @@
     pub(super) settings: AgentSettings,
     pub(super) clock: Clock,
     pub(super) supervisor: Supervisor,
-    pub(super) engine: EngineClient,
-    pub(super) metrics: Metrics,
+    pub(super) target_client: TargetClient,
+    pub(super) metrics: AgentMetrics,
     /// Requests an immediate reading of the target by the monitor.
     pub(super) check_target: Notify,
     /// Requests an immediate report by the reporter.
     pub(super) report_now: Notify,
     pub(super) orders: Mutex<OrderGuard>,
     /// The client of the key-value service.
-    pub(super) store: Box<dyn KeyValue>,
+    pub(super) store: Box<dyn KeyValueStore>,
     /// Whether this process has read the planner's lease.
     pub(super) lease_read: AtomicBool,
     leaving: Mutex<LeavingState>,
@@ -62,10 +62,10 @@
         clock: Clock,
         supervisor: Supervisor,
         table: AttemptTable,
-        metrics: Metrics,
+        metrics: AgentMetrics,
     ) -> Self {
         Self {
-            engine: EngineClient::new(settings.target.address),
+            target_client: TargetClient::new(settings.target.address),
             store: Box::new(EtcdGateway::new(settings.platform.key_value.clone())),
             lease_read: AtomicBool::new(false),
             settings,
--- a/crates/cyclamenwharf/src/entry/claims.rs
+++ b/crates/cyclamenwharf/src/entry/claims.rs
@@ -12,7 +12,7 @@
 use cw_policy::ClaimStep;
 use cw_policy::ClaimWrite;
 use cw_policy::StoredAnswer;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_store::LeaseId;
 use cw_store::ModRevision;
 use cw_store::StoreError;
@@ -23,27 +23,27 @@
 use log::error;
 use tokio::sync::Mutex;
 
-/// The least time that a claim stays in the store after it is written.
+/// The minimum time that a claim stays in the store after it is written.
 const CLAIM_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// How long new claims share one lease.
 const LEASE_SHARING: Duration = Duration::from_secs(600);
 
 /// The largest answer body that is stored with its claim, in bytes.
-const ANSWER_MAX_BYTES: usize = 16 << 10;
+const MAX_ANSWER_BYTES: usize = 16 << 10;
 
 /// A claim and the store revision that wrote it.
 pub(crate) type StoredClaim = (Box<Claim>, ClaimRevision);
 
 /// Reads and writes the claims of all requests of an entry.
 pub(crate) struct Claims {
-    store: Arc<dyn KeyValue>,
+    store: Arc<dyn KeyValueStore>,
     lease: Mutex<Option<(LeaseId, Time)>>,
 }
 
 impl Claims {
     /// Creates an accessor for claims in `store`.
-    pub(crate) fn new(store: Arc<dyn KeyValue>) -> Self {
+    pub(crate) fn new(store: Arc<dyn KeyValueStore>) -> Self {
         Self {
             store,
             lease: Mutex::default(),
@@ -116,11 +116,11 @@
             Err(StoreError::Unavailable { .. } | StoreError::Compacted) => {
                 Ok(ClaimEvent::Unavailable)
             }
-            Err(StoreError::Lapsed) => {
+            Err(StoreError::LeaseExpired) => {
                 *self.lease.lock().await = None;
                 Ok(ClaimEvent::Unavailable)
             }
-            Err(StoreError::Lost { .. } | StoreError::Protocol { .. }) => {
+            Err(StoreError::OutcomeUnknown { .. } | StoreError::Protocol { .. }) => {
                 Ok(ClaimEvent::Unconfirmed)
             }
         }
@@ -187,7 +187,7 @@
             return;
         };
         let length = |body: &Bytes| body.len();
-        if length(&answer.body) > ANSWER_MAX_BYTES {
+        if length(&answer.body) > MAX_ANSWER_BYTES {
             return;
         }
         let claim = Claim {
--- a/crates/cyclamenwharf/src/entry/handle.rs
+++ b/crates/cyclamenwharf/src/entry/entry_handle.rs
@@ -10,7 +10,7 @@
 use cw_policy::Liveness;
 use cw_policy::TargetView;
 use cw_store::EtcdGateway;
-use cw_store::KeyValue;
+use cw_store::KeyValueStore;
 use cw_types::TargetId;
 use prometheus::Registry;
 use tokio::runtime::Runtime;
@@ -31,7 +31,7 @@
 use crate::stream_server::ServerLimits;
 use crate::stream_server::StreamServer;
 
-use super::api::CallerApi;
+use super::caller_api::CallerApi;
 use super::claims::Claims;
 use super::entry_context::EntryContext;
 use super::entry_metrics::EntryMetrics;
@@ -43,7 +43,7 @@
 use super::shared_quotas::SharedQuotas;
 use super::suspicion_tracker::SuspicionTracker;
 
-/// The components that an entry's callers' server is built from.
+/// The components from which the server for callers is built.
 pub struct EntryParts {
     /// The entry's settings.
     pub settings: EntrySettings,
@@ -52,7 +52,7 @@
     /// The current view.
     pub view: SharedView,
     /// The key-value service.
-    pub store: Arc<dyn KeyValue>,
+    pub store: Arc<dyn KeyValueStore>,
     /// The registry for the entry's metrics.
     pub registry: Registry,
     /// The entry's health.
@@ -117,8 +117,8 @@
             ..parts
         };
         let mut handle = serve(traffic, supervisor, parts)?;
-        handle.peers = control.peers;
-        handle.admin = control.admin;
+        handle.peers = control.peer_address;
+        handle.admin = control.admin_address;
         Ok(handle)
     }
 
--- a/crates/cyclamenwharf/src/entry/shared_quotas.rs
+++ b/crates/cyclamenwharf/src/entry/shared_quotas.rs
@@ -84,7 +84,7 @@
     /// Takes in the demands of other entries, and publishes the demand of this one.
     pub(crate) fn exchange_demands(&self, now: Time, view: &View) {
         let hosts: BTreeSet<HostId> = view.entries.iter().map(|e| e.host.clone()).collect();
-        let received = self.demands.take();
+        let received = self.demands.take_received();
         let mut quotas = self.lock();
         quotas.set_entries(&hosts);
         let period = Relay::period(hosts.len());
@@ -92,7 +92,7 @@
         for (at, demand) in received {
             quotas.on_demand(now, now.since(at), demand);
         }
-        self.demands.state(quotas.demand(now));
+        self.demands.set_own(quotas.demand(now));
     }
 
     fn lock(&self) -> MutexGuard<'_, Quotas> {
--- a/crates/cyclamenwharf/src/supervisor.rs
+++ b/crates/cyclamenwharf/src/supervisor.rs
@@ -8,7 +8,7 @@
 use tokio_util::task::TaskTracker;
 
 /// The delay before a task is restarted.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 /// A node of the supervisor tree, which restarts its tasks when they end and stops them together.
 #[derive(Clone, Debug, Default)]
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Runs a task until the node stops, and restarts it when it panics or returns.
+    /// Runs a task until the node stops, and restarts it when it panics or returns. A panic is
+    /// logged with the path of the task in the tree, which ends in `name`.
     pub fn supervise<F, T>(&self, name: &str, mut start: F)
     where
         F: FnMut() -> T + Send + 'static,
@@ -54,7 +55,7 @@
                         if let Err(join_error) = result {
                             error!(task = name.as_str(); "a supervised task failed: {join_error}");
                         }
-                        tokio::time::sleep(RESTART_PAUSE).await;
+                        tokio::time::sleep(RESTART_DELAY).await;
                     }
                 }
             }
