--- a/crates/cw_testkit/src/caller/client.rs
+++ b/crates/cw_testkit/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! The HTTP client of callers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,31 +21,31 @@
 use serde_json::Value;
 use snafu::Snafu;
 
-use super::Answer;
-use super::Ask;
-use super::Reading;
+use super::Completion;
+use super::CompletionReader;
+use super::CompletionRequest;
 
-/// Where completions are asked for.
-const COMPLETIONS: &str = "/v1/completions";
+/// The path of the completion endpoint.
+const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// A call that did not end in an answer.
+/// A failed call.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// The connection could not be made or broke.
+    /// The connection could not be opened, or it broke.
     #[snafu(display("the connection broke: {message}"))]
     Broken {
-        /// What happened.
+        /// A description of the failure.
         message: String,
     },
-    /// The call was refused.
+    /// The entry refused the call.
     #[snafu(display("refused with {status}: {body}"))]
     Refused {
-        /// The HTTP status.
+        /// The HTTP status code.
         status: StatusCode,
-        /// The body.
+        /// The JSON body of the response, or null.
         body: Value,
-        /// `Retry-After`, where it is given.
-        retry: Option<Duration>,
+        /// The delay in the `Retry-After` header, if it is present.
+        retry_after: Option<Duration>,
     },
 }
 
@@ -55,7 +55,7 @@
         CallError::Broken { message }
     }
 
-    /// Returns what the refusal says of whether the request was run.
+    /// Returns whether the request was run, as stated by the refusal.
     pub fn ran(&self) -> Option<&str> {
         match self {
             CallError::Refused { body, .. } => body["error"]["ran"].as_str(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the code of the refusal.
+    /// Returns the error code of the refusal.
     pub fn code(&self) -> Option<&str> {
         match self {
             CallError::Refused { body, .. } => body["error"]["code"].as_str(),
@@ -72,47 +72,47 @@
     }
 }
 
-/// A whole answer of any kind.
+/// The complete response to any call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
-    /// The HTTP status.
+pub struct CallResponse {
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The response body.
     pub body: Bytes,
 }
 
-impl Reply {
-    /// Returns the body as JSON, or null.
+impl CallResponse {
+    /// Returns the body as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// A caller of one entry.
+/// A client of one entry.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
-    /// The entry.
+    /// The address of the entry.
     pub entry: SocketAddr,
-    /// The API key.
-    pub key: String,
+    /// The API key that is sent with each call.
+    pub api_key: String,
 }
 
 impl Caller {
-    /// Returns a caller with connections of its own.
-    pub fn new(entry: SocketAddr, key: &str) -> Self {
+    /// Returns a caller with its own connection pool.
+    pub fn new(entry: SocketAddr, api_key: &str) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Self {
             client: Client::builder(TokioExecutor::new()).build(connector),
             entry,
-            key: key.to_owned(),
+            api_key: api_key.to_owned(),
         }
     }
 
-    /// Returns the same caller at another entry.
+    /// Returns a copy of this caller that calls another entry.
     #[must_use]
     pub fn at(&self, entry: SocketAddr) -> Self {
         let mut caller = self.clone();
@@ -120,67 +120,73 @@
         caller
     }
 
-    /// Asks for a generation and reads the whole answer.
+    /// Requests a generation and reads it to its end.
     ///
     /// # Errors
     ///
-    /// See [`CallError`].
-    pub async fn ask(&self, ask: &Ask) -> Result<Answer, CallError> {
-        if ask.stream {
-            return self.open(ask).await?.finish().await;
+    /// Returns [`CallError::Broken`] if the connection fails or the response is malformed, and
+    /// [`CallError::Refused`] if its status is not 200.
+    pub async fn complete(&self, request: &CompletionRequest) -> Result<Completion, CallError> {
+        if request.stream {
+            return self.open_stream(request).await?.finish().await;
         }
-        let response = self.post(&ask.headers, &ask.body()).await?;
+        let response = self.post(&request.headers, &request.body()).await?;
         let body = response
             .into_body()
             .collect()
             .await
             .map_err(CallError::broken)?;
         let value: Value = serde_json::from_slice(&body.to_bytes()).map_err(CallError::broken)?;
-        let mut answer = Answer {
+        let mut completion = Completion {
             closed: true,
             error: value.get("error").cloned(),
-            ..Answer::default()
+            ..Completion::default()
         };
-        answer.take(&value);
-        Ok(answer)
+        completion.append(&value);
+        Ok(completion)
     }
 
-    /// Asks for a generation and returns its stream.
+    /// Requests a generation and returns a reader of its stream.
     ///
     /// # Errors
     ///
-    /// See [`CallError`].
-    pub async fn open(&self, ask: &Ask) -> Result<Reading, CallError> {
-        let response = self.post(&ask.headers, &ask.body()).await?;
-        Ok(Reading::new(response.into_body()))
+    /// Returns [`CallError::Broken`] if the connection fails or the response is malformed, and
+    /// [`CallError::Refused`] if its status is not 200.
+    pub async fn open_stream(
+        &self,
+        request: &CompletionRequest,
+    ) -> Result<CompletionReader, CallError> {
+        let response = self.post(&request.headers, &request.body()).await?;
+        Ok(CompletionReader::new(response.into_body()))
     }
 
-    /// Asks for a generation with a body of one's own and returns its stream.
+    /// Requests a generation with the given body and returns a reader of its stream.
     ///
     /// # Errors
     ///
-    /// See [`CallError`].
-    pub async fn open_body(&self, body: &Value) -> Result<Reading, CallError> {
+    /// Returns [`CallError::Broken`] if the connection fails or the response is malformed, and
+    /// [`CallError::Refused`] if its status is not 200.
+    pub async fn open_stream_with_body(&self, body: &Value) -> Result<CompletionReader, CallError> {
         let response = self.post(&BTreeMap::new(), body).await?;
-        Ok(Reading::new(response.into_body()))
+        Ok(CompletionReader::new(response.into_body()))
     }
 
-    /// Makes any call and reads the whole answer, whatever its status.
+    /// Makes any call and reads the complete response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Fails when the connection cannot be made or breaks.
+    /// Returns [`CallError::Broken`] if the connection cannot be opened or breaks.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         headers: &BTreeMap<String, String>,
         body: impl Into<Bytes>,
-    ) -> Result<Reply, CallError> {
+    ) -> Result<CallResponse, CallError> {
         let response = self.send(method, path, headers, body.into()).await?;
         let (head, body) = response.into_parts();
         let body = body.collect().await.map_err(CallError::broken)?;
-        Ok(Reply {
+        Ok(CallResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
@@ -193,7 +199,9 @@
         body: &Value,
     ) -> Result<Response<Incoming>, CallError> {
         let body = Bytes::from(body.to_string());
-        let response = self.send(Method::POST, COMPLETIONS, headers, body).await?;
+        let response = self
+            .send(Method::POST, COMPLETIONS_PATH, headers, body)
+            .await?;
         match response.status() {
             StatusCode::OK => Ok(response),
             status => refusal(status, response).await,
@@ -210,7 +218,7 @@
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.entry))
-            .header(AUTHORIZATION, format!("Bearer {}", self.key))
+            .header(AUTHORIZATION, format!("Bearer {}", self.api_key))
             .header(CONTENT_TYPE, "application/json");
         for (name, value) in headers {
             request = request.header(name, value);
@@ -237,6 +245,6 @@
     Err(CallError::Refused {
         status,
         body: serde_json::from_slice(&body.to_bytes()).unwrap_or_default(),
-        retry: seconds.map(Duration::from_secs),
+        retry_after: seconds.map(Duration::from_secs),
     })
 }
--- a/crates/cw_testkit/src/experiment/capacity/propagation.rs
+++ b/crates/cw_testkit/src/experiment/capacity/propagation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::StoreFaults;
+use crate::EtcdFaults;
 use bytes::Bytes;
 use cyclamenwharf::admin::EditMessage;
 use cyclamenwharf::admin::ProposeMessage;
@@ -47,27 +47,27 @@
 pub(super) async fn measure() -> Vec<PropagationTimes> {
     let cluster = ControlCluster::start(ENTRY_COUNT).await;
     tokio::time::sleep(DISCOVERY_PERIOD).await;
-    let no_faults = StoreFaults::default;
+    let no_faults = EtcdFaults::default;
     let cases = [
         ("healthy", no_faults()),
         (
             "answers 200 ms slower",
-            StoreFaults {
-                slow: ADDED_DELAY,
+            EtcdFaults {
+                delay: ADDED_DELAY,
                 ..no_faults()
             },
         ),
         (
             "the acceptance's answer lost",
-            StoreFaults {
-                lost: 2,
+            EtcdFaults {
+                lost_responses: 2,
                 ..no_faults()
             },
         ),
         (
             "all watches silent",
-            StoreFaults {
-                silent: true,
+            EtcdFaults {
+                silent_watches: true,
                 ..no_faults()
             },
         ),
@@ -82,13 +82,13 @@
 async fn measure_case(
     cluster: &ControlCluster,
     case: &'static str,
-    faults: &StoreFaults,
+    faults: &EtcdFaults,
 ) -> PropagationTimes {
     let mut times = Vec::new();
     for n in 0..CHANGES {
         let before = cluster.controls[0].view.load().config.revision;
         let id = format!("change-{}-{n}", before.0);
-        cluster.key_value.set_faults(StoreFaults::default());
+        cluster.key_value.set_faults(EtcdFaults::default());
         let proposal = ProposeMessage {
             id: id.clone(),
             reason: String::new(),
@@ -107,7 +107,7 @@
         }
         times.push(start.elapsed().as_millis());
     }
-    cluster.key_value.set_faults(StoreFaults::default());
+    cluster.key_value.set_faults(EtcdFaults::default());
     times.sort_unstable();
     PropagationTimes {
         case,
--- a/crates/cw_testkit/src/experiment/concurrent_requests.rs
+++ b/crates/cw_testkit/src/experiment/concurrent_requests.rs
@@ -5,10 +5,10 @@
 
 use tokio::task::JoinSet;
 
-use crate::Answer;
-use crate::Ask;
 use crate::CallError;
 use crate::Caller;
+use crate::Completion;
+use crate::CompletionRequest;
 
 use super::Tally;
 
@@ -18,13 +18,13 @@
     /// The API key that it was sent with.
     pub(super) key: String,
     /// The request.
-    pub(super) ask: Ask,
+    pub(super) ask: CompletionRequest,
     /// When it was sent.
     pub(super) sent_at: Instant,
     /// When its outcome was known.
     pub(super) ended_at: Instant,
     /// The answer or the error.
-    pub(super) outcome: Result<Answer, CallError>,
+    pub(super) outcome: Result<Completion, CallError>,
 }
 
 /// Requests that run concurrently.
@@ -35,12 +35,12 @@
 
 impl ConcurrentRequests {
     /// Starts a task that sends a request and reads its answer.
-    pub(super) fn send(&mut self, caller: Caller, ask: Ask) {
+    pub(super) fn send(&mut self, caller: Caller, ask: CompletionRequest) {
         self.tasks.spawn(async move {
             let sent_at = Instant::now();
-            let outcome = caller.ask(&ask).await;
+            let outcome = caller.complete(&ask).await;
             CompletedRequest {
-                key: caller.key,
+                key: caller.api_key,
                 ask,
                 sent_at,
                 ended_at: Instant::now(),
@@ -59,7 +59,7 @@
     /// Returns the time to the first token, if one came.
     pub(super) fn first_token(&self) -> Option<Duration> {
         let answer = self.outcome.as_ref().ok()?;
-        Some(answer.first_at()? - self.sent_at)
+        Some(answer.first_token_at()? - self.sent_at)
     }
 }
 
--- a/crates/cw_testkit/src/experiment/engine_work.rs
+++ b/crates/cw_testkit/src/experiment/engine_work.rs
@@ -4,7 +4,7 @@
 
 use cw_macro::data;
 
-use crate::Engine;
+use crate::FakeEngine;
 
 /// How often a busy engine is polled until it is idle.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -28,16 +28,18 @@
 
 impl EngineWork {
     /// Returns the sum of the engines' counters since they started.
-    pub(super) fn of(engines: &[Engine]) -> Self {
+    pub(super) fn of(engines: &[FakeEngine]) -> Self {
         let mut sum = Self::default();
         for engine in engines {
             let counters = engine.counters();
-            sum.output += counters.output;
-            sum.prompt += counters.prompt;
-            sum.cached += counters.cached;
-            sum.wrong += counters.wrong;
+            sum.output += counters.output_tokens;
+            sum.prompt += counters.prompt_tokens;
+            sum.cached += counters.cached_tokens;
+            sum.wrong += counters.output_mismatches;
             let retries = counters.requests.iter().filter(|(id, _)| is_retry(id));
-            sum.again += retries.map(|(_, request)| request.prompt).sum::<u64>();
+            sum.again += retries
+                .map(|(_, request)| request.prompt_tokens)
+                .sum::<u64>();
         }
         sum
     }
@@ -62,10 +64,10 @@
 }
 
 /// Waits until every engine is idle, so that its counters are final.
-pub(super) async fn wait_idle(engines: &[Engine]) {
+pub(super) async fn wait_idle(engines: &[FakeEngine]) {
     let idle = async {
         for engine in engines {
-            while engine.busy().await > 0 {
+            while engine.request_count().await > 0 {
                 tokio::time::sleep(IDLE_POLL_INTERVAL).await;
             }
         }
--- a/crates/cw_testkit/src/experiment/fault.rs
+++ b/crates/cw_testkit/src/experiment/fault.rs
@@ -4,7 +4,7 @@
 
 use cw_macro::data;
 
-use crate::Rig;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 
@@ -40,7 +40,7 @@
 
 impl Fault {
     /// Returns the engines that a round affects: a sixth of them, or the busiest one.
-    pub(super) async fn affected_engines(self, rig: &Rig, round: usize) -> Vec<usize> {
+    pub(super) async fn affected_engines(self, rig: &TestDeployment, round: usize) -> Vec<usize> {
         let engines = rig.engines.len();
         if self == Fault::SixthLost {
             return (0..engines)
@@ -49,7 +49,7 @@
         }
         let mut busiest = (0, 0);
         for (number, engine) in rig.engines.iter().enumerate() {
-            busiest = busiest.max((engine.busy().await, number));
+            busiest = busiest.max((engine.request_count().await, number));
         }
         vec![busiest.1]
     }
@@ -63,13 +63,13 @@
     }
 
     /// Injects the fault.
-    pub(super) async fn inject(self, rig: &Rig, affected: &[usize]) {
+    pub(super) async fn inject(self, rig: &TestDeployment, affected: &[usize]) {
         for &number in affected {
             match self {
                 Fault::EngineKilled => rig.engines[number].kill().await,
                 Fault::HostLost | Fault::SixthLost => rig.kill_host(number).await,
                 Fault::ShortPause | Fault::LongPause => rig.engines[number].pause(),
-                Fault::ConnectionSilent => rig.forwarders[number].silence(),
+                Fault::ConnectionSilent => rig.forwarders[number].stall_connections(),
             }
         }
     }
@@ -84,7 +84,11 @@
     }
 
     /// Ends the fault by restarting or resuming what it affected.
-    pub(super) async fn clear(self, rig: &Rig, affected: &[usize]) -> Result<(), ExperimentError> {
+    pub(super) async fn clear(
+        self,
+        rig: &TestDeployment,
+        affected: &[usize],
+    ) -> Result<(), ExperimentError> {
         for &number in affected {
             let engine = &rig.engines[number];
             match self {
@@ -94,7 +98,7 @@
                     let agent = &rig.agents[number];
                     agent.restart().await.map_err(ExperimentError::new)?;
                 }
-                Fault::ShortPause | Fault::LongPause => engine.wake(),
+                Fault::ShortPause | Fault::LongPause => engine.resume(),
                 Fault::ConnectionSilent => {}
             }
         }
--- a/crates/cw_testkit/src/experiment/open_loop_load.rs
+++ b/crates/cw_testkit/src/experiment/open_loop_load.rs
@@ -10,12 +10,12 @@
 use rand::rngs::StdRng;
 use tokio::time::Instant;
 
-use crate::Answer;
-use crate::Ask;
 use crate::Caller;
-use crate::Engine;
+use crate::Completion;
+use crate::CompletionRequest;
+use crate::FakeEngine;
 use crate::ROUTE_LATENCY;
-use crate::Rig;
+use crate::TestDeployment;
 use crate::api_key;
 
 use super::Summary;
@@ -74,12 +74,15 @@
 
 impl OpenLoopLoad {
     /// Sends the requests and returns the results.
-    pub(super) async fn run(&self, rig: &Rig) -> LoadRow {
+    pub(super) async fn run(&self, rig: &TestDeployment) -> LoadRow {
         self.run_with_requests(rig).await.0
     }
 
     /// Sends the requests and returns the results and each request's outcome.
-    pub(super) async fn run_with_requests(&self, rig: &Rig) -> (LoadRow, Vec<CompletedRequest>) {
+    pub(super) async fn run_with_requests(
+        &self,
+        rig: &TestDeployment,
+    ) -> (LoadRow, Vec<CompletedRequest>) {
         let mut random = StdRng::seed_from_u64(self.seed);
         let before = EngineWork::of(&rig.engines);
         let ids_before = request_ids(&rig.engines);
@@ -101,15 +104,19 @@
     }
 
     /// Draws a request at random; few documents are requested often and many seldom.
-    fn random_request(&self, rig: &Rig, random: &mut StdRng) -> (Caller, Ask) {
+    fn random_request(
+        &self,
+        rig: &TestDeployment,
+        random: &mut StdRng,
+    ) -> (Caller, CompletionRequest) {
         let share: f64 = random.random();
         let document = (self.documents as f64 * share * share * share) as usize;
         let mut caller = rig.caller(random.random_range(0..rig.entries.len()));
-        caller.key = api_key(document % self.workspaces);
+        caller.api_key = api_key(document % self.workspaces);
         let document_text = format!("row-of-{document} ").repeat(self.document_words);
         let question: u32 = random.random();
         let prompt = format!("{document_text} question {question}");
-        let ask = Ask::new(ROUTE_LATENCY, &prompt, self.output_tokens);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, &prompt, self.output_tokens);
         (caller, ask.with_seed(u64::from(question)))
     }
 
@@ -145,7 +152,7 @@
 
 /// Returns whether the answer was complete and its first token within the limit.
 fn is_good(request: &CompletedRequest) -> bool {
-    let whole = request.outcome.as_ref().is_ok_and(Answer::is_whole);
+    let whole = request.outcome.as_ref().is_ok_and(Completion::is_complete);
     whole
         && request
             .first_token()
@@ -193,13 +200,13 @@
 }
 
 /// Returns the ids of all requests that each engine has received.
-fn request_ids(engines: &[Engine]) -> Vec<BTreeSet<String>> {
-    let ids = |engine: &Engine| engine.counters().requests.into_keys().collect();
+fn request_ids(engines: &[FakeEngine]) -> Vec<BTreeSet<String>> {
+    let ids = |engine: &FakeEngine| engine.counters().requests.into_keys().collect();
     engines.iter().map(ids).collect()
 }
 
 /// Returns what reached the engines since `ids_before` was taken.
-fn engine_requests(engines: &[Engine], ids_before: &[BTreeSet<String>]) -> EngineRequests {
+fn engine_requests(engines: &[FakeEngine], ids_before: &[BTreeSet<String>]) -> EngineRequests {
     let mut generations = BTreeSet::new();
     let mut counts = Vec::new();
     for (now, before) in request_ids(engines).iter().zip(ids_before) {
--- a/crates/cw_testkit/src/experiment/overload.rs
+++ b/crates/cw_testkit/src/experiment/overload.rs
@@ -8,9 +8,9 @@
 use cw_types::ByteSize;
 use serde_json::json;
 
-use crate::Answer;
-use crate::Rig;
-use crate::RigSpec;
+use crate::Completion;
+use crate::DeploymentSpec;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Report;
@@ -86,7 +86,7 @@
 
 /// Measures how many requests per second the saturated engines answer.
 async fn measure_capacity() -> Result<f64, ExperimentError> {
-    let rig = Rig::start(spec(Policy::Affinity)).await;
+    let rig = TestDeployment::start(spec(Policy::Affinity)).await;
     let rig = rig.map_err(ExperimentError::new)?;
     let start = Instant::now();
     let (_, requests) = open_loop_load(SATURATING_RATE, LOAD_PERIOD)
@@ -95,7 +95,7 @@
     rig.stop().await;
     let count_period = (start + WARM_UP)..(start + LOAD_PERIOD);
     let is_whole =
-        |request: &&CompletedRequest| request.outcome.as_ref().is_ok_and(Answer::is_whole);
+        |request: &&CompletedRequest| request.outcome.as_ref().is_ok_and(Completion::is_complete);
     let whole = requests.iter().filter(is_whole);
     let count = whole
         .filter(|request| count_period.contains(&request.ended_at))
@@ -113,18 +113,20 @@
     if admission == Admission::None {
         spec = without_admission(spec);
     }
-    let rig = Rig::start(spec).await.map_err(ExperimentError::new)?;
+    let rig = TestDeployment::start(spec)
+        .await
+        .map_err(ExperimentError::new)?;
     let row = load.run(&rig).await;
     rig.stop().await;
     Ok(row)
 }
 
-fn without_admission(mut spec: RigSpec) -> RigSpec {
-    spec.agent.running = UNLIMITED;
-    spec.agent.waiting = UNLIMITED;
-    spec.agent.step = Duration::from_secs(3600);
+fn without_admission(mut spec: DeploymentSpec) -> DeploymentSpec {
+    spec.engine.running = UNLIMITED;
+    spec.engine.waiting = UNLIMITED;
+    spec.engine.step = Duration::from_secs(3600);
     spec.limits.queue = UNLIMITED;
     spec.limits.queue_bytes = ByteSize::mib(4096);
-    spec.timings.queue = UNLIMITED as usize;
+    spec.timings.max_queue = UNLIMITED as usize;
     spec
 }
--- a/crates/cw_testkit/src/experiment/record_traces.rs
+++ b/crates/cw_testkit/src/experiment/record_traces.rs
@@ -11,14 +11,14 @@
 use cyclamenwharf::TraceSettings;
 use http::Method;
 
-use crate::Ask;
+use crate::CompletionReader;
+use crate::CompletionRequest;
+use crate::DeploymentSpec;
 use crate::EngineTimings;
 use crate::ROUTE_LATENCY;
 use crate::ROUTE_THRIFT;
-use crate::Reading;
-use crate::Rig;
-use crate::RigSpec;
 use crate::SERVICE_ONCE;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::fault::Fault;
@@ -62,7 +62,7 @@
     write_trace(directory, "call-once-lost", &call_once_lost().await?)
 }
 
-async fn start_rig() -> Result<Rig, ExperimentError> {
+async fn start_rig() -> Result<TestDeployment, ExperimentError> {
     let timings = EngineTimings {
         step: Duration::from_millis(5),
         ..EngineTimings::default()
@@ -71,18 +71,23 @@
         kept: ByteSize::mib(8),
         bodies: false,
     };
-    let spec = RigSpec::default()
+    let spec = DeploymentSpec::default()
         .with_entries(1)
         .with_timings(timings)
         .with_trace(trace)
         .with_forwarders();
-    Rig::start(spec).await.map_err(ExperimentError::new)
+    TestDeployment::start(spec)
+        .await
+        .map_err(ExperimentError::new)
 }
 
 /// Opens a stream and reads its first tokens.
-async fn open_stream(rig: &Rig, route: &str) -> Result<Reading, ExperimentError> {
-    let ask = Ask::new(route, "a ledger", TOKENS);
-    let mut reading = rig.caller(0).open(&ask).await?;
+async fn open_stream(
+    rig: &TestDeployment,
+    route: &str,
+) -> Result<CompletionReader, ExperimentError> {
+    let ask = CompletionRequest::new(route, "a ledger", TOKENS);
+    let mut reading = rig.caller(0).open_stream(&ask).await?;
     reading.read_tokens(TOKENS_BEFORE_FAULT).await?;
     Ok(reading)
 }
@@ -90,8 +95,8 @@
 async fn interrupted_stream(route: &str, fault: Fault) -> Result<String, ExperimentError> {
     let rig = start_rig().await?;
     let reading = open_stream(&rig, route).await?;
-    let target = reading.answer.target_at(std::time::Instant::now());
-    let affected = rig.engine_number(target.unwrap_or_default());
+    let target = reading.completion.target_at(std::time::Instant::now());
+    let affected = rig.engine_index(target.unwrap_or_default());
     fault.inject(&rig, &[affected]).await;
     reading.finish().await.map_err(ExperimentError::new)?;
     fault.clear(&rig, &[affected]).await?;
@@ -129,7 +134,7 @@
 }
 
 /// Waits for the trace of the only request, then stops the deployment.
-async fn wait_for_trace(rig: &Rig) -> Result<String, ExperimentError> {
+async fn wait_for_trace(rig: &TestDeployment) -> Result<String, ExperimentError> {
     let attempts = TRACE_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
     for _ in 0..attempts {
         if let Some(trace) = rig.entries[0].traces().await.pop() {
--- a/crates/cw_testkit/src/experiment/zone_loss.rs
+++ b/crates/cw_testkit/src/experiment/zone_loss.rs
@@ -7,7 +7,7 @@
 use cw_policy::routing::Policy;
 use serde_json::json;
 
-use crate::Rig;
+use crate::TestDeployment;
 
 use super::ExperimentError;
 use super::Report;
@@ -49,7 +49,7 @@
 }
 
 async fn run(policy: Policy) -> Result<ZoneLossRow, ExperimentError> {
-    let rig = Rig::start(spec(policy))
+    let rig = TestDeployment::start(spec(policy))
         .await
         .map_err(ExperimentError::new)?;
     let offered = OpenLoopLoad {
@@ -73,9 +73,9 @@
     let gaps = requests.iter().filter_map(|request| {
         let answer = request.outcome.as_ref().ok()?;
         let target = answer.target_at(lost_at)?;
-        let number = rig.engine_number(target);
+        let number = rig.engine_index(target);
         lost.contains(&number)
-            .then(|| answer.resumed_after(lost_at))?
+            .then(|| answer.resume_latency(lost_at))?
     });
     Ok(ZoneLossRow {
         policy,
--- a/crates/cw_testkit/src/forwarder.rs
+++ b/crates/cw_testkit/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! A path between two processes that can lose track of its connections.
+//! A TCP forwarder whose open connections can stall without being closed.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -14,78 +14,79 @@
 use crate::server::GatedIo;
 
 #[derive(Debug, Default)]
-struct Path {
+struct ForwarderState {
     gates: Mutex<Vec<Gate>>,
     stop: CancellationToken,
 }
 
-/// Forwards connections to an address; those that are open can be made silent for good.
+/// A TCP forwarder to one address. Its open connections can be stalled permanently, as by a
+/// network device that loses its connection state.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Where it listens.
+    /// The address that the forwarder listens on.
     pub address: SocketAddr,
-    path: Arc<Path>,
+    state: Arc<ForwarderState>,
 }
 
 impl Forwarder {
-    /// Starts to forward to `target`.
+    /// Starts forwarding to `target` from a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Returns an error if no port is free.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let path = Arc::<Path>::default();
-        tokio::spawn(accept(listener, target, Arc::clone(&path)));
-        Ok(Self { address, path })
+        let state = Arc::<ForwarderState>::default();
+        tokio::spawn(accept(listener, target, Arc::clone(&state)));
+        Ok(Self { address, state })
     }
 
-    /// Silences every open connection for good; new ones work.
-    pub fn silence(&self) {
-        let mut gates = self.path.gates.lock().expect("no panic under this lock");
+    /// Stalls every open connection permanently. Neither end is notified, and new connections work.
+    pub fn stall_connections(&self) {
+        let mut gates = self.state.gates.lock().expect("no panic under this lock");
         gates.drain(..).for_each(|gate| gate.close());
     }
 }
 
 impl Drop for Forwarder {
     fn drop(&mut self) {
-        self.path.stop.cancel();
+        self.state.stop.cancel();
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, path: Arc<Path>) {
+async fn accept(listener: TcpListener, target: SocketAddr, state: Arc<ForwarderState>) {
     loop {
         let accepted = tokio::select! {
-            () = path.stop.cancelled() => return,
+            () = state.stop.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
-        let Ok((near, _)) = accepted else {
+        let Ok((client_stream, _)) = accepted else {
             continue;
         };
         let gate = Gate::default();
-        let mut gates = path.gates.lock().expect("no panic under this lock");
+        let mut gates = state.gates.lock().expect("no panic under this lock");
         gates.push(gate.clone());
         drop(gates);
-        let stop = path.stop.clone();
+        let stop = state.stop.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
-                () = forward(near, target, gate) => {}
+                () = forward(client_stream, target, gate) => {}
             }
         });
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddr, gate: Gate) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward(client_stream: TcpStream, target: SocketAddr, gate: Gate) {
+    let Ok(target_stream) = TcpStream::connect(target).await else {
         return;
     };
-    // Small frames must leave at once, and a socket that cannot do so still works.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let mut near = GatedIo::new(near, gate.clone());
-    let mut far = GatedIo::new(far, gate);
-    // The ends notice by themselves that a connection has broken.
-    let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+    // Small frames are sent without delay. If the option cannot be set, the socket still works.
+    let _ = client_stream.set_nodelay(true);
+    let _ = target_stream.set_nodelay(true);
+    let mut client_stream = GatedIo::new(client_stream, gate.clone());
+    let mut target_stream = GatedIo::new(target_stream, gate);
+    // Both ends detect a broken connection themselves, so the result is not needed.
+    let _ = tokio::io::copy_bidirectional(&mut client_stream, &mut target_stream).await;
 }
--- a/crates/cw_testkit/src/main.rs
+++ b/crates/cw_testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The developers' tool: `cyclamenwharf-dev up|settings|experiment`.
+//! The development command-line tool: `cyclamenwharf-dev up|settings|record|experiment`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,9 +7,9 @@
 use clap::ArgMatches;
 use clap::Command;
 use clap::value_parser;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::ROUTE_LATENCY;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cw_testkit::api_key;
 use cw_testkit::experiment;
 use cw_testkit::experiment::Report;
@@ -22,10 +22,12 @@
         .value_parser(value_parser!(PathBuf))
         .help("The directory to write to");
     Command::new("cyclamenwharf-dev")
-        .about("Stand-ins, a deployment for a look, and experiments")
+        .about("Runs a demo deployment with fake engines, and experiments")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
-        .subcommand(Command::new("up").about("Starts a small deployment on loopback, for a look"))
+        .subcommand(
+            Command::new("up").about("Starts a small demo deployment on the loopback address"),
+        )
         .subcommand(
             Command::new("settings")
                 .about("Writes the settings files of a small deployment")
@@ -39,7 +41,7 @@
         .subcommand(experiment_command())
 }
 
-/// The experiments, what they do, and whether they cause faults in rounds.
+/// Name and description of each experiment, and whether it repeats its faults over several rounds.
 const EXPERIMENTS: [(&str, &str, bool); 8] = [
     (
         "engine-death",
@@ -48,12 +50,12 @@
     ),
     (
         "faults",
-        "Causes each kind of fault in the middle of streams",
+        "Injects each kind of fault in the middle of streams",
         true,
     ),
     (
         "overhead",
-        "Compares an entry and its agents with engines that are called directly",
+        "Compares calls through an entry and its agents with direct calls to engines",
         false,
     ),
     (
@@ -63,18 +65,18 @@
     ),
     (
         "overload",
-        "Offers up to twice of what the engines can serve",
+        "Offers up to twice the load that the engines can serve",
         false,
     ),
-    ("zone-loss", "Loses an availability zone under load", false),
+    ("zone-loss", "Fails an availability zone under load", false),
     (
         "capacity",
-        "Measures the slopes of control and decisions",
+        "Measures how the cost of control traffic and decisions grows with the deployment",
         false,
     ),
     (
         "in-force",
-        "Measures how long an accepted change takes to be in force",
+        "Measures how long an accepted configuration change takes to be in force",
         false,
     ),
 ];
@@ -85,14 +87,14 @@
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The file for the report");
+        .help("The file to write the report to");
     let rounds = Arg::new("rounds")
         .long("rounds")
         .value_name("N")
         .default_value("12")
         .value_parser(value_parser!(usize))
-        .help("How often each fault is caused");
-    let one = |(name, about, in_rounds): (&'static str, &'static str, bool)| {
+        .help("The number of times that each fault is injected");
+    let subcommand = |(name, about, in_rounds): (&'static str, &'static str, bool)| {
         let command = Command::new(name).about(about).arg(json.clone());
         match in_rounds {
             true => command.arg(rounds.clone()),
@@ -100,9 +102,9 @@
         }
     };
     Command::new("experiment")
-        .about("Measures a deployment on loopback")
+        .about("Measures a deployment on the loopback address")
         .subcommand_required(true)
-        .subcommands(EXPERIMENTS.map(one))
+        .subcommands(EXPERIMENTS.map(subcommand))
         .subcommand(all_command())
         .subcommand(tables_command())
 }
@@ -113,11 +115,11 @@
         .value_name("DIR")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The directory for the reports");
+        .help("The directory to write the reports to");
     Command::new("all")
-        .about("Runs all experiments and writes their tables")
+        .about("Runs all experiments and writes their reports and tables")
         .arg(directory)
-        .arg(page())
+        .arg(page_arg())
 }
 
 fn tables_command() -> Command {
@@ -126,32 +128,32 @@
         .num_args(1..)
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("The reports");
+        .help("The report files to read");
     Command::new("tables")
-        .about("Writes the tables of reports that exist")
+        .about("Writes the tables of existing reports")
         .arg(reports)
-        .arg(page())
+        .arg(page_arg())
 }
 
-fn page() -> Arg {
+fn page_arg() -> Arg {
     Arg::new("page")
         .long("page")
         .value_name("FILE")
         .default_value("docs/MEASUREMENTS.md")
         .value_parser(value_parser!(PathBuf))
-        .help("The page for the tables")
+        .help("The Markdown page to write the tables to")
 }
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    let runtime = tokio::runtime::Runtime::new().expect("the system has threads");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts its threads");
     let result = runtime.block_on(async {
         match matches.subcommand() {
             Some(("up", _)) => up().await,
             Some(("settings", args)) => settings(args).await,
             Some(("record", args)) => record(args).await,
-            Some(("experiment", args)) => measure(args).await,
-            _ => Err("unknown command".to_owned()),
+            Some(("experiment", args)) => run_experiment(args).await,
+            _ => Err("unknown subcommand".to_owned()),
         }
     });
     match result {
@@ -169,32 +171,37 @@
     recorded.map_err(|error| error.to_string())
 }
 
-fn small() -> RigSpec {
-    RigSpec::default().with_services(1)
+fn small_deployment() -> DeploymentSpec {
+    DeploymentSpec::default().with_services(1)
 }
 
 async fn up() -> Result<(), String> {
-    let rig = Rig::start(small()).await.map_err(|e| e.to_string())?;
-    println!("This deployment is for a look, not for use: everything runs in one process,");
-    println!("the engines are stand-ins, and nothing is kept.");
+    let deployment = TestDeployment::start(small_deployment())
+        .await
+        .map_err(|e| e.to_string())?;
+    println!("This is a demo deployment, not for production: everything runs in one process,");
+    println!("the engines are fakes, and no data is persisted.");
     println!();
-    for entry in &rig.entries {
-        println!("callers:  http://{}", entry.callers());
+    for entry in &deployment.entries {
+        println!("callers:  http://{}", entry.caller_address());
     }
-    println!("admin:    http://{}", rig.entries[0].settings.listen.admin);
+    println!(
+        "admin:    http://{}",
+        deployment.entries[0].settings.listen.admin
+    );
     println!("API key:  {}", api_key(0));
     println!();
-    println!("{}", curl(&rig));
+    println!("{}", curl_command(&deployment));
     println!();
-    println!("Ctrl-C stops it.");
+    println!("Press Ctrl-C to stop.");
     tokio::signal::ctrl_c().await.map_err(|e| e.to_string())?;
-    rig.stop().await;
+    deployment.stop().await;
     println!("stopped");
     Ok(())
 }
 
-fn curl(rig: &Rig) -> String {
-    let entry = rig.entries[0].callers();
+fn curl_command(deployment: &TestDeployment) -> String {
+    let entry = deployment.entries[0].caller_address();
     let key = api_key(0);
     format!(
         "curl -N http://{entry}/v1/completions -H 'Authorization: Bearer {key}' \
@@ -206,34 +213,36 @@
 
 async fn settings(args: &ArgMatches) -> Result<(), String> {
     let directory: &PathBuf = args.get_one("directory").expect("clap requires it");
-    let rig = Rig::start(small()).await.map_err(|e| e.to_string())?;
-    let written = write_settings(&rig, directory).map_err(|e| e.to_string());
-    rig.stop().await;
+    let deployment = TestDeployment::start(small_deployment())
+        .await
+        .map_err(|e| e.to_string())?;
+    let written = write_settings(&deployment, directory).map_err(|e| e.to_string());
+    deployment.stop().await;
     written
 }
 
-async fn measure(args: &ArgMatches) -> Result<(), String> {
+async fn run_experiment(args: &ArgMatches) -> Result<(), String> {
     let (name, args) = args.subcommand().expect("clap requires it");
     match name {
-        "all" => return measure_all(args).await,
+        "all" => return run_all(args).await,
         "tables" => return write_tables(args),
         _ => {}
     }
     let file: &PathBuf = args.get_one("json").expect("clap requires it");
     let rounds = args.try_get_one("rounds").ok().flatten();
-    let report = run(name, rounds.copied().unwrap_or_default()).await?;
+    let report = experiment_report(name, rounds.copied().unwrap_or_default()).await?;
     report.write(file).map_err(|e| e.to_string())
 }
 
-/// How often `all` causes each fault.
+/// The number of times that `all` injects each fault.
 const ALL_ROUNDS: usize = 6;
 
-async fn measure_all(args: &ArgMatches) -> Result<(), String> {
+async fn run_all(args: &ArgMatches) -> Result<(), String> {
     let directory: &PathBuf = args.get_one("dir").expect("clap requires it");
-    let page: &PathBuf = args.get_one("page").expect("it has a default");
+    let page: &PathBuf = args.get_one("page").expect("the argument has a default");
     std::fs::create_dir_all(directory).map_err(|e| e.to_string())?;
     for (name, _, _) in EXPERIMENTS {
-        let report = run(name, ALL_ROUNDS).await?;
+        let report = experiment_report(name, ALL_ROUNDS).await?;
         let file = directory.join(format!("{name}.json"));
         report.write(&file).map_err(|e| e.to_string())?;
         experiment::write_table(page, &report).map_err(|e| e.to_string())?;
@@ -242,7 +251,7 @@
 }
 
 fn write_tables(args: &ArgMatches) -> Result<(), String> {
-    let page: &PathBuf = args.get_one("page").expect("it has a default");
+    let page: &PathBuf = args.get_one("page").expect("the argument has a default");
     let files = args.get_many::<PathBuf>("reports").into_iter().flatten();
     for file in files {
         let report = Report::read(file).map_err(|e| e.to_string())?;
@@ -251,7 +260,7 @@
     Ok(())
 }
 
-async fn run(name: &str, rounds: usize) -> Result<Report, String> {
+async fn experiment_report(name: &str, rounds: usize) -> Result<Report, String> {
     match name {
         "engine-death" => experiment::engine_death(rounds).await,
         "faults" => experiment::faults(rounds).await,
--- a/crates/cw_testkit/tests/common/mod.rs
+++ b/crates/cw_testkit/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Fixtures that several test files share.
+//! Helpers that the test files share.
 #![allow(
     dead_code,
     unreachable_pub,
     clippy::allow_attributes,
-    reason = "each test file uses a part"
+    reason = "each test file uses only some of the helpers"
 )]
 
 use std::collections::BTreeMap;
@@ -11,38 +11,38 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use cw_testkit::Ask;
+use cw_testkit::CallResponse;
 use cw_testkit::Caller;
-use cw_testkit::Engine;
+use cw_testkit::CompletionReader;
+use cw_testkit::CompletionRequest;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::EngineSpec;
 use cw_testkit::EngineTimings;
+use cw_testkit::FakeEngine;
+use cw_testkit::FakeService;
 use cw_testkit::MODEL;
-use cw_testkit::PlainService;
 use cw_testkit::ROUTE_LATENCY;
 use cw_testkit::ROUTE_THRIFT;
-use cw_testkit::Reading;
-use cw_testkit::Reply;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cw_testkit::VERSION;
 use cw_types::Recovery;
 use cw_types::TokenId;
 use http::Method;
 use serde_json::Value;
 
-/// How long a test may wait for something that must come.
-pub const GUARD: Duration = Duration::from_secs(60);
+/// The time limit of every wait in the tests, so that a hanging test fails.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits for something that must come.
-pub async fn soon<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(GUARD, work)
+/// Waits for `work`, and panics if it takes longer than [`HANG_TIMEOUT`].
+pub async fn within_timeout<T>(work: impl Future<Output = T>) -> T {
+    tokio::time::timeout(HANG_TIMEOUT, work)
         .await
-        .expect("the guard against hanging was reached")
+        .expect("the work completes within the time limit")
 }
 
-/// Waits until a condition holds.
-pub async fn until(mut condition: impl FnMut() -> bool) {
-    soon(async {
+/// Polls until `condition` holds, and panics after [`HANG_TIMEOUT`].
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
+    within_timeout(async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -50,67 +50,74 @@
     .await;
 }
 
-/// Timings of an engine that loses no time.
-pub fn fast() -> EngineTimings {
+/// Engine timings with short steps, and without delays or lost cache events.
+pub fn fast_timings() -> EngineTimings {
     EngineTimings {
         step: Duration::from_millis(2),
-        sequence: Duration::ZERO,
-        prefill: Duration::ZERO,
+        per_sequence: Duration::ZERO,
+        per_token: Duration::ZERO,
         report_lag: Duration::ZERO,
         event_lag: Duration::ZERO,
         event_loss: 0,
-        capacity: 1 << 24,
-        restart: Duration::from_millis(100),
+        cache_tokens: 1 << 24,
+        restart_delay: Duration::from_millis(100),
         ..EngineTimings::default()
     }
 }
 
-/// Starts an engine by itself.
-pub async fn engine(timings: EngineTimings) -> Engine {
+/// Starts a single engine with the model of the tests.
+pub async fn start_engine(timings: EngineTimings) -> FakeEngine {
     let spec = EngineSpec::default()
         .with_version(MODEL, VERSION)
         .with_timings(timings);
-    Engine::start(spec).await.expect("a port is free")
+    FakeEngine::start(spec).await.expect("a port is free")
 }
 
-/// Calls any stand-in.
-pub async fn call(address: SocketAddr, method: Method, path: &str, body: &Value) -> Reply {
+/// Calls a fake or the admin interface of a process.
+pub async fn call_fake(
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: &Value,
+) -> CallResponse {
     let caller = Caller::new(address, "-");
     let body = body.to_string();
-    soon(caller.call(method, path, &BTreeMap::new(), body))
+    within_timeout(caller.call(method, path, &BTreeMap::new(), body))
         .await
-        .expect("the stand-in answers")
+        .expect("the server responds")
 }
 
 // ---- Deployments
 
-/// How a request is answered.
+/// The form of the response to a generation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// As a stream of events.
     Stream,
-    /// In one piece.
+    /// As a single response.
     Whole,
 }
 
-/// A small deployment.
-pub fn small() -> RigSpec {
+/// Returns the specification of a small deployment with fast engines.
+pub fn small_spec() -> DeploymentSpec {
     let timings = EngineTimings {
         step: Duration::from_millis(5),
-        ..fast()
+        ..fast_timings()
     };
-    RigSpec::default()
+    DeploymentSpec::default()
         .with_engines(4)
         .with_services(4)
         .with_timings(timings)
 }
 
 /// Starts a deployment.
-pub async fn rig(spec: RigSpec) -> Rig {
-    soon(Rig::start(spec)).await.expect("the deployment starts")
+pub async fn start_deployment(spec: DeploymentSpec) -> TestDeployment {
+    within_timeout(TestDeployment::start(spec))
+        .await
+        .expect("the deployment starts")
 }
 
-/// Returns the route with this way of recovery.
+/// Returns the route with this recovery mode.
 pub fn route(recovery: Recovery) -> &'static str {
     match recovery {
         Recovery::Latency => ROUTE_LATENCY,
@@ -118,24 +125,26 @@
     }
 }
 
-/// Returns the output that a request must have.
-pub fn expected(ask: &Ask) -> Vec<TokenId> {
-    ask.expected(MODEL, VERSION)
+/// Returns the expected output of a request.
+pub fn expected(request: &CompletionRequest) -> Vec<TokenId> {
+    request.expected(MODEL, VERSION)
 }
 
-/// Returns the engine that serves a stream.
-pub fn serving(rig: &Rig, reading: &Reading) -> usize {
-    let answer = &reading.answer;
-    let target = answer.target_at(Instant::now()).expect("tokens have come");
-    rig.engine_number(target)
+/// Returns the index of the engine that serves a stream.
+pub fn serving_engine(deployment: &TestDeployment, reader: &CompletionReader) -> usize {
+    let completion = &reader.completion;
+    let target = completion
+        .target_at(Instant::now())
+        .expect("tokens have arrived");
+    deployment.engine_index(target)
 }
 
-/// Waits until an engine is busy, and returns it.
-pub async fn busy(rig: &Rig) -> usize {
-    soon(async {
+/// Waits until an engine has a request, and returns its index.
+pub async fn busy_engine(deployment: &TestDeployment) -> usize {
+    within_timeout(async {
         loop {
-            for (number, engine) in rig.engines.iter().enumerate() {
-                if engine.busy().await > 0 {
+            for (number, engine) in deployment.engines.iter().enumerate() {
+                if engine.request_count().await > 0 {
                     return number;
                 }
             }
@@ -145,8 +154,8 @@
     .await
 }
 
-/// Returns how many times a body was executed by all services together.
-pub fn runs(rig: &Rig, body: &str) -> u64 {
-    let count = |service: &PlainService| service.runs().get(body).copied().unwrap_or_default();
-    rig.services.iter().map(count).sum()
+/// Returns how many calls with this body all services together have executed.
+pub fn run_count(deployment: &TestDeployment, body: &str) -> u64 {
+    let count = |service: &FakeService| service.runs().get(body).copied().unwrap_or_default();
+    deployment.services.iter().map(count).sum()
 }
--- a/crates/cw_testkit/tests/experiment.rs
+++ b/crates/cw_testkit/tests/experiment.rs
@@ -1,10 +1,10 @@
-//! What the experiments' figures are made with.
+//! Tests of the calculations behind the figures of the experiments.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use cw_testkit::Answer;
-use cw_testkit::Ask;
+use cw_testkit::Completion;
+use cw_testkit::CompletionRequest;
 use cw_testkit::Event;
 use cw_testkit::MODEL;
 use cw_testkit::VERSION;
@@ -16,21 +16,21 @@
 use rstest::rstest;
 use serde_json::json;
 
-fn answer(ids: Vec<TokenId>) -> Answer {
-    Answer {
+fn completion(ids: Vec<TokenId>) -> Completion {
+    Completion {
         ids,
-        finish: Some("length".to_owned()),
+        finish_reason: Some("length".to_owned()),
         closed: true,
-        ..Answer::default()
+        ..Completion::default()
     }
 }
 
 fn tally(change: impl FnOnce(&mut Vec<TokenId>)) -> Tally {
-    let ask = Ask::new("-", "a ledger", 50);
-    let mut ids = ask.expected(MODEL, VERSION);
+    let request = CompletionRequest::new("-", "a ledger", 50);
+    let mut ids = request.expected(MODEL, VERSION);
     change(&mut ids);
     let mut tally = Tally::default();
-    tally.add(&ask, &Ok(answer(ids)));
+    tally.add(&request, &Ok(completion(ids)));
     tally
 }
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn percentiles_are_of_the_times() {
+fn percentiles_match_the_recorded_times() {
     let summary = Summary::of((1..=1000).map(Duration::from_millis));
 
     assert_eq!(summary.count, 1000);
@@ -81,32 +81,32 @@
 fn resume_latency_is_the_end_of_the_longest_gap_after_the_fault() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
-    let mut answer = Answer::default();
+    let mut completion = Completion::default();
     for (millis, target) in [(10, "a"), (20, "a"), (31, "a"), (531, "b"), (541, "b")] {
-        answer.push(&event(&format!("g/1/1/{target}/v"), &[1], at(millis)));
+        completion.push(&event(&format!("g/1/1/{target}/v"), &[1], at(millis)));
     }
 
-    let resumed = answer.resumed_after(at(25));
+    let resumed = completion.resume_latency(at(25));
 
-    assert_eq!(answer.target_at(at(25)), Some("a"));
+    assert_eq!(completion.target_at(at(25)), Some("a"));
     assert_eq!(resumed, Some(Duration::from_millis(506)));
 }
 
 #[test]
-fn a_table_takes_the_place_of_the_one_before() {
-    let directory = tempfile::tempdir().expect("a directory can be made");
+fn a_table_replaces_the_previous_one() {
+    let directory = tempfile::tempdir().expect("a temporary directory is created");
     let page = directory.path().join("page.md");
-    std::fs::write(&page, "# Figures\n\nWords before.\n").expect("it can be written");
+    std::fs::write(&page, "# Figures\n\nWords before.\n").expect("the page can be written");
     let report = |rate: f64| {
         let mut report = Report::new("routing", json!({}));
         report.rows = vec![json!({ "policy": "affinity", "load": { "prefix_hit_rate": rate } })];
         report
     };
 
-    write_table(&page, &report(0.25)).expect("it can be written");
-    write_table(&page, &report(0.75)).expect("it can be written");
+    write_table(&page, &report(0.25)).expect("the page can be written");
+    write_table(&page, &report(0.75)).expect("the page can be written");
 
-    let text = std::fs::read_to_string(&page).expect("it can be read");
+    let text = std::fs::read_to_string(&page).expect("the page can be read");
     assert!(text.starts_with("# Figures\n\nWords before.\n"));
     assert!(text.contains("| policy | prefix hits |\n|---|---|\n| affinity | 0.7500 |"));
     assert!(!text.contains("0.2500"));
--- a/crates/cyclamenwharf/tests/control/operators.rs
+++ b/crates/cyclamenwharf/tests/control/operators.rs
@@ -12,7 +12,7 @@
 use crate::test_platform::snapshot;
 use crate::test_platform::wait_until;
 use cw_policy::Liveness;
-use cw_testkit::StoreFaults;
+use cw_testkit::EtcdFaults;
 use cw_types::KeyHash;
 use cw_types::Revision;
 use cw_types::TargetId;
@@ -48,10 +48,10 @@
     (platform, a, b)
 }
 
-fn store_down() -> StoreFaults {
-    StoreFaults {
-        down: true,
-        ..StoreFaults::default()
+fn store_down() -> EtcdFaults {
+    EtcdFaults {
+        unavailable: true,
+        ..EtcdFaults::default()
     }
 }
 
@@ -85,9 +85,9 @@
         .propose("c1", vec![put_priority("p", 3)])
         .await
         .expect("a proposal");
-    platform.key_value.set_faults(StoreFaults {
-        lost: 2,
-        ..StoreFaults::default()
+    platform.key_value.set_faults(EtcdFaults {
+        lost_responses: 2,
+        ..EtcdFaults::default()
     });
 
     let change = operator.accept("c1").await.expect("an acceptance");
@@ -109,7 +109,7 @@
     platform.key_value.set_faults(store_down());
 
     let refused = operator.accept("c1").await.expect_err("a refusal");
-    platform.key_value.set_faults(StoreFaults::default());
+    platform.key_value.set_faults(EtcdFaults::default());
     let change = operator.accept("c1").await.expect("an acceptance");
 
     assert_eq!(refused.kind, AdminErrorKind::Unavailable);
@@ -178,9 +178,9 @@
 #[tokio::test]
 async fn change_is_in_force_although_all_watches_are_silent() {
     let (platform, a, b) = start_two_entries().await;
-    platform.key_value.set_faults(StoreFaults {
-        silent: true,
-        ..StoreFaults::default()
+    platform.key_value.set_faults(EtcdFaults {
+        silent_watches: true,
+        ..EtcdFaults::default()
     });
 
     platform.write_snapshot(&snapshot(5));
--- a/crates/cyclamenwharf/tests/control/rolling_restart.rs
+++ b/crates/cyclamenwharf/tests/control/rolling_restart.rs
@@ -6,11 +6,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cw_testkit::Ask;
+use cw_testkit::CompletionRequest;
+use cw_testkit::DeploymentSpec;
 use cw_testkit::MODEL;
 use cw_testkit::ROUTE_LATENCY;
-use cw_testkit::Rig;
-use cw_testkit::RigSpec;
+use cw_testkit::TestDeployment;
 use cw_testkit::VERSION;
 
 use crate::admin_client::AdminClient;
@@ -30,7 +30,7 @@
 /// Sends requests until `stop` to the entry that the load balancer would choose, and returns their
 /// number.
 async fn send_until_stopped(
-    rig: Arc<Rig>,
+    rig: Arc<TestDeployment>,
     number: u64,
     stop: Arc<AtomicBool>,
     available_entry: Arc<AtomicUsize>,
@@ -39,9 +39,9 @@
     while !stop.load(Ordering::SeqCst) {
         answers += 1;
         let seed = number * 1_000_000 + answers as u64;
-        let ask = Ask::new(ROUTE_LATENCY, "a digest", TOKENS).with_seed(seed);
+        let ask = CompletionRequest::new(ROUTE_LATENCY, "a digest", TOKENS).with_seed(seed);
         let entry = available_entry.load(Ordering::SeqCst);
-        let mut outcome = rig.caller(entry).ask(&ask).await;
+        let mut outcome = rig.caller(entry).complete(&ask).await;
         if outcome
             .as_ref()
             .is_err_and(|e| e.code() == Some("not_ready"))
@@ -49,10 +49,10 @@
             // The load balancer does not know yet that the entry is not ready, and retries at
             // another.
             let other = (entry + 1) % rig.entries.len();
-            outcome = rig.caller(other).ask(&ask).await;
+            outcome = rig.caller(other).complete(&ask).await;
         }
         let answer = outcome.expect("no request is refused");
-        assert!(answer.is_whole(), "truncated answer: {answer:?}");
+        assert!(answer.is_complete(), "truncated answer: {answer:?}");
         assert_eq!(
             answer.ids,
             ask.expected(MODEL, VERSION),
@@ -64,7 +64,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn rolling_restart_of_every_process_truncates_loses_and_repeats_nothing() {
-    let rig = Arc::new(Rig::start(RigSpec::default()).await.expect("a deployment"));
+    let rig = Arc::new(
+        TestDeployment::start(DeploymentSpec::default())
+            .await
+            .expect("a deployment"),
+    );
     let (stop, available_entry) = (Arc::new(AtomicBool::new(false)), Arc::default());
     let load: Vec<_> = (0..CALLERS)
         .map(|n| {
