--- a/crates/cw_policy/src/admission/fair_queue.rs
+++ b/crates/cw_policy/src/admission/fair_queue.rs
@@ -14,7 +14,7 @@
 /// A request to run an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// The attempt.
+    /// The attempt to admit.
     pub id: AttemptId,
     /// The workspace of the attempt.
     pub workspace: WorkspaceId,
--- a/crates/cw_policy/src/attempt/attempt_state.rs
+++ b/crates/cw_policy/src/attempt/attempt_state.rs
@@ -24,7 +24,7 @@
     Done(FinishReason),
     /// It failed after it may have reached the target.
     Failed {
-        /// The cause.
+        /// The cause, which readers receive in the last frame.
         failure: Failure,
         /// Whether it ran.
         ran: Ran,
--- a/crates/cw_policy/src/attempt/reader.rs
+++ b/crates/cw_policy/src/attempt/reader.rs
@@ -6,7 +6,7 @@
 /// The position of one stream in the frames of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reader {
-    /// The attempt.
+    /// The attempt whose frames the stream reads.
     pub id: AttemptId,
     /// The output index that it reads next.
     pub next: u64,
--- a/crates/cw_policy/src/claim/claim_record.rs
+++ b/crates/cw_policy/src/claim/claim_record.rs
@@ -38,7 +38,7 @@
     pub status: u16,
     /// The end-to-end headers.
     pub headers: BTreeMap<String, String>,
-    /// The body.
+    /// The complete body, which is stored as Base64.
     #[serde_as(as = "Base64")]
     pub body: Bytes,
 }
--- a/crates/cw_policy/src/claim/claim_write.rs
+++ b/crates/cw_policy/src/claim/claim_write.rs
@@ -30,7 +30,7 @@
     Swap {
         /// The expected revision; `None` if the key must not exist.
         expected: Option<ClaimRevision>,
-        /// The claim.
+        /// The claim to write, whose id tells this write from any other.
         claim: Box<Claim>,
     },
     /// Read the key.
--- a/crates/cw_policy/src/configuration/accept.rs
+++ b/crates/cw_policy/src/configuration/accept.rs
@@ -29,7 +29,7 @@
         describe(other)
     ))]
     Conflict {
-        /// The record.
+        /// The key of the record that changed since the proposal.
         key: RecordKey,
         /// The revision that changed it.
         revision: Revision,
@@ -39,13 +39,13 @@
     /// The accepter is the proposer, and may not accept their own change.
     #[snafu(display("{accepter} proposed this change, so another person has to accept it"))]
     SamePerson {
-        /// The accepter.
+        /// The operator who proposed the change and tried to accept it.
         accepter: Actor,
     },
     /// The accepter's role does not allow acceptance.
     #[snafu(display("{accepter} may not accept changes"))]
     Role {
-        /// The accepter.
+        /// The operator whose role is too low.
         accepter: Actor,
     },
     /// The proposal was rejected before.
@@ -63,7 +63,7 @@
     /// Live processes cannot read the schema version of a record.
     #[snafu(display("schema version {schema} of {key} cannot be read by {}", join(hosts)))]
     Unreadable {
-        /// The record.
+        /// The key of the record that the proposal writes.
         key: RecordKey,
         /// Its schema version.
         schema: SchemaVersion,
@@ -92,7 +92,7 @@
 
 /// The accepter, and the state against which a proposal is checked.
 pub struct Acceptance<'a> {
-    /// The accepter.
+    /// The operator who accepts the proposal, to be recorded in the change.
     pub accepter: &'a Actor,
     /// The accepter's operator record.
     pub operator: &'a Operator,
--- a/crates/cw_policy/src/configuration/accept_flow.rs
+++ b/crates/cw_policy/src/configuration/accept_flow.rs
@@ -30,7 +30,7 @@
     Read {
         /// The proposal, if it exists.
         proposal: Option<Proposal>,
-        /// The snapshot.
+        /// The stored snapshot, against which the proposal is checked.
         snapshot: Box<Snapshot>,
         /// The highest revision known to be in force at any entry, queried after the read.
         held: Revision,
--- a/crates/cw_policy/src/configuration/diff.rs
+++ b/crates/cw_policy/src/configuration/diff.rs
@@ -11,7 +11,7 @@
 /// One record before and after a change.
 #[data]
 pub struct RecordDiff {
-    /// The record.
+    /// The key that the record has before and after the change.
     pub key: RecordKey,
     /// The record in force, if any.
     pub before: Option<Record>,
--- a/crates/cw_policy/src/configuration/dry_run.rs
+++ b/crates/cw_policy/src/configuration/dry_run.rs
@@ -26,37 +26,37 @@
     },
     /// A route would have no target that is not drained.
     NoTarget {
-        /// The route.
+        /// The route without a usable target.
         route: RouteName,
     },
     /// A route's priority does not exist.
     NoPriority {
-        /// The route.
+        /// The route that names the missing priority.
         route: RouteName,
     },
     /// A route's model version would have neither a record that requires targets nor a target that
     /// holds it.
     NoVersion {
-        /// The route.
+        /// The route that names the version.
         route: RouteName,
-        /// The version.
+        /// The version of the route's model that is not available.
         version: VersionName,
     },
     /// A route names a workspace that does not exist.
     NoWorkspace {
-        /// The route.
+        /// The route that names the workspace.
         route: RouteName,
-        /// The workspace.
+        /// The workspace that has no record.
         workspace: WorkspaceId,
     },
     /// A workspace's quota would admit no request.
     NoQuota {
-        /// The workspace.
+        /// The workspace whose limit on concurrency, requests or tokens would be zero.
         workspace: WorkspaceId,
     },
     /// Live generations are pinned to a version that would be removed.
     Pinned {
-        /// The version.
+        /// The version to be removed, to which the generations are pinned.
         version: VersionName,
         /// The number of generations.
         generations: u32,
--- a/crates/cw_policy/src/generation/event.rs
+++ b/crates/cw_policy/src/generation/event.rs
@@ -43,7 +43,7 @@
     /// The queue rejects the request.
     #[serde(rename = "Unqueued")]
     QueueRejected {
-        /// The cause.
+        /// The cause: [`ErrorKind::Overloaded`] or [`ErrorKind::Expired`].
         kind: ErrorKind,
         /// The delay before the caller should retry.
         retry: Duration,
@@ -52,12 +52,12 @@
     Frame {
         /// The link that carried the frame.
         link: LinkId,
-        /// The frame.
+        /// The next frame of the attempt's response stream.
         frame: Frame,
     },
     /// A link breaks or cannot be opened.
     Closed {
-        /// The link.
+        /// The link that broke or could not be opened.
         link: LinkId,
         /// Whether the call may have reached the agent.
         effect: Effect,
@@ -65,7 +65,7 @@
     /// The result of [`crate::Step::ConfirmCancel`].
     #[serde(rename = "Proof")]
     CancelResult {
-        /// The attempt.
+        /// The attempt that was to be cancelled.
         attempt: AttemptNo,
         /// Whether the attempt was run; `None` when the agent cannot be reached.
         ran: Option<Ran>,
@@ -79,7 +79,7 @@
     NotClaimed {
         /// The link that was to be opened.
         link: LinkId,
-        /// The cause.
+        /// The error to report to the caller.
         kind: ErrorKind,
     },
     /// The result of [`crate::Step::CheckCrashes`].
--- a/crates/cw_policy/src/generation/step.rs
+++ b/crates/cw_policy/src/generation/step.rs
@@ -72,7 +72,7 @@
     Dispatch {
         /// The link to open.
         link: LinkId,
-        /// The attempt.
+        /// The attempt to dispatch, by its number within the generation.
         attempt: AttemptNo,
         /// The target that is to run the attempt.
         target: TargetId,
@@ -85,7 +85,7 @@
     Attach {
         /// The link to open.
         link: LinkId,
-        /// The attempt.
+        /// The attempt to reattach to.
         attempt: AttemptNo,
         /// The target that runs the attempt.
         target: TargetId,
@@ -96,12 +96,12 @@
     },
     /// Close a link.
     Close {
-        /// The link.
+        /// The link to close; frames that still arrive over it are dropped.
         link: LinkId,
     },
     /// Cancel an attempt without waiting for the result.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptNo,
         /// The target that runs the attempt.
         target: TargetId,
@@ -109,14 +109,14 @@
     /// Cancel an attempt and reply with [`crate::Event::CancelResult`].
     #[serde(rename = "Prove")]
     ConfirmCancel {
-        /// The attempt.
+        /// The attempt to cancel, which may not have reached its target.
         attempt: AttemptNo,
         /// The target that the attempt was dispatched to.
         target: TargetId,
     },
     /// Tell the agent that the output below `next` is no longer needed.
     Ack {
-        /// The attempt.
+        /// The attempt that generated the output.
         attempt: AttemptNo,
         /// The target that runs the attempt.
         target: TargetId,
@@ -131,7 +131,7 @@
         attempt: AttemptNo,
         /// The target that runs the attempt.
         target: TargetId,
-        /// The tokens.
+        /// The tokens to pass on, with consecutive indices from `first`.
         tokens: Vec<Token>,
     },
     /// Pass the complete response of a plain service on to the caller; the generation has ended.
@@ -140,14 +140,14 @@
         status: u16,
         /// The end-to-end headers.
         headers: BTreeMap<String, String>,
-        /// The body.
+        /// The complete body.
         body: Bytes,
     },
     /// Report that the output is complete; the generation has ended.
     Finish(FinishReason),
     /// Report an error to the caller; the generation has ended with an incomplete response.
     Fail {
-        /// The cause.
+        /// The error to report to the caller.
         kind: ErrorKind,
         /// Whether the request was run.
         ran: Ran,
@@ -158,12 +158,12 @@
     Abandon,
     /// Record that an engine crashed while it ran this request and its agent stayed up.
     Crashed {
-        /// The target.
+        /// The target whose engine crashed.
         target: TargetId,
     },
     /// Record that an attempt was lost for a reason other than a crash of its engine.
     Lost {
-        /// The target.
+        /// The target that the attempt was dispatched to.
         target: TargetId,
     },
     /// Record that output has resumed after a loss.
--- a/crates/cw_policy/src/planner/planner_state.rs
+++ b/crates/cw_policy/src/planner/planner_state.rs
@@ -71,9 +71,9 @@
 /// An order for one target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
-    /// The target.
+    /// The target whose agent is to receive the order.
     pub target: TargetId,
-    /// The order.
+    /// The order, which keeps its sequence number when it is sent again.
     pub order: Order,
 }
 
--- a/crates/cw_policy/src/prefix/cache_index.rs
+++ b/crates/cw_policy/src/prefix/cache_index.rs
@@ -25,7 +25,7 @@
 /// A target that is known to have a part of a prompt cached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Holder<'a> {
-    /// The target.
+    /// The target that has the part cached.
     pub target: &'a TargetId,
     /// The expected share of the prompt that it has, from 0 to 1.
     pub share: f64,
--- a/crates/cw_policy/src/queue/queue_event.rs
+++ b/crates/cw_policy/src/queue/queue_event.rs
@@ -30,9 +30,9 @@
     Start(QueuedRequest),
     /// Refuse the request, which was not run.
     Refuse {
-        /// The request.
+        /// The refused request, which the queue does not hold.
         request: QueuedRequest,
-        /// The reason.
+        /// The reason: [`ErrorKind::Overloaded`] or [`ErrorKind::Expired`].
         kind: ErrorKind,
         /// The time after which the caller may retry.
         retry: Duration,
--- a/crates/cw_policy/src/trace/outcome.rs
+++ b/crates/cw_policy/src/trace/outcome.rs
@@ -22,7 +22,7 @@
     Complete,
     /// The caller received an error.
     Failed {
-        /// The error.
+        /// The error that was reported to the caller.
         kind: ErrorKind,
         /// Whether the request was run.
         ran: Ran,
--- a/crates/cw_policy/src/trace/replay.rs
+++ b/crates/cw_policy/src/trace/replay.rs
@@ -65,7 +65,7 @@
     Line {
         /// The line number, starting at 1.
         line: usize,
-        /// The cause.
+        /// The JSON error in the line.
         source: serde_json::Error,
     },
     /// The format version is not supported.
--- a/crates/cw_policy/src/trace/trace_record.rs
+++ b/crates/cw_policy/src/trace/trace_record.rs
@@ -11,8 +11,8 @@
 pub struct TraceRecord {
     /// The time of the event, on the clock of the recording process.
     pub at: Time,
-    /// The event.
+    /// The event that was fed to the machine.
     pub event: Event,
-    /// The steps.
+    /// The steps that the machine returned, which a replay must return again.
     pub steps: Vec<Step>,
 }
