--- a/crates/cw_store/src/key_value_store.rs
+++ b/crates/cw_store/src/key_value_store.rs
@@ -22,9 +22,9 @@
 /// A key with its value and its revisions.
 #[data(Eq)]
 pub struct Versioned {
-    /// The key.
+    /// The full key, also if it was found by its prefix.
     pub key: String,
-    /// The value.
+    /// The value that was written at `modified`.
     pub value: Bytes,
     /// The revision at which the key was created, since its last deletion.
     pub created: StoreRevision,
@@ -48,7 +48,7 @@
     Put(Versioned),
     /// The key was deleted.
     Deleted {
-        /// The key.
+        /// The full key that was deleted.
         key: String,
         /// The revision of the deletion.
         revision: StoreRevision,
@@ -63,14 +63,14 @@
     /// The call did not reach the service or was rejected by it, so it had no effect.
     #[snafu(display("the service is unavailable: {message}"))]
     Unavailable {
-        /// The cause.
+        /// Why the call did not reach the service or was rejected.
         message: String,
     },
     /// The call may have taken effect: no complete response arrived, or the service reported an
     /// error that leaves the outcome open.
     #[snafu(display("the outcome of the call is unknown: {message}"))]
     OutcomeUnknown {
-        /// The cause.
+        /// Why no conclusive response was received.
         message: String,
     },
     /// The lease does not exist or has expired.
--- a/crates/cw_testkit/src/caller/completion.rs
+++ b/crates/cw_testkit/src/caller/completion.rs
@@ -24,7 +24,7 @@
 pub struct Completion {
     /// The token ids.
     pub ids: Vec<TokenId>,
-    /// The text.
+    /// The text of all received bodies and events, concatenated.
     pub text: String,
     /// The arrivals of events with tokens, in order.
     pub arrivals: Vec<Arrival>,
--- a/crates/cw_testkit/src/deployment/test_deployment.rs
+++ b/crates/cw_testkit/src/deployment/test_deployment.rs
@@ -89,7 +89,7 @@
     pub host_list: FakeHostList,
     /// The weight store.
     pub weight_store: FakeWeightStore,
-    /// The engines.
+    /// The model engines, [`DeploymentSpec::engines`] in number.
     pub engines: Vec<FakeEngine>,
     /// The agents of the engines, in the same order.
     pub agents: Vec<TargetNode>,
@@ -100,7 +100,7 @@
     pub services: Vec<FakeService>,
     /// The agents of the services, in the same order.
     pub service_agents: Vec<TargetNode>,
-    /// The entries.
+    /// The entries, [`DeploymentSpec::entries`] in number, to which callers send their requests.
     pub entries: Vec<EntryNode>,
 }
 
--- a/crates/cw_testkit/src/experiment/concurrent_requests.rs
+++ b/crates/cw_testkit/src/experiment/concurrent_requests.rs
@@ -17,7 +17,7 @@
 pub(super) struct CompletedRequest {
     /// The API key that it was sent with.
     pub(super) key: String,
-    /// The request.
+    /// The request as it was sent.
     pub(super) ask: CompletionRequest,
     /// When it was sent.
     pub(super) sent_at: Instant,
--- a/crates/cw_testkit/src/experiment/summary.rs
+++ b/crates/cw_testkit/src/experiment/summary.rs
@@ -13,7 +13,7 @@
 pub struct Summary {
     /// The number of times.
     pub count: u64,
-    /// The median.
+    /// The 50th percentile, which is the median.
     pub p50_ms: f64,
     /// The 95th percentile.
     pub p95_ms: f64,
--- a/crates/cw_types/src/id.rs
+++ b/crates/cw_types/src/id.rs
@@ -61,7 +61,7 @@
 /// The id of an attempt, which is one dispatch of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The generation.
+    /// The generation that the attempt belongs to.
     pub generation: GenerationId,
     /// The number of the attempt within the generation.
     pub attempt: AttemptNo,
--- a/crates/cw_types/src/record.rs
+++ b/crates/cw_types/src/record.rs
@@ -93,7 +93,7 @@
 )]
 #[serde(try_from = "String", into = "String")]
 pub struct RecordKey {
-    /// The kind.
+    /// The kind, which is the part of the written key before the slash.
     pub kind: RecordKind,
     /// The name, unique within its kind.
     pub name: String,
@@ -143,7 +143,7 @@
 /// The body is kept as JSON, so a process preserves the fields that it does not know.
 #[data]
 pub struct Record {
-    /// The kind.
+    /// The kind, which decides the schema of the body.
     pub kind: RecordKind,
     /// The name, unique within its kind.
     pub name: String,
@@ -182,9 +182,9 @@
 pub enum RouteTarget {
     /// The engines that serve a model version.
     Model {
-        /// The model.
+        /// The model that the route leads to.
         model: ModelName,
-        /// The version.
+        /// The version that new generations of the route are pinned to.
         version: VersionName,
         /// The adapter, if any.
         #[serde(default)]
@@ -256,7 +256,7 @@
 pub struct Workspace {
     /// The hashes of the valid API keys. Two valid keys at a time allow rotation.
     pub keys: Vec<KeyHash>,
-    /// The limits.
+    /// The limits on concurrent generations, requests and tokens; the default quota if absent.
     #[serde(default)]
     pub quota: Quota,
     /// The share of the targets under contention, relative to the weights of other workspaces.
@@ -279,9 +279,9 @@
 #[serde_as]
 #[data]
 pub struct ModelVersion {
-    /// The model.
+    /// The model that this is a version of.
     pub model: ModelName,
-    /// The version.
+    /// The name of the version within its model.
     pub version: VersionName,
     /// The location of the weights in the weight store.
     pub weights: String,
@@ -357,7 +357,8 @@
 pub struct Operator {
     /// The hashes of the valid keys. Two valid keys at a time allow rotation.
     pub keys: Vec<KeyHash>,
-    /// The permissions.
+    /// The role, which decides whether the operator may only read or also propose, accept and
+    /// reject changes.
     pub role: OperatorRole,
     /// Whether the operator may accept its own proposals.
     #[serde(default, rename = "alone")]
--- a/crates/cw_types/src/schema.rs
+++ b/crates/cw_types/src/schema.rs
@@ -39,7 +39,7 @@
     /// This process does not know the schema version.
     #[snafu(display("record {key} has schema version {found}, known versions are 1 to {known}"))]
     Unknown {
-        /// The record.
+        /// The key of the record with the unknown version.
         key: RecordKey,
         /// The schema version that was found or requested.
         found: SchemaVersion,
@@ -49,9 +49,9 @@
     /// A field has the wrong type or an invalid value.
     #[snafu(display("record {key}: field {field} has an invalid value"))]
     Field {
-        /// The record.
+        /// The key of the record with the invalid field.
         key: RecordKey,
-        /// The field.
+        /// The name of the invalid field in the body of the record.
         field: &'static str,
     },
 }
--- a/crates/cw_wire/src/codec.rs
+++ b/crates/cw_wire/src/codec.rs
@@ -21,19 +21,19 @@
     /// The message could not be encoded.
     #[snafu(display("cannot encode a message: {source}"))]
     Encode {
-        /// The cause.
+        /// The error of the MessagePack encoder.
         source: rmp_serde::encode::Error,
     },
     /// The message could not be decoded.
     #[snafu(display("cannot decode a message: {source}"))]
     Decode {
-        /// The cause.
+        /// The error of the MessagePack decoder.
         source: rmp_serde::decode::Error,
     },
     /// The frame stream could not be split into or built from frames.
     #[snafu(display("invalid frame stream: {source}"))]
     Stream {
-        /// The cause.
+        /// The error of the framing codec or of the stream below it.
         source: std::io::Error,
     },
 }
--- a/crates/cw_wire/src/directory_update.rs
+++ b/crates/cw_wire/src/directory_update.rs
@@ -13,7 +13,7 @@
     pub previous: i64,
     /// The revision of this change, as assigned by the key-value service.
     pub revision: i64,
-    /// The key.
+    /// The key that was written or deleted, as stored in the key-value service.
     pub key: String,
     /// The new value, or `None` if the key was deleted.
     pub value: Option<Bytes>,
--- a/crates/cw_wire/src/dispatch.rs
+++ b/crates/cw_wire/src/dispatch.rs
@@ -58,13 +58,13 @@
 /// Work for a model engine.
 #[data]
 pub struct Generate {
-    /// The model.
+    /// The model that the engine runs.
     pub model: ModelName,
     /// The version, fixed for the lifetime of the generation.
     pub version: VersionName,
     /// The adapter, fixed for the lifetime of the generation.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// The input to the model, without the output of earlier attempts.
     pub prompt: Prompt,
     /// The sampling parameters.
     pub sampling: Sampling,
@@ -90,7 +90,7 @@
 pub struct Call {
     /// The method, path and headers.
     pub head: CallHead,
-    /// The body.
+    /// The complete body of the request to the service.
     pub body: Bytes,
 }
 
@@ -147,14 +147,14 @@
     pub fingerprint: Fingerprint,
     /// The index of the first token to send.
     pub from: TokenIndex,
-    /// The work.
+    /// What the target executes: a model generation or a call to a plain service.
     pub work: Work,
 }
 
 /// A request for the frames of an existing attempt, starting at an index.
 #[data(Eq)]
 pub struct Attach {
-    /// The generation.
+    /// The generation whose attempt is attached to.
     pub generation: GenerationId,
     /// The attempt, if the sender knows it; otherwise the newest one is used.
     ///
--- a/crates/cw_wire/src/frame.rs
+++ b/crates/cw_wire/src/frame.rs
@@ -82,7 +82,7 @@
     Tokens {
         /// The index of the first token.
         first: TokenIndex,
-        /// The tokens.
+        /// The tokens at consecutive indexes, starting at `first`.
         tokens: Vec<Token>,
     },
     /// The status and headers in the response of a plain service.
@@ -96,7 +96,7 @@
     Body {
         /// The offset of the first byte within the body.
         offset: u64,
-        /// The content.
+        /// The bytes of the body, starting at `offset`.
         bytes: Bytes,
     },
     /// Shows that the agent and the connection to it are alive, whatever the state of the engine.
--- a/crates/cw_wire/src/load_update.rs
+++ b/crates/cw_wire/src/load_update.rs
@@ -36,7 +36,7 @@
 #[data(Copy, Eq)]
 #[serde(from = "PackedUpdate", into = "PackedUpdate")]
 pub struct LoadUpdate {
-    /// The target.
+    /// The hash of the id of the target whose load this is.
     pub target: TargetHash,
     /// The sequence number of the report, within the incarnation of the last full report that was
     /// forwarded.
--- a/crates/cw_wire/src/order.rs
+++ b/crates/cw_wire/src/order.rs
@@ -12,27 +12,27 @@
 pub enum OrderKind {
     /// Load a model version.
     Load {
-        /// The model.
+        /// The model of the version to load.
         model: ModelName,
-        /// The version.
+        /// The version to load, whose weights are at `weights`.
         version: VersionName,
         /// The location of the weights in the weight store.
         weights: String,
     },
     /// Unload a model version to which no generation is pinned.
     Unload {
-        /// The model.
+        /// The model of the version to unload.
         model: ModelName,
-        /// The version.
+        /// The version to unload.
         version: VersionName,
     },
     /// Load an adapter.
     LoadAdapter {
-        /// The model.
+        /// The model that the adapter applies to.
         model: ModelName,
-        /// The version.
+        /// The version of the model that the adapter is loaded for.
         version: VersionName,
-        /// The adapter.
+        /// The name of the adapter to load.
         adapter: AdapterName,
     },
     /// Change the engine's role.
--- a/crates/cw_wire/src/report.rs
+++ b/crates/cw_wire/src/report.rs
@@ -55,7 +55,7 @@
 /// The state of a target, sent by its agent.
 #[data]
 pub struct Report {
-    /// The target.
+    /// The target whose state this is.
     pub target: TargetId,
     /// The host that the target runs on.
     pub host: HostId,
@@ -91,9 +91,9 @@
 /// A target from which a relay has recently received no report.
 #[data(Eq)]
 pub struct SilentTarget {
-    /// The relay.
+    /// The host of the relay that misses the reports.
     pub relay: HostId,
-    /// The target.
+    /// The target whose reports are missing.
     pub target: TargetId,
     /// The incarnation of the last report.
     pub incarnation: Incarnation,
--- a/crates/cyclamenwharf/src/agent/target_client.rs
+++ b/crates/cyclamenwharf/src/agent/target_client.rs
@@ -47,7 +47,7 @@
     /// The target did not respond in time.
     #[snafu(display("no response from the target within {timeout:?}"))]
     Timeout {
-        /// The timeout.
+        /// How long the client waited for the target.
         timeout: Duration,
     },
 }
--- a/crates/cyclamenwharf/src/control/admin/messages.rs
+++ b/crates/cyclamenwharf/src/control/admin/messages.rs
@@ -79,7 +79,7 @@
     pub proposed_at: u64,
     /// The reason for the change.
     pub reason: String,
-    /// The status.
+    /// Whether the proposal is undecided, being accepted, accepted or rejected.
     pub status: ProposalStatus,
     /// The operator who accepted or rejected it, or who is accepting it.
     pub decided_by: Option<String>,
@@ -101,7 +101,7 @@
 /// A proposal and its effect.
 #[data(JsonSchema)]
 pub struct ReviewMessage {
-    /// The proposal.
+    /// The proposal under review.
     pub proposal: ProposalMessage,
     /// The records that it would change.
     pub differences: Vec<DiffMessage>,
@@ -164,7 +164,7 @@
 /// The state of an entry.
 #[data(JsonSchema)]
 pub struct ProcessMessage {
-    /// The host.
+    /// The id of the host that the entry runs on.
     pub host: String,
     /// The configuration revision in force at the entry.
     pub revision: u64,
@@ -177,9 +177,9 @@
 /// The state of a target.
 #[data(JsonSchema)]
 pub struct TargetMessage {
-    /// The id.
+    /// The id of the target, as its agent reports it.
     pub id: String,
-    /// The host.
+    /// The id of the host that the target runs on.
     pub host: String,
     /// The availability zone.
     pub zone: String,
--- a/crates/cyclamenwharf/src/entry/completion_request.rs
+++ b/crates/cyclamenwharf/src/entry/completion_request.rs
@@ -89,7 +89,7 @@
 pub(crate) struct CompletionRequest {
     /// The name of the route.
     pub(crate) model: String,
-    /// The prompt.
+    /// The input to the model: text, token ids or chat messages.
     pub(crate) prompt: Prompt,
     /// The maximum number of output tokens.
     pub(crate) max_tokens: TokenCount,
@@ -107,7 +107,7 @@
     pub(crate) token_ids: bool,
     /// The output tokens that a reconnecting caller already has.
     pub(crate) so_far: Vec<TokenId>,
-    /// The endpoint.
+    /// The endpoint that the request was made to, which decides the JSON of the answer.
     pub(crate) endpoint: Endpoint,
 }
 
--- a/crates/cyclamenwharf/src/entry/idempotency.rs
+++ b/crates/cyclamenwharf/src/entry/idempotency.rs
@@ -40,7 +40,7 @@
 
 /// A request that has produced its first output.
 pub(crate) struct StartedRequest {
-    /// The request.
+    /// The accepted request that the output answers.
     pub(crate) job: Arc<Job>,
     /// The first output.
     pub(crate) first: Output,
--- a/crates/cyclamenwharf/src/entry/output.rs
+++ b/crates/cyclamenwharf/src/entry/output.rs
@@ -20,7 +20,7 @@
     pub(crate) attempt: AttemptNo,
     /// The target that runs the attempt.
     pub(crate) target: TargetId,
-    /// The tokens.
+    /// The tokens at consecutive indexes, starting at `first`.
     pub(crate) tokens: Vec<Token>,
 }
 
@@ -31,7 +31,7 @@
     pub(crate) status: u16,
     /// The end-to-end headers.
     pub(crate) headers: BTreeMap<String, String>,
-    /// The body.
+    /// The complete body, joined from the parts that the target sent.
     pub(crate) body: Bytes,
 }
 
--- a/crates/cyclamenwharf/src/entry/sent_attempt.rs
+++ b/crates/cyclamenwharf/src/entry/sent_attempt.rs
@@ -13,7 +13,7 @@
 pub(crate) struct SentAttempt {
     /// The id of the attempt.
     pub(crate) id: AttemptId,
-    /// The target.
+    /// The target that the attempt was sent to.
     pub(crate) target: TargetId,
     /// The address of the target's agent.
     pub(crate) peer: SocketAddr,
--- a/crates/cyclamenwharf/src/forward/directory_sync.rs
+++ b/crates/cyclamenwharf/src/forward/directory_sync.rs
@@ -45,9 +45,9 @@
 /// The part of the key-value service that is kept in sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Topic {
-    /// The configuration.
+    /// The single key that holds the configuration.
     Config,
-    /// The targets.
+    /// The keys of the target records, which share a prefix.
     Targets,
 }
 
--- a/crates/cyclamenwharf/src/forward/forward_context.rs
+++ b/crates/cyclamenwharf/src/forward/forward_context.rs
@@ -49,7 +49,7 @@
     pub(super) config_bytes: Option<Bytes>,
     /// The records of the targets, as stored in the key-value service.
     pub(super) listings: BTreeMap<TargetId, Bytes>,
-    /// The targets.
+    /// The targets that the directory lists, with their state as seen by this entry.
     pub(super) fleet: Fleet,
     /// The directory changes that this entry knows of.
     pub(super) directory_log: DirectoryLog,
--- a/crates/cyclamenwharf/src/forward/target_connection.rs
+++ b/crates/cyclamenwharf/src/forward/target_connection.rs
@@ -39,7 +39,7 @@
     /// The target does not listen or cannot be reached.
     #[snafu(display("cannot connect: {source}"))]
     Connect {
-        /// The cause.
+        /// The error of connecting or of setting the socket options.
         source: io::Error,
     },
     /// The target did not answer in time.
@@ -48,7 +48,7 @@
     /// The HTTP handshake failed.
     #[snafu(display("HTTP handshake failed: {source}"))]
     Handshake {
-        /// The cause.
+        /// The error of the HTTP/1 handshake.
         source: hyper::Error,
     },
 }
--- a/crates/cyclamenwharf/src/peer_client.rs
+++ b/crates/cyclamenwharf/src/peer_client.rs
@@ -54,7 +54,7 @@
     Timeout {
         /// The address of the peer.
         peer: SocketAddr,
-        /// The timeout.
+        /// How long the client waited for the response, or for its head if it is streamed.
         timeout: Duration,
     },
     /// The peer responded with an error status.
--- a/crates/cyclamenwharf/tests/entry_kit/caller.rs
+++ b/crates/cyclamenwharf/tests/entry_kit/caller.rs
@@ -11,9 +11,9 @@
 pub(crate) struct Reply {
     /// The HTTP status.
     pub(crate) status: u16,
-    /// The headers.
+    /// The response headers.
     pub(crate) headers: http::HeaderMap,
-    /// The body.
+    /// The complete body; for a streamed answer, the text of all events.
     pub(crate) body: String,
 }
 
--- a/crates/cyclamenwharfctl/src/command_error.rs
+++ b/crates/cyclamenwharfctl/src/command_error.rs
@@ -21,9 +21,9 @@
     /// A file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
     Read {
-        /// The file.
+        /// The path of the file or directory that cannot be read.
         file: PathBuf,
-        /// The cause.
+        /// The I/O error of the read.
         source: std::io::Error,
     },
     /// The entry rejected the call.
@@ -35,7 +35,7 @@
     /// No entry responds.
     #[snafu(display("no entry responds: {message}"))]
     Unreachable {
-        /// The cause.
+        /// The failure of the last call that was tried.
         message: String,
     },
     /// An awaited state was not reached within the timeout.
@@ -55,7 +55,7 @@
     /// The service-level report failed.
     #[snafu(display("{source}"), context(false))]
     Slo {
-        /// The cause.
+        /// The error that the `slo` command returned.
         source: SloError,
     },
 }
--- a/crates/cyclamenwharfctl/src/slo/mod.rs
+++ b/crates/cyclamenwharfctl/src/slo/mod.rs
@@ -31,15 +31,15 @@
     /// The report cannot be written to its file.
     #[snafu(display("{}: {source}", file.display()))]
     Write {
-        /// The file.
+        /// The path that the report was to be written to.
         file: PathBuf,
-        /// The cause.
+        /// The I/O error of the write.
         source: std::io::Error,
     },
     /// A plot of the report cannot be drawn.
     #[snafu(display("the plots cannot be drawn: {message}"))]
     Draw {
-        /// The cause.
+        /// The error of the plotting library.
         message: String,
     },
 }
